--- a/dispatch/planner/crash.go
+++ b/dispatch/planner/crash.go
@@ -7,68 +7,70 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Any task running at a crash is a suspect; at most one of them caused it. A suspect is
-// started again, each time at another runner, until
-//   - it ends there: it is sound;
-//   - a second runner crashes under it with nothing else there, or it was the one that began
-//     last both times: its job is given up;
-//   - a third crashes under it: its job is given up, whatever else was there.
+// Every task running on a runner when it crashes is a suspect; at most one of them caused the
+// crash. A suspect is started again, each time on another runner, until one of these happens:
+//   - its run ends there: it did not cause the crash;
+//   - a second runner crashes with nothing else running there, or the task was the last one
+//     started both times: its job fails;
+//   - a third runner crashes while running it: its job fails, whatever else was running.
 
 const (
-	// sureCrashes is the number of crashes under a task from which it may be given up,
-	// mostCrashes that from which it always is: each more costs another runner.
-	sureCrashes = 2
-	mostCrashes = 3
+	// minConclusiveCrashes is the number of crashes from which a task may be given up,
+	// maxTaskCrashes the number from which it always is: each further attempt costs another
+	// runner.
+	minConclusiveCrashes = 2
+	maxTaskCrashes       = 3
 )
 
-// Crashes with one cause: a rack or a data centre that goes down is no evidence against a
+// Crashes with a common cause: a rack or data centre that goes down is no evidence against a
 // task.
 const (
-	// commonWindow is the time within which such crashes become known: leases run out some
-	// 0.7 s after them.
+	// commonWindow is the time within which such crashes become known: leases expire some 0.7 s
+	// after them.
 	commonWindow = 2 * time.Second
-	// commonLeast is the least number of them, and one in commonSpared at the most of the
-	// endpoints of the failure domain stays. Tasks that crash runners hit racks at random.
-	commonLeast  = 3
-	commonSpared = 5
+	// minCommonCrashes is the minimum number of such crashes, and at most one in
+	// commonSurvivorDivisor endpoints of the failure domain is still up. Tasks that crash their
+	// runners hit racks at random.
+	minCommonCrashes      = 3
+	commonSurvivorDivisor = 5
 )
 
-// Crash is what a guard reports of a run on a runner that crashed.
+// Crash is a guard's report on a run whose runner crashed.
 type Crash struct {
-	// Runner is the process that crashed; empty from guards that don't say.
+	// Runner is the process that crashed; empty from guards that do not report it.
 	Runner work.Incarnation
-	// Others counts the other runs that were there.
+	// Others counts the other runs on that runner.
 	Others int
-	// Newest is true for the run that began last.
+	// Newest is true for the run that started last.
 	Newest bool
 }
 
-// crash of one incarnation of a runner.
+// crash is the crash of one incarnation of a runner.
 type crash struct {
 	at          time.Duration
 	endpoint    *endpoint
 	incarnation work.Incarnation
 	suspects    []suspect
-	// common is true once it is known to have one cause with others.
+	// common is true once the crash is known to share its cause with others.
 	common bool
 }
 
-// suspect is one task under which a runner crashed.
+// suspect is a task that was running on a runner when it crashed.
 type suspect struct {
 	task   *task
 	newest bool
 }
 
-// CrashCounts are what became of the crashes that guards have reported, a run each.
+// CrashCounts count what became of the reported crashes, one per run.
 type CrashCounts struct {
-	// Attributed counts against their tasks, Common had one cause with others and does not.
+	// Attributed crashes count against their tasks; Common ones had a common cause and do not.
 	Attributed, Common int
-	// Suspects are the tasks of open jobs under which a runner has crashed and that are
-	// not done.
+	// Suspects counts the unfinished tasks of open jobs that have crashes attributed to them.
 	Suspects int
 }
 
-// CrashCounts returns the counts since the start, and the suspects of now.
+// CrashCounts returns the counts since the start of the process, and the current number of
+// suspects.
 func (p *Planner) CrashCounts() CrashCounts {
 	c := p.crashCounts
 	for _, j := range p.jobs {
@@ -84,8 +86,8 @@
 	return c
 }
 
-// Crash takes a guard's report that its runner crashed under a run, and returns how long
-// the run lasted.
+// Crash handles a guard's report that its runner crashed while running a task, and returns how
+// long the run lasted.
 func (p *Planner) Crash(now time.Duration, id string, run work.RunID, ran time.Duration, c Crash) time.Duration {
 	e := p.endpoints[id]
 	if e == nil {
@@ -97,18 +99,19 @@
 		return 0
 	}
 	if !t.stopping {
-		// It takes nothing until its next incarnation.
-		e.health.bad(now, e.service.failRate)
+		// The endpoint gets no starts until its runner's next incarnation.
+		e.health.recordFailure(now, e.service.failureRate)
 	}
-	p.over(t)
-	t.job.ran = true
+	p.closeRun(t)
+	t.job.mayHaveRun = true
 	t.avoid = e
 	p.attribute(now, t, e, c)
-	p.again(t)
+	p.requeueTask(t)
 	return ran
 }
 
-// attributeLate counts a crash of which the guard knew only after the run had been reported as over.
+// attributeLate counts a crash that the guard learnt of only after the run had been reported
+// as over.
 func (p *Planner) attributeLate(now time.Duration, e *endpoint, run work.RunID, c Crash) {
 	j := p.jobs[run.Task.Job]
 	if j == nil || j.outcome != 0 {
@@ -121,9 +124,9 @@
 	}
 }
 
-// attribute counts a crash against a task, and gives its job up when that is conclusive.
+// attribute counts a crash against a task, and fails its job if the evidence is conclusive.
 func (p *Planner) attribute(now time.Duration, t *task, e *endpoint, c Crash) {
-	x := p.crashOf(now, e, c.Runner)
+	x := p.crashRecord(now, e, c.Runner)
 	x.suspects = append(x.suspects, suspect{t, c.Newest})
 	if x.common {
 		p.crashCounts.Common++
@@ -137,25 +140,26 @@
 	}
 }
 
-// addCrashes adds to a task's crashes, or takes them back.
+// addCrashes adds to the crash counts of a task; a negative n takes crashes back.
 func (t *task) addCrashes(n int, newest bool) {
 	t.crashes += n
 	if newest {
-		t.newest += n
+		t.newestCrashes += n
 	}
 }
 
-// crashesConclusive reports whether the task is not to be started again.
+// crashesConclusive reports whether the task must not be started again.
 func (t *task) crashesConclusive(c Crash) bool {
-	if t.crashes >= mostCrashes {
+	if t.crashes >= maxTaskCrashes {
 		return true
 	}
-	return t.crashes >= sureCrashes && (c.Others == 0 || t.newest == t.crashes)
+	return t.crashes >= minConclusiveCrashes && (c.Others == 0 || t.newestCrashes == t.crashes)
 }
 
-// crashOf returns the crash of an incarnation at an endpoint: of the one that the entry knows of
-// where the guard doesn't say.
-func (p *Planner) crashOf(now time.Duration, e *endpoint, runner work.Incarnation) *crash {
+// crashRecord returns the crash record of a runner's incarnation at an endpoint, and adds it if
+// there is none. If the guard does not report the incarnation, it is the one known to this
+// entry.
+func (p *Planner) crashRecord(now time.Duration, e *endpoint, runner work.Incarnation) *crash {
 	if runner.ID == "" {
 		runner = e.runner
 	}
@@ -170,7 +174,8 @@
 	return c
 }
 
-// discountCommon takes back what crashes with one cause were counted for.
+// discountCommon takes back the crashes attributed to tasks if they turn out to have a common
+// cause.
 func (p *Planner) discountCommon(x *crash) {
 	for _, in := range x.endpoint.failureDomains() {
 		if !p.commonCause(x.endpoint.service, in) {
@@ -190,17 +195,18 @@
 	}
 }
 
-// failureDomains returns the sets of endpoints that the endpoint may fail together with:
-// its data centre, and each of its labels.
+// failureDomains returns the sets of endpoints that may fail together with this one: its data
+// centre, and one for each of its labels.
 func (e *endpoint) failureDomains() []func(*endpoint) bool {
-	all := []func(*endpoint) bool{func(o *endpoint) bool { return o.zone == e.zone }}
+	all := []func(*endpoint) bool{func(o *endpoint) bool { return o.dataCentre == e.dataCentre }}
 	for _, label := range e.labels {
 		all = append(all, func(o *endpoint) bool { return slices.Contains(o.labels, label) })
 	}
 	return all
 }
 
-// commonCause reports whether nearly all endpoints of a failure domain crashed a moment ago.
+// commonCause reports whether nearly all endpoints of a failure domain crashed within
+// commonWindow.
 func (p *Planner) commonCause(s *service, in func(*endpoint) bool) bool {
 	if s == nil {
 		return false
@@ -216,11 +222,12 @@
 			down++
 		}
 	}
-	return down >= commonLeast && (all-down)*commonSpared <= all
+	return down >= minCommonCrashes && (all-down)*commonSurvivorDivisor <= all
 }
 
-// alike counts the first tasks that are placed together: a suspect is placed by itself.
-func alike(waiting []*task) int {
+// placedTogether returns how many of the first waiting tasks are placed together: a suspect is
+// placed alone.
+func placedTogether(waiting []*task) int {
 	if waiting[0].crashes > 0 {
 		return 1
 	}
@@ -231,12 +238,13 @@
 	return n
 }
 
-// forSuspect rates an endpoint for a suspect: not where another one runs, so that a crash
-// is evidence against one of them only, and where least else runs.
+// forSuspect adjusts an endpoint's score for a suspect. An endpoint with another suspect is
+// excluded, so that a crash is evidence against only one of them; of the rest, the one with
+// the most free CPU is preferred, whatever its data centre.
 func (s score) forSuspect(e *endpoint) score {
 	if e.suspects > 0 {
 		return score{}
 	}
-	s.here = false
+	s.sameDataCentre = false
 	return s
 }
--- a/dispatch/planner/endpoint.go
+++ b/dispatch/planner/endpoint.go
@@ -7,100 +7,100 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Room is what an endpoint's guard says of it.
+// Room is an endpoint's state as its guard reports it.
 type Room struct {
 	Service string
-	// Runner is its present process; empty while there is none.
+	// Runner is the runner's current process; empty while there is none.
 	Runner work.Incarnation
 	Open   bool
 	Total  work.Amounts
 	Used   work.Amounts
 	Labels []string
-	// Cleared is true once nothing that an older life of the guard ordered runs or
-	// can begin any more.
+	// Cleared is true once no run that an earlier incarnation of the guard ordered is running
+	// or can still start.
 	Cleared bool
 }
 
-// endpoint is one guarded runner.
+// endpoint is a runner with its guard.
 type endpoint struct {
-	id      string
-	zone    string
-	service *service
-	runner  work.Incarnation
-	// attached is false while its guard can't be reached.
+	id         string
+	dataCentre string
+	service    *service
+	runner     work.Incarnation
+	// attached is false while the guard cannot be reached.
 	attached bool
 	open     bool
 	total    work.Amounts
-	// most is the most that this process of the runner has had: capacity that has shrunk may
-	// grow again.
-	most work.Amounts
-	// used is what the guard says is taken, of all entries; ordered is what this
-	// entry has ordered since and the guard has not answered yet.
+	// maxTotal is the largest capacity that this process of the runner has had: capacity that
+	// has shrunk may grow again.
+	maxTotal work.Amounts
+	// used is what is in use by the guard's report, for all entries; ordered is what this entry
+	// has ordered since and the guard has not answered yet.
 	used, ordered work.Amounts
 	labels        []string
-	// told is when its guard last told its room.
-	told   time.Duration
-	runs   map[work.TaskID]*task
-	health health
-	// suspects counts the open runs of tasks under which a runner has crashed.
+	// reportedAt is when the guard last reported the endpoint's capacity.
+	reportedAt time.Duration
+	runs       map[work.TaskID]*task
+	health     health
+	// suspects counts the open runs of tasks that have crashes attributed to them.
 	suspects int
 }
 
 func (e *endpoint) free() work.Amounts { return e.total.Sub(e.used).Sub(e.ordered) }
 
-// Attach makes an endpoint known and returns the runs that its guard is to be
-// asked for. fresh is true when the guard is a new life: it knows nothing of the
-// runs that the older one was given, and these may go on until it has cleared
-// its runner. To start one of their tasks elsewhere before would run it twice.
-func (p *Planner) Attach(id, zone string, fresh bool) []work.RunID {
+// Attach adds an endpoint, or marks it reachable again, and returns the runs whose state its
+// guard is to be asked for. newGuard is true for a new incarnation of the guard: it knows
+// nothing of the runs that the earlier one was given, and these may go on until it has cleared
+// its runner. Starting one of their tasks elsewhere before that would run it twice.
+func (p *Planner) Attach(id, dataCentre string, newGuard bool) []work.RunID {
 	e := p.endpoints[id]
 	if e == nil {
-		e = &endpoint{id: id, zone: zone, runs: map[work.TaskID]*task{}}
+		e = &endpoint{id: id, dataCentre: dataCentre, runs: map[work.TaskID]*task{}}
 		p.endpoints[id] = e
 	}
 	e.attached = true
-	e.zone = zone
+	e.dataCentre = dataCentre
 	open := make([]work.RunID, 0, len(e.runs))
 	for _, t := range e.runs {
-		t.orphaned = t.orphaned || fresh
+		t.orphaned = t.orphaned || newGuard
 		if t.orphaned {
 			continue
 		}
 		open = append(open, t.run())
 		if t.stopping {
-			// The order may have been lost with the older session.
-			p.stop(t, t.stopWhy)
+			// The stop order may have been lost with the earlier session.
+			p.stop(t, t.stopReason)
 		}
 	}
-	if fresh {
+	if newGuard {
 		e.open = false
 	}
 	return open
 }
 
-// clear takes note that the runs of an endpoint's older guards are over.
-func (p *Planner) clear(e *endpoint) {
+// closeOrphans closes the runs that an endpoint's earlier guards were given.
+func (p *Planner) closeOrphans(e *endpoint) {
 	for _, t := range e.runs {
 		if !t.orphaned {
 			continue
 		}
-		// Whether it ran is not known: its guard's account is gone.
-		t.job.ran = true
-		p.over(t)
-		p.again(t)
+		// Whether it ran is unknown: its guard's records are lost.
+		t.job.mayHaveRun = true
+		p.closeRun(t)
+		p.requeueTask(t)
 	}
 }
 
-// Detach takes note that an endpoint's guard can't be reached. Its runs stay
-// open: they may go on.
+// Detach marks an endpoint whose guard cannot be reached. Its runs stay open, as they may
+// still be in progress.
 func (p *Planner) Detach(id string) {
 	if e := p.endpoints[id]; e != nil {
 		e.attached = false
 	}
 }
 
-// Release drops an endpoint whose guard serves other entries from now on. It returns
-// false while runs are open there or it takes starts.
+// Release removes an endpoint whose guard serves other entries from now on. It returns false
+// while runs are open there or it accepts starts.
 func (p *Planner) Release(id string) bool {
 	e := p.endpoints[id]
 	if e == nil {
@@ -113,7 +113,8 @@
 	return p.Forget(id)
 }
 
-// Forget drops an endpoint that has no runs. It returns false when it has.
+// Forget removes a detached endpoint without open runs. It returns false if it has open runs
+// or is attached.
 func (p *Planner) Forget(id string) bool {
 	e := p.endpoints[id]
 	if e == nil {
@@ -122,38 +123,38 @@
 	if len(e.runs) > 0 || e.attached {
 		return false
 	}
-	p.move(e, nil)
+	p.setService(e, nil)
 	delete(p.endpoints, id)
 	return true
 }
 
-// Describe takes what an endpoint's guard says of it.
+// Describe updates an endpoint from its guard's report.
 func (p *Planner) Describe(now time.Duration, id string, r Room) {
 	e := p.endpoints[id]
 	if e == nil {
 		return
 	}
 	if r.Cleared {
-		p.clear(e)
+		p.closeOrphans(e)
 	}
 	if r.Service != "" {
-		p.move(e, p.service(r.Service))
+		p.setService(e, p.service(r.Service))
 	}
 	if r.Runner != e.runner {
 		e.health = health{}
-		e.most = work.Amounts{}
+		e.maxTotal = work.Amounts{}
 	}
-	e.told = now
+	e.reportedAt = now
 	e.runner = r.Runner
 	e.open = r.Open
 	e.total = r.Total
-	e.most = e.most.Max(r.Total)
+	e.maxTotal = e.maxTotal.Max(r.Total)
 	e.used = r.Used
 	e.labels = r.Labels
 }
 
-// move puts an endpoint into another service.
-func (p *Planner) move(e *endpoint, to *service) {
+// setService assigns an endpoint to another service, or to none for nil.
+func (p *Planner) setService(e *endpoint, to *service) {
 	if e.service == to {
 		return
 	}
@@ -166,7 +167,7 @@
 	}
 }
 
-// Reachable counts the endpoints that take starts.
+// Reachable counts the endpoints that accept starts.
 func (p *Planner) Reachable() int {
 	n := 0
 	for _, e := range p.endpoints {
@@ -177,27 +178,27 @@
 	return n
 }
 
-// State of an endpoint, for metrics.
+// State is the state of an endpoint, for metrics.
 type State string
 
-// States.
+// Values of State.
 const (
 	// Taking: it gets starts.
 	Taking State = "taking"
-	// Closed: its guard takes no starts.
+	// Closed: its guard accepts no starts.
 	Closed State = "closed"
-	// SetAside: its runs go wrong; it gets a single task now and then.
+	// SetAside: it is ejected because its runs fail; a single task is tried there now and then.
 	SetAside State = "set_aside"
-	// Silent: a start there has been left without a word.
+	// Silent: a start order there is overdue for an answer.
 	Silent State = "silent"
-	// Detached: its guard can't be reached.
+	// Detached: its guard cannot be reached.
 	Detached State = "detached"
 )
 
-// States returns every state.
+// States returns all values of State.
 func States() []State { return []State{Taking, Closed, SetAside, Silent, Detached} }
 
-// Endpoints counts the endpoints by state; every state is there.
+// Endpoints counts the endpoints by state; every state is in the result.
 func (p *Planner) Endpoints(now time.Duration) map[State]int {
 	n := map[State]int{}
 	for _, s := range States() {
@@ -217,14 +218,14 @@
 		return Closed
 	case e.unanswered(now):
 		return Silent
-	case e.health.aside:
+	case e.health.ejected:
 		return SetAside
 	default:
 		return Taking
 	}
 }
 
-// fit of a job to a service's endpoints.
+// fit tells whether the endpoints of a service could ever run a job.
 type fit int
 
 const (
@@ -233,19 +234,20 @@
 	tooLarge
 )
 
-// fits reports whether some endpoint could ever run each step. What a runner had before it
-// shrank counts: a task too large for what is left may still be served in time.
+// fits reports whether for each step there is an endpoint that could ever run it. The capacity
+// that a runner had before it shrank counts: a task too large for what is left may still be
+// served in time.
 func (s *service) fits(j *job) fit {
 	known := 0
 	for _, step := range j.work.Steps {
 		found := false
 		known = 0
 		for _, e := range s.endpoints {
-			if e.most == (work.Amounts{}) {
+			if e.maxTotal == (work.Amounts{}) {
 				continue
 			}
 			known++
-			if step.Need.Fits(e.most) && e.labelled(step.Label) {
+			if step.Need.Fits(e.maxTotal) && e.hasLabel(step.Label) {
 				found = true
 				break
 			}
@@ -260,6 +262,6 @@
 	return fitsSome
 }
 
-func (e *endpoint) labelled(label string) bool {
+func (e *endpoint) hasLabel(label string) bool {
 	return label == "" || slices.Contains(e.labels, label)
 }
--- a/dispatch/planner/health.go
+++ b/dispatch/planner/health.go
@@ -2,107 +2,110 @@
 
 import "time"
 
-// Limits of an endpoint's standing.
+// Limits of outlier ejection and of the slow tier.
 const (
-	// badStreak of runs that went wrong with none done between sets an endpoint
-	// aside: three in a row are one in 125 where a fifth of the runs goes wrong.
-	badStreak = 3
-	// badRate of the runs going wrong sets it aside too, when it is a multiple of
-	// what its peers see; below, retries elsewhere cost less than its room.
-	badRate   = 0.3
-	badFactor = 3
-	// rateShare is the weight of a new run in the rates: the last seven or so.
-	rateShare = 0.15
-	// firstPause and lastPause bound how long an endpoint set aside gets nothing;
-	// then one task at a time tells how it does.
-	firstPause = 700 * time.Millisecond
-	lastPause  = 4 * time.Second
-	// slowPace times its peers' run times makes an endpoint the last choice.
-	slowPace = 1.7
-	// answerIn is how long a guard may leave a start unanswered before nothing
-	// more is sent to it; its own limit on the runner's answer is 150 ms, and it
-	// tells of a begin 80 ms later at most.
-	answerIn = 320 * time.Millisecond
+	// ejectionStreak is the number of failed runs, with no successful one between, that ejects
+	// an endpoint: three in a row happen once in 125 where a fifth of the runs fails.
+	ejectionStreak = 3
+	// ejectionFailureRate is the failure rate that also ejects an endpoint if it is
+	// ejectionPeerFactor times that of its service; below that, retries elsewhere cost less
+	// than losing its capacity.
+	ejectionFailureRate = 0.3
+	ejectionPeerFactor  = 3
+	// endpointAverageWeight is the weight of a new run in the endpoint's averages, which thus
+	// cover the last seven or so.
+	endpointAverageWeight = 0.15
+	// minEjectionTime and maxEjectionTime are the bounds of the time for which an ejected
+	// endpoint gets nothing; after it one task at a time is tried there.
+	minEjectionTime = 700 * time.Millisecond
+	maxEjectionTime = 4 * time.Second
+	// slowRatio is the ratio of run times to its peers' from which an endpoint is used last.
+	slowRatio = 1.7
+	// startAnswerTimeout is how long a guard may leave a start order unanswered before nothing
+	// more is sent to it. Its own limit for the runner's answer is 150 ms, and it reports a
+	// started run at most 80 ms later.
+	startAnswerTimeout = 320 * time.Millisecond
 )
 
-// health is how an endpoint does.
+// health tracks failures and run times of an endpoint, for outlier ejection.
 type health struct {
-	streak int
-	// wrong is the share of runs that went wrong, pace the run times against
-	// what was expected.
-	wrong float64
-	pace  float64
-	pause time.Duration
-	// until is when an endpoint set aside gets its next task.
-	until time.Duration
-	aside bool
+	failureStreak int
+	// failureRate is the share of failed runs, meanRatio the mean ratio of actual to expected
+	// run times.
+	failureRate  float64
+	meanRatio    float64
+	ejectionTime time.Duration
+	// ejectedUntil is when an ejected endpoint gets its next task.
+	ejectedUntil time.Duration
+	ejected      bool
 }
 
-// speed is the endpoint's run times against the expected.
-func (h *health) speed() float64 {
-	if h.pace == 0 {
+// runTimeRatio returns the ratio of the endpoint's run times to the expected ones, 1 before
+// the first run.
+func (h *health) runTimeRatio() float64 {
+	if h.meanRatio == 0 {
 		return 1
 	}
-	return h.pace
+	return h.meanRatio
 }
 
-// good takes note of a run that was done.
-func (h *health) good(ratio float64) {
-	h.streak = 0
-	h.wrong += rateShare * (0 - h.wrong)
-	if h.pace == 0 {
-		h.pace = 1
+// recordSuccess records a successful run.
+func (h *health) recordSuccess(ratio float64) {
+	h.failureStreak = 0
+	h.failureRate += endpointAverageWeight * (0 - h.failureRate)
+	if h.meanRatio == 0 {
+		h.meanRatio = 1
 	}
-	h.pace += rateShare * (min(ratio, 10) - h.pace)
-	if h.aside {
-		h.aside = false
-		h.wrong = min(h.wrong, badRate/2)
+	h.meanRatio += endpointAverageWeight * (min(ratio, 10) - h.meanRatio)
+	if h.ejected {
+		h.ejected = false
+		h.failureRate = min(h.failureRate, ejectionFailureRate/2)
 	}
-	h.pause = 0
+	h.ejectionTime = 0
 }
 
-// bad takes note of a run that went wrong.
-func (h *health) bad(now time.Duration, peers float64) {
-	h.streak++
-	h.wrong += rateShare * (1 - h.wrong)
-	if h.streak < badStreak && (h.wrong < badRate || h.wrong < badFactor*peers) && !h.aside {
+// recordFailure records a failed run; serviceFailureRate is the failure rate of the service.
+func (h *health) recordFailure(now time.Duration, serviceFailureRate float64) {
+	h.failureStreak++
+	h.failureRate += endpointAverageWeight * (1 - h.failureRate)
+	if h.failureStreak < ejectionStreak && (h.failureRate < ejectionFailureRate || h.failureRate < ejectionPeerFactor*serviceFailureRate) && !h.ejected {
 		return
 	}
-	h.aside = true
-	h.pause = min(max(2*h.pause, firstPause), lastPause)
-	h.until = now + h.pause
+	h.ejected = true
+	h.ejectionTime = min(max(2*h.ejectionTime, minEjectionTime), maxEjectionTime)
+	h.ejectedUntil = now + h.ejectionTime
 }
 
-// standing of an endpoint for one placement, the lower the better.
-type standing int
+// tier is the preference tier of an endpoint for a placement; lower is better.
+type tier int
 
 const (
-	steady standing = iota
-	slow
-	// probe: set aside, but due one task.
-	probe
-	unusable
+	tierNormal tier = iota
+	tierSlow
+	// tierProbe: ejected, but due for a single trial task.
+	tierProbe
+	tierUnusable
 )
 
-func (e *endpoint) standing(now time.Duration, s *service) standing {
+func (e *endpoint) tier(now time.Duration, s *service) tier {
 	switch {
 	case !e.attached || !e.open || e.unanswered(now):
-		return unusable
-	case e.health.aside && (now < e.health.until || len(e.runs) > 0):
-		return unusable
-	case e.health.aside:
-		return probe
-	case e.health.speed() > slowPace*s.pace:
-		return slow
+		return tierUnusable
+	case e.health.ejected && (now < e.health.ejectedUntil || len(e.runs) > 0):
+		return tierUnusable
+	case e.health.ejected:
+		return tierProbe
+	case e.health.runTimeRatio() > slowRatio*s.meanRatio:
+		return tierSlow
 	default:
-		return steady
+		return tierNormal
 	}
 }
 
-// unanswered reports whether a start has been left without any word for too long.
+// unanswered reports whether a start order has gone without any answer for too long.
 func (e *endpoint) unanswered(now time.Duration) bool {
 	for _, t := range e.runs {
-		if t.running == 0 && !t.orphaned && now-t.ordered > answerIn {
+		if t.running == 0 && !t.orphaned && now-t.ordered > startAnswerTimeout {
 			return true
 		}
 	}
--- a/dispatch/planner/job.go
+++ b/dispatch/planner/job.go
@@ -7,36 +7,38 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// job is one submission.
+// job is one submitted job.
 type job struct {
 	work    work.Job
 	terms   Terms
 	service *service
 	tasks   []*task
-	// arrived and deadline bound the caller's wait.
+	// arrived is the time of submission, deadline the end of the caller's wait.
 	arrived, deadline time.Duration
-	// startBy is the latest start for an answer in the time wanted, keepUntil the
-	// latest for one that is of any use.
+	// startBy is the latest start that meets the response-time target, keepUntil the latest
+	// start for an answer that is of any use.
 	startBy, keepUntil time.Duration
-	// expected is the run time of a task, by step.
+	// expected is the expected run time of a task, by step.
 	expected []time.Duration
-	// least is the least time that a task takes, by step, and leastChain that of the
-	// longest chain of steps.
-	least      []time.Duration
-	leastChain time.Duration
-	// retest is true until the first run of a job that was taken against learnt run times.
+	// minRunTimes is the minimum run time of a task, by step, and minCriticalPath that of the
+	// critical path of steps.
+	minRunTimes     []time.Duration
+	minCriticalPath time.Duration
+	// retest is true for a job accepted against the learnt run times, until its first run is
+	// done.
 	retest bool
-	// begun is true once a start was ordered, ran once one has begun.
-	begun, ran bool
-	firstStart time.Duration
-	outcome    Outcome
-	// left counts the tasks that are not done, by step.
-	left []int
+	// started is true once a start order was sent, mayHaveRun once a run may have started.
+	// started goes back to false if no start led to a run.
+	started, mayHaveRun bool
+	firstStart          time.Duration
+	outcome             Outcome
+	// unfinished counts the unfinished tasks, by step.
+	unfinished []int
 	// queued is true while the job is in one of its service's lists.
 	queued bool
-	// typical is the mean run time of the tasks that are done.
-	typical time.Duration
-	done    int
+	// meanRunTime is the mean run time of the finished tasks.
+	meanRunTime time.Duration
+	doneTasks   int
 }
 
 // task is one task of a job.
@@ -45,26 +47,26 @@
 	step, index int
 	attempt     int
 	failures    int
-	// crashes counts the runners that have crashed under the task, newest those of them at
-	// which it had begun last.
-	crashes, newest int
-	// suspect is true while the open run is one of a task with crashes.
+	// crashes counts the runners that crashed while running the task, newestCrashes those of
+	// them on which it had started last.
+	crashes, newestCrashes int
+	// suspect is true while the open run is of a task with crashes.
 	suspect bool
-	// tooLong counts the runs that were stopped because they took too long.
-	tooLong int
-	done    bool
-	// endpoint holds the open run, nil when there is none.
+	// overruns counts the runs that were stopped for taking too long.
+	overruns int
+	done     bool
+	// endpoint is where the open run is; nil if there is none.
 	endpoint *endpoint
-	// ordered and running are when the start was sent and when the guard said
-	// that it runs; running is zero before.
+	// ordered is when the start order was sent, running when the run started by its guard's
+	// report; running is zero before that report.
 	ordered, running time.Duration
-	// stopping is true once the open run is to be stopped, and stopWhy the reason.
-	stopping bool
-	stopWhy  Why
-	// orphaned is true when the guard that was given the open run is gone, and its
-	// successor has not cleared the runner.
+	// stopping is true once the stop of the open run was ordered, and stopReason is the reason.
+	stopping   bool
+	stopReason Why
+	// orphaned is true when the guard that got the open run is gone and its successor has not
+	// cleared the runner yet.
 	orphaned bool
-	// avoid is where the last run went wrong.
+	// avoid is the endpoint where the last run failed or was refused.
 	avoid *endpoint
 }
 
@@ -77,9 +79,9 @@
 func (t *task) run() work.RunID { return work.RunID{Task: t.id(), Attempt: t.attempt} }
 
 func newJob(now, deadline time.Duration, w work.Job, t Terms) *job {
-	j := &job{work: w, terms: t, arrived: now, deadline: deadline, left: make([]int, len(w.Steps))}
+	j := &job{work: w, terms: t, arrived: now, deadline: deadline, unfinished: make([]int, len(w.Steps))}
 	for s, step := range w.Steps {
-		j.left[s] = step.Count
+		j.unfinished[s] = step.Count
 		for i := range step.Count {
 			j.tasks = append(j.tasks, &task{job: j, step: s, index: i})
 		}
@@ -87,77 +89,78 @@
 	return j
 }
 
-// predict works out by when the job must start.
+// predict computes the latest start times of the job.
 func (j *job) predict(e *estimate) {
 	ends := make([]time.Duration, len(j.work.Steps))
-	leastEnds := make([]time.Duration, len(j.work.Steps))
-	var chain time.Duration
+	minEnds := make([]time.Duration, len(j.work.Steps))
+	var criticalPath time.Duration
 	for s, step := range j.work.Steps {
-		run := e.expect(step.Declared)
-		least := e.least(step.Declared)
+		run := e.expectedRunTime(step.Declared)
+		least := e.minRunTime(step.Declared)
 		j.expected = append(j.expected, run)
-		j.least = append(j.least, least)
+		j.minRunTimes = append(j.minRunTimes, least)
 		for _, a := range step.After {
 			ends[s] = max(ends[s], ends[a])
-			leastEnds[s] = max(leastEnds[s], leastEnds[a])
+			minEnds[s] = max(minEnds[s], minEnds[a])
 		}
 		ends[s] += run
-		chain = max(chain, ends[s])
-		leastEnds[s] += least
-		j.leastChain = max(j.leastChain, leastEnds[s])
+		criticalPath = max(criticalPath, ends[s])
+		minEnds[s] += least
+		j.minCriticalPath = max(j.minCriticalPath, minEnds[s])
 	}
-	longest := time.Duration(float64(chain) * unevenFactor)
-	wanted := time.Duration(float64(chain)*j.terms.Stretch) + j.terms.Allowance
+	longest := time.Duration(float64(criticalPath) * maxToMeanRunTime)
+	target := time.Duration(float64(criticalPath)*j.terms.Stretch) + j.terms.Allowance
 	end := j.deadline - answerMargin
-	margin := min(startMargin, max(wanted-longest, 0)/slackPart)
-	j.startBy = min(j.arrived+wanted, end) - longest - margin
-	j.keepUntil = min(j.arrived+lateFactor*wanted, end) - longest - margin
-	// A caller with hardly any time is served only if there is room at once.
+	margin := min(startMargin, max(target-longest, 0)/startMarginDivisor)
+	j.startBy = min(j.arrived+target, end) - longest - margin
+	j.keepUntil = min(j.arrived+lateFactor*target, end) - longest - margin
+	// A job with hardly any time is served only if there is capacity at once.
 	j.startBy = max(j.startBy, j.arrived+time.Millisecond)
 	j.keepUntil = max(j.keepUntil, j.startBy)
 }
 
-// retestRunTimes has the job started whatever was learnt of its run times.
+// retestRunTimes lets the job start regardless of the learnt run times.
 func (j *job) retestRunTimes() {
 	j.retest = true
-	clear(j.least)
-	j.leastChain = 0
+	clear(j.minRunTimes)
+	j.minCriticalPath = 0
 }
 
-// lastStart is the latest start of work that takes at least so long and is done while
-// the caller waits.
-func (j *job) lastStart(least time.Duration) time.Duration {
+// latestStart is the latest start of work that takes at least the given time and ends before the
+// caller's deadline.
+func (j *job) latestStart(least time.Duration) time.Duration {
 	return j.deadline - answerMargin - least
 }
 
-// lastUseful is the latest start of what waits that can still make the job complete.
-func (j *job) lastUseful() time.Duration {
+// latestUsefulStart is the latest start of the waiting tasks with which the job can still
+// complete.
+func (j *job) latestUsefulStart() time.Duration {
 	last := j.deadline
 	for _, t := range j.tasks {
-		if t.waits() {
-			last = min(last, j.lastStart(j.least[t.step]))
+		if t.startable() {
+			last = min(last, j.latestStart(j.minRunTimes[t.step]))
 		}
 	}
 	return last
 }
 
-// eligible reports whether the step's predecessors are done.
+// eligible reports whether the steps that the step depends on are done.
 func (j *job) eligible(step int) bool {
 	for _, a := range j.work.Steps[step].After {
-		if j.left[a] > 0 {
+		if j.unfinished[a] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// waits reports whether the task may start now.
-func (t *task) waits() bool { return !t.done && !t.open() && t.job.eligible(t.step) }
+// startable reports whether the task may start now.
+func (t *task) startable() bool { return !t.done && !t.open() && t.job.eligible(t.step) }
 
-// wanting reports whether any task may start now.
-func (j *job) wanting() bool { return slices.ContainsFunc(j.tasks, (*task).waits) }
+// hasStartable reports whether any task may start now.
+func (j *job) hasStartable() bool { return slices.ContainsFunc(j.tasks, (*task).startable) }
 
-// coreTime is the work left, in thousandths of a core times seconds.
+// coreTime is the work not yet started, in thousandths of a core times seconds.
 func (j *job) coreTime() float64 {
 	var sum float64
 	for _, t := range j.tasks {
@@ -168,10 +171,10 @@
 	return sum
 }
 
-// waitingWork is the work of what waits, core-seconds.
+// waitingWork is the work of the waiting tasks, in core-seconds.
 func (s *service) waitingWork() float64 {
 	sum := 0.0
-	for _, list := range [][]*job{s.begun, s.fresh} {
+	for _, list := range [][]*job{s.started, s.unstarted} {
 		for _, j := range list {
 			sum += j.coreTime()
 		}
@@ -179,25 +182,25 @@
 	return sum / milli
 }
 
-func (s *service) addFresh(j *job) {
-	at := sortIndex(s.fresh, func(o *job) bool {
+func (s *service) addUnstarted(j *job) {
+	at := sortIndex(s.unstarted, func(o *job) bool {
 		if o.startBy != j.startBy {
 			return o.startBy > j.startBy
 		}
 		return o.terms.Urgency > j.terms.Urgency
 	})
-	s.fresh = slices.Insert(s.fresh, at, j)
+	s.unstarted = slices.Insert(s.unstarted, at, j)
 	j.queued = true
 }
 
-func (s *service) addBegun(j *job) {
-	at := sortIndex(s.begun, func(o *job) bool {
+func (s *service) addStarted(j *job) {
+	at := sortIndex(s.started, func(o *job) bool {
 		if o.terms.Urgency != j.terms.Urgency {
 			return o.terms.Urgency > j.terms.Urgency
 		}
 		return o.arrived > j.arrived
 	})
-	s.begun = slices.Insert(s.begun, at, j)
+	s.started = slices.Insert(s.started, at, j)
 	j.queued = true
 }
 
@@ -207,17 +210,17 @@
 	}
 	j.queued = false
 	same := func(o *job) bool { return o == j }
-	s.begun = slices.DeleteFunc(s.begun, same)
-	s.fresh = slices.DeleteFunc(s.fresh, same)
+	s.started = slices.DeleteFunc(s.started, same)
+	s.unstarted = slices.DeleteFunc(s.unstarted, same)
 }
 
-// wanted is what the tasks that wait need, thousandths of a core.
-func (s *service) wanted() int64 {
+// waitingDemand is the CPU that the waiting tasks need, in thousandths of a core.
+func (s *service) waitingDemand() int64 {
 	var sum int64
-	for _, list := range [][]*job{s.begun, s.fresh} {
+	for _, list := range [][]*job{s.started, s.unstarted} {
 		for _, j := range list {
 			for _, t := range j.tasks {
-				if t.waits() {
+				if t.startable() {
 					sum += j.work.Steps[t.step].Need.CPUMilli
 				}
 			}
@@ -226,39 +229,39 @@
 	return sum
 }
 
-// promote moves a job of which only some tasks have started to those that have
-// begun: it may not be refused any more.
+// promote moves a job of which some tasks have started to the list of started jobs: it must
+// not be refused any more.
 func (s *service) promote(j *job) {
-	if j.begun {
+	if j.started {
 		s.remove(j)
-		s.addBegun(j)
+		s.addStarted(j)
 	}
 }
 
-// requeue puts a job with tasks that may start into the right list.
+// requeue adds a job with startable tasks to the list where it belongs.
 func (s *service) requeue(j *job) {
-	if j.outcome != 0 || j.queued || !j.wanting() {
+	if j.outcome != 0 || j.queued || !j.hasStartable() {
 		return
 	}
-	if j.begun {
-		s.addBegun(j)
+	if j.started {
+		s.addStarted(j)
 	} else {
-		s.addFresh(j)
+		s.addUnstarted(j)
 	}
 }
 
-// nextDue is when the first waiting job's time is over.
+// nextDue is when the first waiting job runs out of time.
 func (s *service) nextDue(now time.Duration) time.Duration {
 	next := now + time.Second
-	for _, j := range s.fresh {
+	for _, j := range s.unstarted {
 		due := j.startBy + time.Millisecond
 		if now > j.startBy {
 			due = j.keepUntil
 		}
-		next = min(next, due, max(j.lastStart(j.leastChain), now)+time.Millisecond)
+		next = min(next, due, max(j.latestStart(j.minCriticalPath), now)+time.Millisecond)
 	}
-	for _, j := range s.begun {
-		next = min(next, max(j.lastUseful(), now)+time.Millisecond)
+	for _, j := range s.started {
+		next = min(next, max(j.latestUsefulStart(), now)+time.Millisecond)
 	}
 	return next
 }
--- a/dispatch/planner/overload_test.go
+++ b/dispatch/planner/overload_test.go
@@ -11,17 +11,18 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// flood submits a job each gap for a time, to runners whose runs take 60 ms, and
-// returns what ended, with the time from submission to it.
+// flood submits a job every gap for the given time, to runners whose runs take 60 ms. It
+// returns the jobs that ended, with the time from submission to the first start or the
+// outcome.
 func (f *fleet) flood(gap, length time.Duration) map[string]Ended {
 	ended := map[string]Ended{}
 	var open []Start
-	begun := map[Start]time.Duration{}
+	startedAt := map[Start]time.Duration{}
 	take := func(a Actions) {
 		for _, s := range a.Starts {
 			f.report(s, Running)
 			open = append(open, s)
-			begun[s] = f.now
+			startedAt[s] = f.now
 		}
 		for _, e := range a.Ended {
 			ended[e.Job] = e
@@ -32,7 +33,7 @@
 			take(f.submit(fmt.Sprint("job-", f.now), 1, 60*ms))
 		}
 		open = slices.DeleteFunc(open, func(s Start) bool {
-			if f.now-begun[s] < 60*ms {
+			if f.now-startedAt[s] < 60*ms {
 				return false
 			}
 			f.report(s, Done)
@@ -43,12 +44,12 @@
 	return ended
 }
 
-// Overload that lasts: a caller whose answer can't come in the time that its contract
-// wants learns so while others can still be served, and is told when to come back.
-// More than twice as much comes as can be done, for longer than a shortage by chance.
+// Under lasting overload a caller whose answer cannot meet the response-time target of its
+// contract is refused while others can still be served, and gets a time to retry. More than
+// twice as much work arrives as can be done, for longer than a shortage by chance lasts.
 func TestLateJobIsRefusedInOverload(t *testing.T) {
 	f := newFleet(t, 1)
-	f.flood(25*ms, shortest+400*ms)
+	f.flood(25*ms, minShortage+400*ms)
 	ended := f.flood(25*ms, 2*time.Second)
 	refused := 0
 	for _, e := range ended {
@@ -58,16 +59,15 @@
 		refused++
 		assert.Equal(t, e.Why, WhyOverload)
 		assert.Assert(t, e.RetryAfter >= time.Second)
-		assert.Assert(t, e.Waited < 100*ms, "%s was kept for %s in vain", e.Job, e.Waited)
+		assert.Assert(t, e.Waited < 100*ms, "%s waited %s before it was refused", e.Job, e.Waited)
 	}
 	assert.Assert(t, refused > 30, "%d refused", refused)
 }
 
-// A job can't be answered in the time wanted any more while a younger one, which can,
-// waits for the same place. Room is short for a moment only: refused, its caller would
-// have no answer at all. It is kept, goes behind the younger, and starts when there is
-// room again.
-func TestLateJobIsKeptThroughAMoment(t *testing.T) {
+// A job that can no longer meet its target waits for the same slot as a younger one that still
+// can. The shortage is brief: if it were refused, its caller would get no answer at all. It is
+// kept, goes after the younger one, and starts once there is capacity again.
+func TestLateJobIsKeptThroughABriefShortage(t *testing.T) {
 	f := newFleet(t, 1)
 	first := f.submit("first", 1, 60*ms)
 	f.report(first.Starts[0], Running)
@@ -87,44 +87,45 @@
 	assert.Equal(t, third.Starts[0].Run.Task.Job, "late")
 }
 
-// Everything has lost power. An entry is back and takes a job before a guard has
-// attached; 150 ms later, past the latest start for an answer in the time wanted, the
-// first does. Refused meanwhile, the caller would have had no answer at all.
-func TestYoungEntryWaitsForItsRunners(t *testing.T) {
+// After a power failure of the whole site an entry is back and accepts a job before any guard
+// has attached; the first one attaches 150 ms later, past the latest start that meets the
+// job's target. If the job were refused in the meantime, the caller would get no answer at
+// all.
+func TestStartingEntryWaitsForItsRunners(t *testing.T) {
 	f := newFleet(t)
 	f.submit("early", 1, 60*ms)
 	for range 15 {
 		assert.Equal(t, len(f.after(10*ms).Ended), 0)
 	}
 	f.Attach(f.id(0), "a", true)
-	f.room(0, 1, 0)
+	f.setCapacity(0, 1, 0)
 	a := f.act()
 	assert.Equal(t, len(a.Starts), 1)
 }
 
-// urgent submits a job of its own contract.
-func (f *fleet) urgent(id string, urgency int) {
+// submitPriority submits a job of a contract with the given priority.
+func (f *fleet) submitPriority(id string, priority int) {
 	w := work.Job{ID: id, Steps: []work.Step{{Count: 1, Need: work.Amounts{CPUMilli: 1000, MemoryMB: 64}, Declared: 60 * ms}}}
 	t := terms
-	t.Contract = fmt.Sprint("urgency-", urgency)
-	t.Urgency = urgency
+	t.Contract = fmt.Sprint("urgency-", priority)
+	t.Urgency = priority
 	f.Submit(f.now, f.now+1500*ms, w, t)
 }
 
-// Urgent and less urgent jobs wait for room. The urgent go first, though the others
-// have come before; but one turn in four goes by the latest start, so that a flood of
-// urgent ones can't shut the others out.
-func TestUrgentGoesFirstWithinBounds(t *testing.T) {
+// Jobs of high and low priority wait for capacity. Those of high priority go first although
+// they arrived later; but one job in four is chosen by its latest start time, so that a flood
+// of high-priority jobs cannot starve the others.
+func TestHighPriorityGoesFirstWithinBounds(t *testing.T) {
 	f := newFleet(t, 1)
 	open := f.submit("first", 1, 60*ms).Starts[0]
 	f.report(open, Running)
 	for n := range 8 {
-		f.urgent(fmt.Sprint("slow-", n), 2)
+		f.submitPriority(fmt.Sprint("slow-", n), 2)
 	}
 	f.after(ms)
 	var order []string
 	for n := range 8 {
-		f.urgent(fmt.Sprint("fast-", n), 0)
+		f.submitPriority(fmt.Sprint("fast-", n), 0)
 		f.report(open, Done)
 		a := f.after(ms)
 		assert.Equal(t, len(a.Starts), 1)
--- a/dispatch/planner/place.go
+++ b/dispatch/planner/place.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	// samples is how many endpoints with room are compared for a placement. With
-	// two, the fullest of many is rarely hit; more make entries that know the same
-	// pick the same.
-	samples = 3
-	// tries bounds the random picks before all endpoints are looked through.
-	tries = 8
-	// shareOfRoom is the part, one in so many, of the room believed free that one
-	// message takes: the others know of the same room. All of it has a third more
-	// orders turned down on a calm day (replay, two seeds).
-	shareOfRoom = 2
-	// misses bounds the needs that found no room in a round and are remembered: a
-	// task that needs as much as one of them isn't tried.
-	misses = 6
+	// sampleSize is how many endpoints with free capacity are compared for a placement. With
+	// two, the fullest of many endpoints is rarely picked; with more, entries that know the
+	// same pick the same endpoint.
+	sampleSize = 3
+	// maxRandomPicks limits the random picks before all endpoints are searched.
+	maxRandomPicks = 8
+	// capacityShareDivisor limits what one message takes to an endpoint's free capacity divided
+	// by it: other entries know of the same free capacity. Taking all of it has a third more
+	// orders refused on a calm day (replay, two seeds).
+	capacityShareDivisor = 2
+	// maxMissedNeeds limits the needs that are remembered in one round because no endpoint had
+	// capacity for them: a task that needs at least as much as one of them is not tried.
+	maxMissedNeeds = 6
 )
 
-// place starts what fits. A task that needs less than one that found no room may
-// still fit beside what runs, so the jobs behind are tried too.
+// place starts the tasks that fit. A task that needs less than one for which there is no
+// capacity may still fit beside the running ones, so the jobs after it are tried too.
 func (p *Planner) place(now time.Duration, s *service) {
 	var missed []work.Step
 	for _, j := range s.order(now) {
-		if len(missed) >= misses {
+		if len(missed) >= maxMissedNeeds {
 			return
 		}
-		fresh := !j.begun
+		unstarted := !j.started
 		missed = p.placeJob(now, j, missed)
-		if fresh && j.begun {
-			s.turn++
+		if unstarted && j.started {
+			s.startedJobs++
 		}
 	}
 }
 
-// plainTurn, one in so many, of the jobs begins in the order of the latest starts,
-// whatever its urgency: a contract whose load alone fills the runners can't shut the
-// others out.
-const plainTurn = 4
+// latestStartInterval is the number of jobs of which one is chosen by its latest start time,
+// regardless of its priority: a contract whose load alone fills the runners must
+// not starve the others.
+const latestStartInterval = 4
 
-// order is the one in which waiting jobs are tried: begun ones, then by urgency those
-// that can be answered in the time wanted, then those that can't any more.
+// order returns the waiting jobs in the order in which they are tried: started ones, then
+// those that can still meet their response-time target, by priority, then those that cannot.
 func (s *service) order(now time.Duration) []*job {
-	late := sortIndex(s.fresh, func(j *job) bool { return j.startBy >= now })
-	inTime := slices.Clone(s.fresh[late:])
-	if s.turn%plainTurn != plainTurn-1 {
+	late := sortIndex(s.unstarted, func(j *job) bool { return j.startBy >= now })
+	inTime := slices.Clone(s.unstarted[late:])
+	if s.startedJobs%latestStartInterval != latestStartInterval-1 {
 		slices.SortStableFunc(inTime, func(a, b *job) int { return a.terms.Urgency - b.terms.Urgency })
 	}
-	return slices.Concat(s.begun, inTime, s.fresh[:late])
+	return slices.Concat(s.started, inTime, s.unstarted[:late])
 }
 
-// placeJob starts the tasks of a job that fit. It returns the steps that found
-// no room in this round.
+// placeJob starts the tasks of a job that fit. It returns missed with the steps added for
+// which there was no capacity.
 func (p *Planner) placeJob(now time.Duration, j *job, missed []work.Step) []work.Step {
 	all := true
 	for number, step := range j.work.Steps {
 		if !j.eligible(number) {
 			continue
 		}
-		if hopeless(step, missed) {
+		if cannotFit(step, missed) {
 			all = false
 			continue
 		}
 		switch p.placeStep(now, j, number) {
-		case noRoom:
+		case noCapacity:
 			all = false
 			missed = append(missed, step)
-		case held:
+		case suspectWaits:
 			all = false
 		}
 	}
@@ -83,8 +83,9 @@
 	return missed
 }
 
-// hopeless reports whether a step needs at least what has found no room.
-func hopeless(step work.Step, missed []work.Step) bool {
+// cannotFit reports whether a step needs at least as much as one for which there was no
+// capacity.
+func cannotFit(step work.Step, missed []work.Step) bool {
 	for _, m := range missed {
 		if m.Need.Fits(step.Need) && m.Label == step.Label && m.MaxPerRunner == 0 {
 			return true
@@ -93,31 +94,31 @@
 	return false
 }
 
-// placed is what became of the tasks of a step that may start.
-type placed int
+// placeResult is the result for the startable tasks of a step.
+type placeResult int
 
 const (
-	allPlaced placed = iota
-	noRoom
-	// held: a task that may crash its runner waits for one where no other such runs; tasks
-	// that need as much may find room.
-	held
+	allPlaced placeResult = iota
+	noCapacity
+	// suspectWaits: a task suspected of crashing its runner waits for a runner without another
+	// suspect; tasks that need as much may still find capacity.
+	suspectWaits
 )
 
-func (p *Planner) placeStep(now time.Duration, j *job, step int) placed {
+func (p *Planner) placeStep(now time.Duration, j *job, step int) placeResult {
 	var waiting []*task
 	for _, t := range j.tasks {
-		if t.step == step && t.waits() {
+		if t.step == step && t.startable() {
 			waiting = append(waiting, t)
 		}
 	}
 	for len(waiting) > 0 {
-		e, n := p.pick(now, j, step, alike(waiting), waiting[0])
+		e, n := p.pick(now, j, step, placedTogether(waiting), waiting[0])
 		if e == nil && waiting[0].crashes > 0 {
-			return held
+			return suspectWaits
 		}
 		if e == nil {
-			return noRoom
+			return noCapacity
 		}
 		for _, t := range waiting[:n] {
 			p.start(now, t, e)
@@ -127,8 +128,8 @@
 	return allPlaced
 }
 
-// pick returns the endpoint for the next tasks of a step, of which first is one, and how
-// many it takes.
+// pick returns the endpoint for the next tasks of a step, of which first is one, and the
+// number of tasks to start there.
 func (p *Planner) pick(now time.Duration, j *job, step, want int, first *task) (*endpoint, int) {
 	s := j.service
 	var best *endpoint
@@ -139,7 +140,7 @@
 		if first.crashes > 0 {
 			sc = sc.forSuspect(e)
 		}
-		if sc.takes == 0 {
+		if sc.tasks == 0 {
 			return
 		}
 		found++
@@ -149,89 +150,91 @@
 		}
 	}
 	n := len(s.endpoints)
-	if n > tries {
-		for range tries {
-			if found >= samples {
+	if n > maxRandomPicks {
+		for range maxRandomPicks {
+			if found >= sampleSize {
 				break
 			}
 			consider(s.endpoints[p.random.IntN(n)])
 		}
 	}
-	if best == nil || bestScore.standing > steady || bestScore.avoided {
+	if best == nil || bestScore.tier > tierNormal || bestScore.avoided {
 		for i, at := 0, p.random.IntN(max(n, 1)); i < n; i++ {
 			consider(s.endpoints[(at+i)%n])
 		}
 	}
-	return best, bestScore.takes
+	return best, bestScore.tasks
 }
 
-// score of an endpoint for the next tasks of a step.
+// score rates an endpoint for the next tasks of a step.
 type score struct {
-	// takes is the number of tasks that fit, 0 for none.
-	takes    int
-	standing standing
-	avoided  bool
-	// far is true when the step's data is in another rack.
-	far bool
-	// left is the share of its processors that stays free.
-	left float64
-	here bool
+	// tasks is the number of tasks that fit, 0 for none.
+	tasks   int
+	tier    tier
+	avoided bool
+	// remoteRack is true when the step's data is in another rack.
+	remoteRack bool
+	// freeShare is the free share of the endpoint's CPU before the tasks are placed,
+	// sameDataCentre whether it is in this entry's data centre.
+	freeShare      float64
+	sameDataCentre bool
 }
 
 func (s score) better(o score) bool {
 	switch {
 	case s.avoided != o.avoided:
 		return !s.avoided
-	case s.standing != o.standing:
-		return s.standing < o.standing
-	case s.far != o.far:
-		return !s.far
-	case s.takes != o.takes:
-		// Fewer runners for a job: fewer that can spoil it, and fewer messages.
-		return s.takes > o.takes
-	case s.here != o.here:
-		return s.here
+	case s.tier != o.tier:
+		return s.tier < o.tier
+	case s.remoteRack != o.remoteRack:
+		return !s.remoteRack
+	case s.tasks != o.tasks:
+		// Fewer runners for a job mean fewer whose fault can delay it, and fewer messages.
+		return s.tasks > o.tasks
+	case s.sameDataCentre != o.sameDataCentre:
+		return s.sameDataCentre
 	default:
-		return s.left > o.left
+		return s.freeShare > o.freeShare
 	}
 }
 
 func (p *Planner) score(now time.Duration, j *job, step, want int, e *endpoint) score {
-	st := e.standing(now, j.service)
+	st := e.tier(now, j.service)
 	spec := j.work.Steps[step]
-	if st == unusable || !e.labelled(spec.Label) {
+	if st == tierUnusable || !e.hasLabel(spec.Label) {
 		return score{}
 	}
 	free := e.free()
-	takes := (spec.Need.Times(free, shareOfRoom*want) + shareOfRoom - 1) / shareOfRoom
-	if st == probe {
-		takes = min(takes, 1)
+	tasks := (spec.Need.Times(free, capacityShareDivisor*want) + capacityShareDivisor - 1) / capacityShareDivisor
+	if st == tierProbe {
+		tasks = min(tasks, 1)
 	}
 	if spec.MaxPerRunner > 0 {
-		takes = min(takes, spec.MaxPerRunner-e.holds(j, step))
+		tasks = min(tasks, spec.MaxPerRunner-e.openRuns(j, step))
 	}
-	if takes <= 0 {
+	if tasks <= 0 {
 		return score{}
 	}
-	if st == slow && !j.canWait(now, step, e) {
+	if st == tierSlow && !j.canWait(now, step, e) {
 		return score{}
 	}
-	left := 0.0
+	freeShare := 0.0
 	if e.total.CPUMilli > 0 {
-		left = float64(free.CPUMilli) / float64(e.total.CPUMilli)
+		freeShare = float64(free.CPUMilli) / float64(e.total.CPUMilli)
 	}
-	far := spec.DataRack != "" && !slices.Contains(e.labels, spec.DataRack)
-	return score{takes: takes, standing: st, far: far, left: left, here: e.zone == p.opt.Zone}
+	remoteRack := spec.DataRack != "" && !slices.Contains(e.labels, spec.DataRack)
+	return score{tasks: tasks, tier: st, remoteRack: remoteRack, freeShare: freeShare, sameDataCentre: e.dataCentre == p.opt.Zone}
 }
 
-// canWait reports whether a slow endpoint would still be in time to be of use.
+// canWait reports whether a run at a slow endpoint would still end before the caller's
+// deadline.
 func (j *job) canWait(now time.Duration, step int, e *endpoint) bool {
-	run := time.Duration(float64(j.expected[step]) * e.health.speed())
+	run := time.Duration(float64(j.expected[step]) * e.health.runTimeRatio())
 	return now+run < j.deadline-answerMargin
 }
 
-// holds counts the runs of a step at an endpoint.
-func (e *endpoint) holds(j *job, step int) int {
+// openRuns counts the open runs of a step at an endpoint.
+func (e *endpoint) openRuns(j *job, step int) int {
 	n := 0
 	for _, t := range e.runs {
 		if t.job == j && t.step == step {
@@ -241,7 +244,7 @@
 	return n
 }
 
-// start orders a task at an endpoint.
+// start orders the start of a task at an endpoint.
 func (p *Planner) start(now time.Duration, t *task, e *endpoint) {
 	j := t.job
 	t.attempt++
@@ -258,9 +261,9 @@
 		t.suspect = true
 		e.suspects++
 	}
-	p.watchAt = min(p.watchAt, j.deadline-answerMargin)
-	if !j.begun {
-		j.begun = true
+	p.nextCheck = min(p.nextCheck, j.deadline-answerMargin)
+	if !j.started {
+		j.started = true
 		j.firstStart = now
 	}
 	p.out.Starts = append(p.out.Starts, Start{
@@ -270,6 +273,6 @@
 		Need:     need,
 		Life:     j.deadline - now,
 		Free:     free,
-		Age:      now - e.told,
+		Age:      now - e.reportedAt,
 	})
 }
--- a/dispatch/planner/planner.go
+++ b/dispatch/planner/planner.go
@@ -1,17 +1,17 @@
-// Package planner decides which task of which job starts where and when, and
-// which job is turned away. Endpoints are known by their capacity. It is one
-// state machine without a clock, input or output: every event comes with the
-// time at which it happened, and Act returns what is to be done.
+// Package planner decides which task of which job starts where and when, and which jobs are
+// rejected. It tracks endpoints by their capacity. It is a single state machine without a
+// clock, input or output: every event carries the time at which it happened, and Act returns
+// the actions to carry out.
 //
-// Load patterns it answers:
-//   - more work than room: the more urgent goes first, and a job that can't be
-//     answered in the time that its contract names is refused while its caller can
-//     still use the refusal, unless it is foreseen that room is short for a moment
-//     only: it is kept then, and served late behind those that can;
-//   - runners that fail, hang, crawl or leave orders unanswered: they are used
-//     last, or not at all for a while;
-//   - many entries that see the same free runner: each picks among a few at
-//     random, so that they don't all pick one.
+// It handles these load patterns:
+//   - more work than capacity: jobs of higher priority go first. A job that cannot be answered
+//     within the response-time target of its contract is refused while its caller can still make
+//     use of the refusal. If the forecast says that the shortage is brief, the job is kept instead
+//     and served late, after those that can still meet their target;
+//   - runners that fail, hang, run slowly or leave start orders unanswered: they are used last,
+//     or not at all for a while;
+//   - many entries that see the same free runner: each picks at random among a few, so that they
+//     do not all pick the same one.
 package planner
 
 import (
@@ -22,49 +22,50 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Options of a Planner. Zero values take the defaults.
+// Options configure a Planner. Zero values take the defaults.
 type Options struct {
-	// Zone of this entry.
+	// Zone is the data centre of this entry.
 	Zone string
-	// Seed of the choice among equal endpoints.
+	// Seed is the random seed for the choice between equal endpoints.
 	Seed uint64
 }
 
-// Limits on time. Each stands beside its reason.
+// Time limits.
 const (
-	// answerMargin is kept of the caller's time for the way back, some
-	// milliseconds, and a late timer.
+	// answerMargin is the part of the caller's time reserved for sending the answer, which
+	// takes some milliseconds, and for a timer that fires late.
 	answerMargin = 25 * time.Millisecond
-	// startMargin is the time from a start's decision to the run's begin and from
-	// its end to the answer: four messages of a millisecond, processors at half
-	// load, and at the worst load one or two guards that turn the order down. While
-	// narrow jobs burst, 3.4 % of the answers come late at 12 ms and 0.2 % at 35, and
-	// 2.7 % more come in time; nothing changes up to 50 (replay, two seeds).
+	// startMargin is the overhead of a run: the time from the decision to start it until it is
+	// running, and from its end to the answer. It covers four messages of a millisecond each,
+	// processors at half load and, at the worst load, one or two guards that refuse the order.
+	// With bursts of narrow jobs, 3.4 % of the answers are late at 12 ms and 0.2 % at 35 ms,
+	// and 2.7 % more are on time; up to 50 ms nothing changes (replay, two seeds).
 	startMargin = 35 * time.Millisecond
-	// slackPart, one in so many, of a job's slack is the most that startMargin takes:
-	// jobs that are wanted within some 50 ms would be turned away at once otherwise
-	// whenever another waits.
-	slackPart = 2
-	// lateFactor times the wanted time is the latest at which an answer is still
-	// worth something to the caller.
+	// startMarginDivisor limits the start margin to a job's slack divided by it. Without this
+	// limit, jobs with a target of some 50 ms would be refused at once whenever another job is
+	// waiting.
+	startMarginDivisor = 2
+	// lateFactor times the response-time target is the latest time at which an answer is still
+	// of use to the caller.
 	lateFactor = 3
-	// unevenFactor is how much longer the longest of a job's tasks runs than the
-	// mean: tasks of a job differ by some 15 %, and their mean is not known exactly.
-	// 1.15 gave 1 % fewer answers in time in bursts (replay, two seeds).
-	unevenFactor = 1.2
+	// maxToMeanRunTime is the ratio of the longest run time of a job's tasks to their mean:
+	// tasks of a job differ by some 15 %, and their mean is not known exactly. 1.15 gave 1 %
+	// fewer answers on time in bursts (replay, two seeds).
+	maxToMeanRunTime = 1.2
 )
 
-// youngFor is how long after its first event an entry counts on runners that it doesn't
+// startupGrace is how long after its first event an entry waits for runners that it does not
 // know yet: guards attach within some 0.1 s, and a runner is adopted with its next report,
-// 1.5 s apart. Rejected meanwhile, callers would have had an answer a moment later.
-const youngFor = 3 * time.Second
+// which come 1.5 s apart. Jobs refused during that time could have been answered a moment
+// later.
+const startupGrace = 3 * time.Second
 
-// young reports whether this entry has begun a moment ago.
-func (p *Planner) young(now time.Duration) bool {
-	if p.born == 0 {
-		p.born = now
+// inStartupGrace reports whether this entry's first event was less than startupGrace ago.
+func (p *Planner) inStartupGrace(now time.Duration) bool {
+	if p.firstEvent == 0 {
+		p.firstEvent = now
 	}
-	return now-p.born < youngFor
+	return now-p.firstEvent < startupGrace
 }
 
 // Planner is the state machine. It is not safe for concurrent use.
@@ -76,37 +77,38 @@
 	services  map[string]*service
 	estimates map[string]*estimate
 	out       Actions
-	// watchAt is when open jobs must be looked through next.
-	watchAt time.Duration
-	// born is when the first event came; zero before.
-	born time.Duration
-	// pausedUntil is until when nothing is started.
+	// nextCheck is when the started jobs must be checked next.
+	nextCheck time.Duration
+	// firstEvent is the time of the first event; zero before it.
+	firstEvent time.Duration
+	// pausedUntil is the time until which nothing is started.
 	pausedUntil time.Duration
-	// crashes are those of the last seconds, oldest first.
+	// crashes are the crashes of the last seconds, oldest first.
 	crashes     []*crash
 	crashCounts CrashCounts
 }
 
-// service is one service's endpoints and the jobs that wait for them.
+// service holds the endpoints of one service and the jobs waiting for them.
 type service struct {
 	name      string
 	endpoints []*endpoint
-	// begun are jobs with tasks that wait and others that have started, by
-	// urgency, then by arrival; fresh are jobs of which none has, by their latest start.
-	begun, fresh []*job
-	// waitedAt is when a task was last left waiting for room; zero for never.
-	waitedAt time.Duration
-	// wants is what the tasks that wait need, thousandths of a core.
-	wants int64
-	// turn counts the jobs that have begun.
-	turn int
-	// shortAt is since when tasks have waited for room.
-	shortAt time.Duration
-	// inflow is the work that arrives.
-	inflow inflow
-	// failRate is the share of runs that fail, all endpoints together.
-	failRate float64
-	pace     float64
+	// started holds jobs that have started tasks and have others waiting, by priority and then
+	// by arrival; unstarted holds jobs without a started task, by startBy.
+	started, unstarted []*job
+	// lastWaiting is when a task was last left waiting for capacity; zero for never.
+	lastWaiting time.Duration
+	// demand is the CPU that the waiting tasks need, in thousandths of a core.
+	demand int64
+	// startedJobs counts the jobs of which a task has been started.
+	startedJobs int
+	// shortSince is the time since which tasks have been waiting for capacity.
+	shortSince time.Duration
+	// arrivals is the rate at which work arrives.
+	arrivals arrivalRate
+	// failureRate is the share of runs that fail, over all endpoints, and meanRatio the mean
+	// ratio of actual to expected run times.
+	failureRate float64
+	meanRatio   float64
 }
 
 // New returns a planner without endpoints.
@@ -124,24 +126,24 @@
 func (p *Planner) service(name string) *service {
 	s := p.services[name]
 	if s == nil {
-		s = &service{name: name, pace: 1}
+		s = &service{name: name, meanRatio: 1}
 		p.services[name] = s
 	}
 	return s
 }
 
-// Outlook is what is foreseen for a job when it is taken.
+// Outlook is the forecast for a job at its submission.
 type Outlook struct {
-	// StartIn is the time left for a start whose answer comes in the time wanted,
-	// KeepFor the time for which it may wait at all.
+	// StartIn is the time left for a start that meets the response-time target, KeepFor the
+	// longest time for which the job may wait at all.
 	StartIn, KeepFor time.Duration
-	// Expected is the run time of a task of the first step.
+	// Expected is the expected run time of a task of the first step.
 	Expected time.Duration
-	// Ahead counts the jobs that wait.
+	// Ahead counts the waiting jobs.
 	Ahead int
 }
 
-// Outlook returns what is foreseen for an open job.
+// Outlook returns the forecast for an open job.
 func (p *Planner) Outlook(id string) Outlook {
 	j := p.jobs[id]
 	if j == nil {
@@ -151,24 +153,24 @@
 		StartIn:  j.startBy - j.arrived,
 		KeepFor:  j.keepUntil - j.arrived,
 		Expected: j.expected[0],
-		Ahead:    len(j.service.fresh) + len(j.service.begun),
+		Ahead:    len(j.service.unstarted) + len(j.service.started),
 	}
 }
 
-// Verdict on a submission.
+// Verdict is the result of a submission.
 type Verdict int
 
-// Verdicts.
+// Values of Verdict.
 const (
-	// Taken: the job waits or runs.
+	// Taken: the job was accepted; it waits or runs.
 	Taken Verdict = iota + 1
-	// Known: a job of that id is open already; the caller joins it.
+	// Known: a job with this id is already open; the caller joins it.
 	Known
-	// Ending: a job of that id has ended and a run of it may still be going on.
+	// Ending: a job with this id has ended, and a run of it may still be in progress.
 	Ending
 )
 
-// Submit takes a job whose caller waits until the deadline.
+// Submit adds a job whose caller waits until the deadline.
 func (p *Planner) Submit(now, deadline time.Duration, w work.Job, t Terms) Verdict {
 	if j := p.jobs[w.ID]; j != nil {
 		if j.outcome != 0 {
@@ -180,49 +182,49 @@
 	j.service = p.service(t.Service)
 	estimate := p.estimate(t.Contract)
 	j.predict(estimate)
-	if now > j.lastStart(j.leastChain) && estimate.retestDue(now) {
+	if now > j.latestStart(j.minCriticalPath) && estimate.retestDue(now) {
 		j.retestRunTimes()
 	}
 	p.jobs[w.ID] = j
-	j.service.inflow.add(now, j.coreTime()/milli)
+	j.service.arrivals.add(now, j.coreTime()/milli)
 	switch fit := j.service.fits(j); {
 	case fit == noEndpoint:
-		if !p.young(now) {
+		if !p.inStartupGrace(now) {
 			j.keepUntil = j.startBy
 		}
-		j.service.addFresh(j)
+		j.service.addUnstarted(j)
 	case fit == tooLarge:
 		p.end(now, j, Failed, WhyTooLarge)
 	default:
-		j.service.addFresh(j)
+		j.service.addUnstarted(j)
 	}
 	return Taken
 }
 
-// Cancel ends a job whose caller no longer waits.
+// Cancel ends a job whose caller stopped waiting.
 func (p *Planner) Cancel(now time.Duration, id string) {
 	if j := p.jobs[id]; j != nil && j.outcome == 0 {
 		p.end(now, j, Cancelled, WhyCallerGone)
 	}
 }
 
-// Counts of open jobs.
+// Counts are the numbers of open jobs.
 type Counts struct {
-	// Waiting jobs have started nothing.
+	// Waiting counts the jobs without a started task.
 	Waiting int
 	Running int
-	// Oldest is how long the oldest of the waiting jobs has waited; zero for none.
+	// Oldest is how long the oldest waiting job has waited; zero if there is none.
 	Oldest time.Duration
 }
 
-// Count returns the open jobs of a contract, or of all for "".
+// Count returns the number of open jobs of a contract, or of all contracts for "".
 func (p *Planner) Count(now time.Duration, contract string) Counts {
 	var c Counts
 	for _, j := range p.jobs {
 		if j.outcome != 0 || contract != "" && j.terms.Contract != contract {
 			continue
 		}
-		if j.begun {
+		if j.started {
 			c.Running++
 		} else {
 			c.Waiting++
@@ -232,21 +234,21 @@
 	return c
 }
 
-// State of a job as callers read it: known is false when there is none.
-func (p *Planner) State(id string) (outcome Outcome, begun, known bool) {
+// State returns the state of a job as callers see it: known is false if there is no such job.
+func (p *Planner) State(id string) (outcome Outcome, started, known bool) {
 	j := p.jobs[id]
 	if j == nil {
 		return 0, false, false
 	}
-	return j.outcome, j.begun, true
+	return j.outcome, j.started, true
 }
 
-// end gives a job its outcome, and stops what runs.
+// end sets the outcome of a job and stops its open runs.
 func (p *Planner) end(now time.Duration, j *job, o Outcome, why Why) {
 	j.outcome = o
 	j.service.remove(j)
 	waited := now - j.arrived
-	if j.begun {
+	if j.started {
 		waited = j.firstStart - j.arrived
 	}
 	ended := Ended{Job: j.work.ID, Outcome: o, Why: why, Waited: waited}
@@ -262,13 +264,13 @@
 	p.settle(j)
 }
 
-// stop has a task's open run stopped.
+// stop orders the stop of a task's open run.
 func (p *Planner) stop(t *task, why Why) {
-	t.stopping, t.stopWhy = true, why
+	t.stopping, t.stopReason = true, why
 	p.out.Stops = append(p.out.Stops, Stop{t.endpoint.id, t.run(), why})
 }
 
-// settle forgets a job that has ended and whose runs are over.
+// settle removes a job that has ended once all its runs are over.
 func (p *Planner) settle(j *job) {
 	if j.outcome == 0 {
 		return
@@ -284,73 +286,73 @@
 	}
 }
 
-// Bounds of the time after which a refused caller may come back.
+// Bounds of RetryAfter for refused jobs.
 const (
-	leastRetryAfter = time.Second
-	mostRetryAfter  = 8 * time.Second
+	minRetryAfter = time.Second
+	maxRetryAfter = 8 * time.Second
 )
 
-// retryAfter is the time in which what waits will have drained, spread so that
-// those who are refused together don't come back as one wave.
+// retryAfter is the time in which the waiting work will have drained, with random jitter so
+// that callers refused together do not retry all at once.
 func (p *Planner) retryAfter(s *service) time.Duration {
-	queued, room := s.waitingWork(), 0.0
+	queued, capacity := s.waitingWork(), 0.0
 	for _, e := range s.endpoints {
-		room += float64(e.total.CPUMilli) / milli
+		capacity += float64(e.total.CPUMilli) / milli
 	}
-	drain := leastRetryAfter
-	if room > 0 {
-		drain += time.Duration(queued / room * float64(time.Second))
+	drain := minRetryAfter
+	if capacity > 0 {
+		drain += time.Duration(queued / capacity * float64(time.Second))
 	}
 	drain = time.Duration(float64(drain) * (1 + p.random.Float64()))
-	return min(drain, mostRetryAfter)
+	return min(drain, maxRetryAfter)
 }
 
-// Pause has nothing started until the time given; everything else goes on.
+// Pause holds back all starts until the given time; everything else goes on.
 func (p *Planner) Pause(until time.Duration) { p.pausedUntil = until }
 
-// Act returns what is to be done, and when to be asked again at the latest.
+// Act returns the actions to carry out now, and the latest time of the next call.
 func (p *Planner) Act(now time.Duration) (Actions, time.Duration) {
 	next := now + time.Second
-	// An entry is young from its first event on, also when no job comes with it.
-	p.young(now)
+	// The startup time counts from the first event, also when that event brings no job.
+	p.inStartupGrace(now)
 	for _, s := range p.services {
-		p.weed(now, s)
+		p.endOverdue(now, s)
 		if now >= p.pausedUntil {
 			p.place(now, s)
 		} else {
 			next = min(next, p.pausedUntil)
 		}
-		p.noteWaiting(now, s)
+		p.updateWaiting(now, s)
 		next = min(next, s.nextDue(now))
 	}
-	if now >= p.watchAt {
-		p.watchAt = p.watch(now)
+	if now >= p.nextCheck {
+		p.nextCheck = p.checkStarted(now)
 	}
-	next = min(next, p.watchAt)
+	next = min(next, p.nextCheck)
 	out := p.out
 	p.out = Actions{}
 	return out, next
 }
 
-// weed ends jobs that wait and whose time is over, or too short for what is left.
-func (p *Planner) weed(now time.Duration, s *service) {
-	var outlook prospect
+// endOverdue ends waiting jobs whose time is over, or too short for the work left.
+func (p *Planner) endOverdue(now time.Duration, s *service) {
+	var waitingForecast forecast
 	waiting := 0.0
-	if len(s.fresh) > 0 && now > s.fresh[0].startBy {
-		outlook, waiting = s.prospect(now), s.waitingWork()
+	if len(s.unstarted) > 0 && now > s.unstarted[0].startBy {
+		waitingForecast, waiting = s.forecast(now), s.waitingWork()
 	}
-	for _, j := range append([]*job(nil), s.fresh...) {
+	for _, j := range append([]*job(nil), s.unstarted...) {
 		switch {
-		case now > j.lastStart(j.leastChain):
+		case now > j.latestStart(j.minCriticalPath):
 			p.end(now, j, Refused, WhyTooLittleTime)
 		case now >= j.keepUntil:
 			p.refuse(now, j)
-		case now > j.startBy && !outlook.clears(waiting, j.keepUntil-now):
+		case now > j.startBy && !waitingForecast.drainsWithin(waiting, j.keepUntil-now):
 			p.refuse(now, j)
 		}
 	}
-	for _, j := range append([]*job(nil), s.begun...) {
-		if now > j.lastUseful() {
+	for _, j := range append([]*job(nil), s.started...) {
+		if now > j.latestUsefulStart() {
 			p.end(now, j, Expired, WhyTooLittleTime)
 		}
 	}
@@ -364,12 +366,12 @@
 	p.end(now, j, Refused, why)
 }
 
-// watch ends jobs whose caller's time is over, and runs that take too long. It
-// returns when it must look again.
-func (p *Planner) watch(now time.Duration) time.Duration {
+// checkStarted ends started jobs whose caller's deadline is due, and stops runs that take too
+// long. It returns the time of the next check.
+func (p *Planner) checkStarted(now time.Duration) time.Duration {
 	next := now + time.Second
 	for _, j := range p.jobs {
-		if j.outcome != 0 || !j.begun {
+		if j.outcome != 0 || !j.started {
 			continue
 		}
 		if now >= j.deadline-answerMargin {
@@ -382,12 +384,12 @@
 			p.end(now, j, Expired, why)
 			continue
 		}
-		next = min(next, j.deadline-answerMargin, p.watchRuns(now, j))
+		next = min(next, j.deadline-answerMargin, p.stopLongRuns(now, j))
 	}
 	return next
 }
 
-// sortIndex returns where to insert by the key.
+// sortIndex returns the first position for which the function is true.
 func sortIndex(list []*job, less func(*job) bool) int {
 	return sort.Search(len(list), func(i int) bool { return less(list[i]) })
 }
--- a/dispatch/planner/planner_test.go
+++ b/dispatch/planner/planner_test.go
@@ -17,27 +17,27 @@
 	core  = work.Amounts{CPUMilli: 1000, MemoryMB: 64}
 )
 
-// fleet is a planner with endpoints that have room for the tasks given.
+// fleet is a planner with endpoints that have capacity for the given numbers of tasks.
 type fleet struct {
 	*Planner
 	t   *testing.T
 	now time.Duration
-	// lives counts the lives of runners after a crash.
-	lives int
+	// incarnations counts the runner incarnations after crashes.
+	incarnations int
 }
 
-func newFleet(t *testing.T, room ...int) *fleet {
+func newFleet(t *testing.T, capacity ...int) *fleet {
 	f := &fleet{Planner: New(Options{Zone: "a"}), t: t, now: time.Second}
-	for i, n := range room {
+	for i, n := range capacity {
 		f.Attach(f.id(i), "a", true)
-		f.room(i, n, 0)
+		f.setCapacity(i, n, 0)
 	}
 	return f
 }
 
 func (f *fleet) id(i int) string { return fmt.Sprintf("g%d", i) }
 
-func (f *fleet) room(i, total, used int) {
+func (f *fleet) setCapacity(i, total, used int) {
 	scale := func(n int) work.Amounts { return work.Amounts{CPUMilli: int64(n) * 1000, MemoryMB: int64(n) * 64} }
 	f.Describe(f.now, f.id(i), Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Open: true, Total: scale(total), Used: scale(used)})
 }
@@ -62,9 +62,9 @@
 	f.Report(f.now, s.Endpoint, s.Run, c, 0)
 }
 
-// The caller reads "not run" though a task of its job runs. A job of four finds
-// room for two; the others wait past the latest useful start. A job of which a
-// task may have started must never be refused.
+// A caller is told "not run" although a task of its job is running. There is capacity for two
+// of a job's four tasks; the others wait past the latest useful start. A job of which a task
+// may have started must never be refused.
 func TestJobWithAStartIsNotRefused(t *testing.T) {
 	f := newFleet(t, 2)
 	a := f.submit("wide", 4, 60*ms)
@@ -76,9 +76,8 @@
 	}
 }
 
-// A task runs twice. Its guard dies and a successor attaches at once; the run
-// goes on at the runner until the successor has ended it. Until then the task
-// must not start elsewhere.
+// A task runs twice: its guard dies and a successor attaches at once, while the run goes on at
+// the runner until the successor has ended it. Until then the task must not start elsewhere.
 func TestRunsOfAnOlderGuardAreOverOnlyWhenCleared(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	a := f.submit("j", 1, 60*ms)
@@ -93,8 +92,8 @@
 	assert.Equal(t, len(f.after(20*ms).Starts), 1)
 }
 
-// Nobody else waits: a job that would be late is still served, for as long as a
-// late answer is of use.
+// A job that would be late is still served if no other job is waiting, for as long as a late
+// answer is of use.
 func TestLateJobIsServedWhenAlone(t *testing.T) {
 	f := newFleet(t, 1)
 	first := f.submit("first", 1, 60*ms)
@@ -107,8 +106,8 @@
 	assert.Equal(t, len(a.Starts), 1)
 }
 
-// A job that no runner can ever hold is failed at once; while no runner is known
-// it waits for one, and is refused.
+// A job that no runner can ever hold fails at once; while no runner is known it waits for one,
+// and is then refused.
 func TestJobThatFitsNoRunner(t *testing.T) {
 	f := newFleet(t, 2)
 	w := work.Job{ID: "huge", Steps: []work.Step{{Count: 1, Need: work.Amounts{CPUMilli: 64000}}}}
@@ -117,16 +116,16 @@
 	assert.Equal(t, a.Ended[0].Why, WhyTooLarge)
 	empty := newFleet(t)
 	empty.act()
-	empty.now += youngFor
+	empty.now += startupGrace
 	assert.Equal(t, len(empty.submit("j", 1, 60*ms).Ended), 0)
 	a = empty.after(200 * ms)
 	assert.Equal(t, a.Ended[0].Outcome, Refused)
 	assert.Equal(t, a.Ended[0].Why, WhyNoRunner)
 }
 
-// A runner fails all that it starts, and looks free all the time: it would draw
-// most of the work. It gets nothing for a while, then one task.
-func TestFailingRunnerIsSetAside(t *testing.T) {
+// A runner that fails everything it starts always looks free and would attract most of the
+// work. It gets nothing for a while, then a single task.
+func TestFailingRunnerIsEjected(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	failed := 0
 	for i := range 40 {
@@ -145,12 +144,11 @@
 			f.report(s, Done)
 		}
 	}
-	assert.Assert(t, failed <= badStreak+1, "%d runs failed there", failed)
+	assert.Assert(t, failed <= ejectionStreak+1, "%d runs failed there", failed)
 }
 
-// Tasks at one runner stand still, though it accepts orders. A run that takes
-// far longer than it should is stopped, and started elsewhere only once it is
-// known to be over.
+// Tasks on one runner hang, although it accepts orders. A run that takes far longer than
+// expected is stopped, and started elsewhere only once it is known to be over.
 func TestHangingRunIsMoved(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	s := f.submit("j", 1, 60*ms).Starts[0]
@@ -170,8 +168,8 @@
 	assert.Equal(t, again[0].Run.Attempt, 2)
 }
 
-// A guard can't be reached. Its run may go on, so the task starts nowhere else;
-// when the caller's time is over the answer says that it may have run.
+// A guard cannot be reached. Its run may go on, so the task is started nowhere else; when the
+// caller's time is over the answer says that it may have run.
 func TestRunOfAnUnreachableGuardStaysOpen(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	s := f.submit("j", 1, 60*ms).Starts[0]
@@ -189,8 +187,8 @@
 	t.Fatal("the caller got no answer")
 }
 
-// A job is submitted again while a run of its cancelled predecessor may go on:
-// it must wait for that run's end.
+// A job is submitted again while a run of the cancelled job of the same id may still be in
+// progress: it must wait for the end of that run.
 func TestSameJobWaitsForItsPredecessor(t *testing.T) {
 	f := newFleet(t, 4)
 	s := f.submit("j", 1, 60*ms).Starts[0]
@@ -204,8 +202,7 @@
 	assert.Equal(t, f.Submit(f.now, f.now+time.Second, work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core}}}, terms), Taken)
 }
 
-// Steps come one after the other, with the label and the number for each runner
-// that they ask for.
+// Steps run one after the other, with the label and the limit per runner that they ask for.
 func TestStepsInOrder(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	total := work.Amounts{CPUMilli: 4000, MemoryMB: 256}
@@ -230,9 +227,9 @@
 	assert.Equal(t, second[0].Endpoint, "g1")
 }
 
-// A guard tells of the end of a short run without having told of its begin. What it
-// says of the run time counts: without it, run times would be learnt as nothing, and
-// every other endpoint taken for slow.
+// A guard reports the end of a short run without having reported its start. The run time in
+// its report counts: otherwise run times would be learnt as zero, and every other endpoint
+// would look slow.
 func TestRunTimeIsTheGuards(t *testing.T) {
 	f := newFleet(t, 1)
 	start := f.submit("j", 1, 100*ms).Starts[0]
@@ -240,9 +237,9 @@
 	assert.Equal(t, f.Report(f.now, start.Endpoint, start.Run, Done, 60*ms), 60*ms)
 }
 
-// The news of a begin comes with the time since: a run that hangs is stopped as
-// early as if it had come at once.
-func TestBeginCountsFromItsTime(t *testing.T) {
+// The report that a run started carries the time since its start: a run that hangs is stopped
+// as early as if the report had come at once.
+func TestRunTimeCountsFromReportedStart(t *testing.T) {
 	f := newFleet(t, 1)
 	start := f.submit("j", 1, 100*ms).Starts[0]
 	f.now += 80 * ms
@@ -251,7 +248,7 @@
 	assert.Equal(t, f.Report(f.now, start.Endpoint, start.Run, Done, 0), 90*ms)
 }
 
-// An operator sees how many runners take work, and why the others don't.
+// Operators see how many runners accept work, and why the others do not.
 func TestEndpointsAreCountedByState(t *testing.T) {
 	f := newFleet(t, 1, 1, 1)
 	f.Describe(f.now, f.id(0), Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}})
@@ -259,16 +256,16 @@
 	assert.DeepEqual(t, f.Endpoints(f.now), map[State]int{Taking: 1, Closed: 1, SetAside: 0, Silent: 0, Detached: 1})
 	start := f.submit("j", 1, 60*ms).Starts[0]
 	assert.Equal(t, start.Endpoint, f.id(2))
-	f.now += answerIn + ms
+	f.now += startAnswerTimeout + ms
 	assert.Equal(t, f.Endpoints(f.now)[Silent], 1)
-	for range badStreak {
-		f.endpoints[f.id(2)].health.bad(f.now, 0)
+	for range ejectionStreak {
+		f.endpoints[f.id(2)].health.recordFailure(f.now, 0)
 	}
 	f.report(start, Running)
 	assert.Equal(t, f.Endpoints(f.now)[SetAside], 1)
 }
 
-// The oldest job that waits tells how long the queue is.
+// The age of the oldest waiting job is reported.
 func TestOldestWaitingJob(t *testing.T) {
 	f := newFleet(t, 1)
 	f.submit("runs", 1, 900*ms)
@@ -277,8 +274,8 @@
 	assert.DeepEqual(t, f.Count(f.now, ""), Counts{Waiting: 1, Running: 1, Oldest: 30 * ms})
 }
 
-// Answers are wanted within 30 ms. The margin for messages must not take all of the
-// time for which such a job may wait: it would be turned away whenever another waits.
+// Jobs with a response-time target of 30 ms: the margin for messages must not take all of the
+// time for which such a job may wait, or it would be refused whenever another one is waiting.
 func TestShortJobsMayWait(t *testing.T) {
 	f := newFleet(t, 1)
 	f.submit("runs", 1, 900*ms)
@@ -292,13 +289,12 @@
 	assert.Equal(t, len(f.after(8*ms).Ended), 0)
 }
 
-// A task simply takes four times what was expected. Stopped and started again
-// elsewhere with the same patience it would never end, at one runner after the other,
-// and each of these would be taken for bad. The next run gets twice the time, and only
-// the first runner is blamed.
+// A task simply takes four times as long as expected. If each run were stopped at the same
+// limit, the task would never end, and each runner it was tried on would be considered bad.
+// The second run gets twice the time, and only the first runner is blamed.
 func TestLongTaskIsNotStoppedAgainAndAgain(t *testing.T) {
 	f := newFleet(t, 1, 1, 1)
-	limit := time.Duration(hangFactor*60)*ms + hangMargin
+	limit := time.Duration(runTimeLimitFactor*60)*ms + runTimeLimitMargin
 	var took time.Duration
 	start := f.submit("long", 1, 60*ms).Starts[0]
 	f.report(start, Running)
@@ -306,7 +302,7 @@
 		a := f.after(limit + 10*ms)
 		took += limit + 10*ms
 		if len(a.Stops) == 0 {
-			assert.Equal(t, stops, 1, "the second run is left alone for twice the time")
+			assert.Equal(t, stops, 1, "the second run gets twice the time")
 			break
 		}
 		assert.Equal(t, a.Stops[0].Why, WhyTooLong)
@@ -316,16 +312,16 @@
 	}
 	blamed := 0
 	for _, e := range f.endpoints {
-		blamed += e.health.streak
+		blamed += e.health.failureStreak
 	}
 	assert.Equal(t, blamed, 1)
 }
 
-// A caller has 100 ms left for work that takes 300: it is refused at once, not started
-// and told at the end of its time that tasks may have run.
+// A caller has 100 ms left for work that takes 300 ms: it is refused at once, instead of being
+// told at its deadline that tasks may have run.
 func TestTooLittleTimeIsRefusedAtOnce(t *testing.T) {
 	f := newFleet(t, 4)
-	f.learn(300 * ms)
+	f.learnRunTime(300 * ms)
 	w := work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core, Declared: 300 * ms}}}
 	assert.Equal(t, f.Submit(f.now, f.now+100*ms, w, terms), Taken)
 	a := f.act()
@@ -336,17 +332,18 @@
 	assert.Assert(t, a.Ended[0].RetryAfter > 0)
 }
 
-// learn has a task run, so that the contract's run times are known.
-func (f *fleet) learn(run time.Duration) {
+// learnRunTime runs one task, so that the run times of the contract are known.
+func (f *fleet) learnRunTime(run time.Duration) {
 	start := f.submit("before", 1, run).Starts[0]
 	f.now += run
 	f.Report(f.now, start.Endpoint, start.Run, Done, run)
 	f.act()
 }
 
-// Callers declare sixty times what their tasks take. Refused for want of time, none
-// would ever run and show better: the first runs, and its run time counts from then on.
-func TestWrongDeclarationIsTried(t *testing.T) {
+// Callers declare sixty times what their tasks take. If they were refused for lack of time,
+// nothing would ever run and correct this: the first job runs, and its run time counts from
+// then on.
+func TestWrongDeclarationIsCorrected(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, id := range []string{"first", "second"} {
 		starts := f.submit(id, 1, 6*time.Second).Starts
@@ -357,11 +354,11 @@
 	}
 }
 
-// A run has gone wrong and the time left is too short for another. The caller is told
-// at once, and the job's other tasks give their room back.
-func TestJobThatCannotMakeItEndsAtOnce(t *testing.T) {
+// A run fails and the time left is too short for another one. The caller is told at once, and
+// the job's other tasks free their capacity.
+func TestJobThatCannotCompleteInTimeEndsAtOnce(t *testing.T) {
 	f := newFleet(t, 2)
-	f.learn(600 * ms)
+	f.learnRunTime(600 * ms)
 	a := f.submit("j", 2, 600*ms)
 	assert.Equal(t, len(a.Starts), 2)
 	f.report(a.Starts[0], Running)
--- a/dispatch/planner/release_test.go
+++ b/dispatch/planner/release_test.go
@@ -9,9 +9,9 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// A caller waits for a job to its deadline and gets no answer: its guard left this entry
-// while a task of the job ran, and nothing is reported of it any more. An endpoint is
-// released only once it takes no starts and no run is left there.
+// A caller waits for a job until its deadline and gets no answer, because its guard left this
+// entry while a task of the job was running and nothing more is reported about it. So an
+// endpoint is released only once it accepts no starts and no run is left there.
 func TestEndpointIsReleasedOnceItsRunsAreOver(t *testing.T) {
 	f := newFleet(t, 4)
 	start := f.submit("job", 1, 60*ms).Starts[0]
@@ -22,6 +22,6 @@
 	f.report(start, Done)
 	assert.Equal(t, f.act().Ended[0].Outcome, Completed)
 	assert.Assert(t, f.Release(f.id(0)))
-	assert.Equal(t, f.Endpoints(f.now)[Detached], 0, "it is gone, not only out of reach")
+	assert.Equal(t, f.Endpoints(f.now)[Detached], 0, "it is removed, not only detached")
 	assert.Assert(t, f.Release(f.id(0)), "again")
 }
--- a/dispatch/planner/report.go
+++ b/dispatch/planner/report.go
@@ -6,36 +6,36 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Change of a run, as its guard reports it.
+// Change is a change in the state of a run, as its guard reports it.
 type Change int
 
-// Changes.
+// Values of Change.
 const (
 	Running Change = iota + 1
 	Done
 	TaskFailed
-	// Stopped: over before its work was done.
+	// Stopped: ended before its work was done.
 	Stopped
-	// NoRoom: never started, the endpoint is full.
+	// NoRoom: never started, the endpoint was full.
 	NoRoom
-	// NotTaken: never started, for a reason that says nothing of the runner.
+	// NotTaken: never started, for a reason that does not reflect on the runner.
 	NotTaken
 	// Unknown: the guard has no such run. It never started, unless it ended longer ago than
-	// the guard keeps.
+	// guards keep the ends of runs.
 	Unknown
-	// NotStarted: never started, the runner turned it down or left it unanswered.
+	// NotStarted: never started, the runner refused it or did not answer.
 	NotStarted
-	// Crashed: its runner crashed under it; see Crash.
+	// Crashed: its runner crashed while running it; see Crash.
 	Crashed
 )
 
-// endsKept is how long a guard is sure to keep the end of a run: a run that it doesn't know of
-// has not ended there in that time.
-const endsKept = 9 * time.Second
+// minEndRetention is the minimum time for which a guard keeps the end of a run: a run that it
+// does not know has not ended there within that time.
+const minEndRetention = 9 * time.Second
 
-// Report takes what a guard reports of a run, and returns how long it ran. ran is
-// what the guard says of that, zero when it says nothing: the times of its messages
-// stand for it then.
+// Report handles a guard's report on a run, and returns how long the run lasted. ran is the
+// run time that the guard reported; if it is zero, the run time is taken from the arrival
+// times of the guard's messages.
 func (p *Planner) Report(now time.Duration, id string, run work.RunID, c Change, ran time.Duration) time.Duration {
 	e := p.endpoints[id]
 	if e == nil {
@@ -46,63 +46,63 @@
 		return 0
 	}
 	if c == Running {
-		p.began(now, t, now-ran)
+		p.recordRunning(now, t, now-ran)
 		return 0
 	}
 	if ran == 0 && t.running > 0 {
 		ran = now - t.running
 	}
 	stopping := t.stopping
-	p.over(t)
+	p.closeRun(t)
 	switch c {
 	case Done:
-		p.done(now, t, e, ran)
+		p.recordDone(now, t, e, ran)
 	case TaskFailed:
-		t.job.ran = true
+		t.job.mayHaveRun = true
 		t.failures++
 		t.avoid = e
-		e.health.bad(now, e.service.failRate)
-		p.rate(e.service, 1)
+		e.health.recordFailure(now, e.service.failureRate)
+		p.updateFailureRate(e.service, 1)
 		if t.failures >= t.job.terms.MaxAttempts && t.job.outcome == 0 {
 			p.end(now, t.job, Failed, WhyTaskFailed)
 		}
 	case Stopped, Crashed:
-		t.job.ran = true
+		t.job.mayHaveRun = true
 		if !stopping {
-			e.health.bad(now, e.service.failRate)
+			e.health.recordFailure(now, e.service.failureRate)
 		}
 		t.avoid = e
 	case NotStarted:
 		if !stopping {
-			e.health.bad(now, e.service.failRate)
+			e.health.recordFailure(now, e.service.failureRate)
 		}
 		t.avoid = e
 	case NoRoom, NotTaken:
 		t.avoid = e
 	case Unknown:
-		t.job.ran = t.job.ran || now-t.ordered >= endsKept
+		t.job.mayHaveRun = t.job.mayHaveRun || now-t.ordered >= minEndRetention
 		t.avoid = e
 	}
-	p.again(t)
+	p.requeueTask(t)
 	return ran
 }
 
-// began takes note, now, that a run has begun at an earlier time.
-func (p *Planner) began(now time.Duration, t *task, at time.Duration) {
+// recordRunning records, at now, that a run started at an earlier time.
+func (p *Planner) recordRunning(now time.Duration, t *task, at time.Duration) {
 	if t.running > 0 {
 		return
 	}
 	t.running = max(at, t.ordered)
-	t.job.ran = true
-	p.watchAt = min(p.watchAt, max(now, t.running+t.limit()))
+	t.job.mayHaveRun = true
+	p.nextCheck = min(p.nextCheck, max(now, t.running+t.runTimeLimit()))
 	need := t.job.work.Steps[t.step].Need
 	t.endpoint.ordered = t.endpoint.ordered.Sub(need)
-	// The guard's word on what is taken may come later than this report.
+	// The guard's report of the used capacity may arrive after this one.
 	t.endpoint.used = t.endpoint.used.Add(need)
 }
 
-// over closes a task's run.
-func (p *Planner) over(t *task) {
+// closeRun closes a task's open run.
+func (p *Planner) closeRun(t *task) {
 	e := t.endpoint
 	need := t.job.work.Steps[t.step].Need
 	if t.running == 0 {
@@ -119,31 +119,31 @@
 	t.stopping = false
 }
 
-// done takes note of a task that is done.
-func (p *Planner) done(now time.Duration, t *task, e *endpoint, ran time.Duration) {
+// recordDone records that a task is done.
+func (p *Planner) recordDone(now time.Duration, t *task, e *endpoint, ran time.Duration) {
 	j := t.job
 	if !t.done {
 		t.done = true
-		j.left[t.step]--
-		j.typical += (ran - j.typical) / time.Duration(j.done+1)
-		j.done++
+		j.unfinished[t.step]--
+		j.meanRunTime += (ran - j.meanRunTime) / time.Duration(j.doneTasks+1)
+		j.doneTasks++
 	}
 	expected := j.expected[t.step]
 	ratio := float64(ran) / float64(max(expected, time.Millisecond))
-	e.health.good(ratio)
-	p.rate(e.service, 0)
-	e.service.pace += learnShare * (min(ratio, 4) - e.service.pace)
-	if e.health.speed() <= slowPace*e.service.pace {
-		// A slow runner's times say nothing of the tasks.
-		p.learn(now, j, ran, j.work.Steps[t.step].Declared)
+	e.health.recordSuccess(ratio)
+	p.updateFailureRate(e.service, 0)
+	e.service.meanRatio += averageWeight * (min(ratio, 4) - e.service.meanRatio)
+	if e.health.runTimeRatio() <= slowRatio*e.service.meanRatio {
+		// Run times on a slow runner do not reflect the tasks.
+		p.recordRunTime(now, j, ran, j.work.Steps[t.step].Declared)
 	}
 	if j.outcome != 0 {
 		return
 	}
-	if j.mostDone() {
-		p.watchAt = now
+	if j.peerRunTimesKnown() {
+		p.nextCheck = now
 	}
-	for _, left := range j.left {
+	for _, left := range j.unfinished {
 		if left > 0 {
 			j.service.requeue(j)
 			return
@@ -152,38 +152,39 @@
 	p.end(now, j, Completed, WhyDone)
 }
 
-// learn takes the run time of a task. The first of a retest replaces what was learnt.
-func (p *Planner) learn(now time.Duration, j *job, ran, declared time.Duration) {
+// recordRunTime adds the run time of a task to the contract's estimate. The first one of a
+// retest replaces what was learnt before.
+func (p *Planner) recordRunTime(now time.Duration, j *job, ran, declared time.Duration) {
 	e := p.estimate(j.terms.Contract)
 	if j.retest {
 		j.retest = false
-		e.forget()
+		e.reset()
 	}
 	e.learn(now, ran, declared)
 }
 
-func (p *Planner) rate(s *service, wrong float64) {
-	s.failRate += learnShare * (wrong - s.failRate)
+func (p *Planner) updateFailureRate(s *service, failed float64) {
+	s.failureRate += averageWeight * (failed - s.failureRate)
 }
 
-// again lets a task wait for another run, or lets its ended job go.
-func (p *Planner) again(t *task) {
+// requeueTask makes a task wait for another run, or settles its job if that has ended.
+func (p *Planner) requeueTask(t *task) {
 	j := t.job
 	if j.outcome != 0 {
 		p.settle(j)
 		return
 	}
-	if !t.done && j.allBack() {
-		// Nothing has ever run: the job may still be refused truthfully.
-		j.begun = false
+	if !t.done && j.neverRan() {
+		// No run has ever started, so the job may again be refused as not run.
+		j.started = false
 	}
 	j.service.remove(j)
 	j.service.requeue(j)
 }
 
-// allBack reports whether no task of the job has run or may be running.
-func (j *job) allBack() bool {
-	if j.ran {
+// neverRan reports whether no task of the job has run or may be running.
+func (j *job) neverRan() bool {
+	if j.mayHaveRun {
 		return false
 	}
 	for _, t := range j.tasks {
@@ -194,63 +195,68 @@
 	return true
 }
 
-// Limits of a run that takes too long.
+// Limits of the run time.
 const (
-	// hangFactor times the expected run time, and hangMargin more, with its peers
-	// unknown: run times of one contract differ by a factor of two.
-	hangFactor = 3
-	hangMargin = 60 * time.Millisecond
-	// strayFactor times the mean of the job's tasks that are done: tasks of one
-	// job differ by some 15 %.
-	strayFactor = 2
-	// mostDoublings keeps the doubled limit within its type; a caller waits some
+	// runTimeLimitFactor times the expected run time plus runTimeLimitMargin is the limit while
+	// the run times of the job's other tasks are unknown: run times of one contract differ by a
+	// factor of two.
+	runTimeLimitFactor = 3
+	runTimeLimitMargin = 60 * time.Millisecond
+	// peerLimitFactor applies instead to the mean of the job's finished tasks: tasks of one job
+	// differ by some 15 %.
+	peerLimitFactor = 2
+	// maxLimitDoublings keeps the doubled limit from overflowing; a caller waits only some
 	// seconds.
-	mostDoublings = 8
+	maxLimitDoublings = 8
 )
 
-// watchRuns stops runs that take far too long, if a run elsewhere would still
-// be in time. It returns when to look again.
-func (p *Planner) watchRuns(now time.Duration, j *job) time.Duration {
+// stopLongRuns stops runs that take far too long, if a run elsewhere would still end before the
+// caller's deadline. It returns the time of the next check.
+func (p *Planner) stopLongRuns(now time.Duration, j *job) time.Duration {
 	next := now + time.Second
 	for _, t := range j.tasks {
 		if !t.open() || t.running == 0 || t.stopping || !t.endpoint.attached {
 			continue
 		}
 		expected := j.expected[t.step]
-		if j.mostDone() {
-			expected = j.typical
+		if j.peerRunTimesKnown() {
+			expected = j.meanRunTime
 		}
-		due := t.running + t.limit()
+		due := t.running + t.runTimeLimit()
 		if now < due {
 			next = min(next, due)
 			continue
 		}
-		if now+expected+startMargin+stopTime > j.deadline-answerMargin || len(j.service.endpoints) < 2 {
+		if now+expected+startMargin+stopLatency > j.deadline-answerMargin || len(j.service.endpoints) < 2 {
 			continue
 		}
-		if t.tooLong == 0 {
-			// Too long a second time, at another endpoint, it is the task.
-			t.endpoint.health.bad(now, j.service.failRate)
+		if t.overruns == 0 {
+			// If a second run, at another endpoint, takes too long as well, the task is the
+			// cause.
+			t.endpoint.health.recordFailure(now, j.service.failureRate)
 		}
-		t.tooLong++
+		t.overruns++
 		p.stop(t, WhyTooLong)
 	}
 	return next
 }
 
-// mostDone reports whether the job's own tasks tell how long one runs.
-func (j *job) mostDone() bool { return len(j.work.Steps) == 1 && 2*j.done >= len(j.tasks) }
+// peerRunTimesKnown reports whether enough of the job's tasks have finished to tell how long
+// one runs.
+func (j *job) peerRunTimesKnown() bool {
+	return len(j.work.Steps) == 1 && 2*j.doneTasks >= len(j.tasks)
+}
 
-// limit is the run time above which a run is taken to hang. It doubles with each run
-// of the task that was stopped for it: a task that simply takes long would be stopped
-// at one endpoint after the other and never end.
-func (t *task) limit() time.Duration {
-	limit := time.Duration(hangFactor*float64(t.job.expected[t.step])) + hangMargin
-	if t.job.mostDone() {
-		limit = min(limit, time.Duration(strayFactor*float64(t.job.typical))+hangMargin)
+// runTimeLimit is the run time from which a run is considered hung. It doubles with each run
+// of the task stopped for this: otherwise a task that simply takes long would be stopped at
+// one endpoint after another and never end.
+func (t *task) runTimeLimit() time.Duration {
+	limit := time.Duration(runTimeLimitFactor*float64(t.job.expected[t.step])) + runTimeLimitMargin
+	if t.job.peerRunTimesKnown() {
+		limit = min(limit, time.Duration(peerLimitFactor*float64(t.job.meanRunTime))+runTimeLimitMargin)
 	}
-	return limit << min(t.tooLong, mostDoublings)
+	return limit << min(t.overruns, maxLimitDoublings)
 }
 
-// stopTime is how long a stop takes at a runner, with the messages.
-const stopTime = 60 * time.Millisecond
+// stopLatency is how long it takes to stop a run, messages included.
+const stopLatency = 60 * time.Millisecond
--- a/dispatch/planner/restart_test.go
+++ b/dispatch/planner/restart_test.go
@@ -9,10 +9,10 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Guards against: two crashes of processes under one id, moments apart, count as one.
-func TestCrashesUnderOneIDAreToldApart(t *testing.T) {
+// Guards against counting as one the crashes of two processes with the same id, moments apart.
+func TestCrashesUnderOneIDAreCountedSeparately(t *testing.T) {
 	f := newFleet(t, 8)
-	s := f.patient("poison", 1).Starts[0]
+	s := f.submitLongWait("poison", 1).Starts[0]
 	for born := int64(1); born <= 2; born++ {
 		p := work.Incarnation{ID: "i", Born: born}
 		f.Crash(f.now, s.Endpoint, s.Run, 0, Crash{Runner: p, Others: 7, Newest: true})
@@ -27,25 +27,27 @@
 	}
 }
 
-// Guards against: "not run" of a task that ran so long ago that its guard has forgotten it.
+// Guards against answering "not run" for a task that ran so long ago that its guard no longer
+// has a record of it.
 func TestRunThatItsGuardHasForgottenMayHaveRun(t *testing.T) {
 	for after, ran := range map[time.Duration]bool{time.Second: false, 10 * time.Second: true} {
 		f := newFleet(t, 8)
-		s := f.patient("j", 1).Starts[0]
+		s := f.submitLongWait("j", 1).Starts[0]
 		f.now += after
 		f.report(s, Unknown)
-		assert.Equal(t, f.jobs["j"].ran, ran, "%v", after)
+		assert.Equal(t, f.jobs["j"].mayHaveRun, ran, "%v", after)
 	}
 }
 
-// Guards against: a run goes on whose stop was lost with a session, and the job is handed in again.
+// Guards against a run that goes on because its stop order was lost with a session, while the
+// job is submitted again.
 func TestStopIsSentAgainWhenItsGuardAttaches(t *testing.T) {
 	f := newFleet(t, 8)
-	s := f.patient("j", 1).Starts[0]
+	s := f.submitLongWait("j", 1).Starts[0]
 	f.report(s, Running)
 	f.Detach(s.Endpoint)
 	f.Cancel(f.now, "j")
-	assert.Equal(t, len(f.act().Stops), 1, "nobody carries it out")
+	assert.Equal(t, len(f.act().Stops), 1, "no guard receives it")
 	assert.DeepEqual(t, f.Attach(s.Endpoint, "a", false), []work.RunID{s.Run})
 	assert.DeepEqual(t, f.act().Stops, []Stop{{s.Endpoint, s.Run, WhyCallerGone}})
 	f.report(s, Stopped)
--- a/dispatch/planner/retest_test.go
+++ b/dispatch/planner/retest_test.go
@@ -10,9 +10,9 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// slowSpell has runs of four seconds learnt, of callers who wait for ten, where one second
-// was usual.
-func (f *fleet) slowSpell() {
+// learnSlowRuns makes run times of four seconds learnt, for callers who wait for ten, after a
+// usual run time of one second.
+func (f *fleet) learnSlowRuns() {
 	f.runFor("usual", time.Second)
 	for n := range 100 {
 		f.runFor(fmt.Sprint("slow", n), 4*time.Second)
@@ -28,11 +28,11 @@
 	f.act()
 }
 
-// Guards against rejecting all jobs of a contract for good once its run times, learnt in a
-// slow spell, leave its callers no time.
-func TestContractIsServedAgainAfterASlowSpell(t *testing.T) {
+// Guards against refusing all jobs of a contract for good once its run times, learnt while it
+// ran slowly, leave its callers no time.
+func TestContractIsServedAgainAfterSlowRuns(t *testing.T) {
 	f := newFleet(t, 4)
-	f.slowSpell()
+	f.learnSlowRuns()
 	for n := range 40 {
 		f.now += 100 * ms
 		a := f.submit(fmt.Sprint(n), 1, 0)
@@ -45,10 +45,10 @@
 	}
 }
 
-// Guards against starting job after job that can't end while its caller waits.
+// Guards against starting job after job that cannot end before its caller's deadline.
 func TestRetestsOfAContractThatTakesTooLongAreFew(t *testing.T) {
 	f := newFleet(t, 4)
-	f.slowSpell()
+	f.learnSlowRuns()
 	started := 0
 	for n := range 600 {
 		f.now += 100 * ms
--- a/dispatch/planner/shrink_test.go
+++ b/dispatch/planner/shrink_test.go
@@ -8,23 +8,24 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Every runner's capacity shrinks below the job's tasks for a moment. The caller could be
-// answered in time once it grows again, so the job waits; told that it fits no runner, the
-// caller would give up for good.
+// The capacity of every runner briefly shrinks below what the job's tasks need. The caller
+// could be answered in time once it grows again, so the job waits; told that it fits no
+// runner, the caller would give up for good.
 func TestJobWaitsForCapacityThatHasShrunk(t *testing.T) {
 	f := newFleet(t, 2)
-	f.room(0, 1, 0)
+	f.setCapacity(0, 1, 0)
 	w := work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core.Add(core), Declared: 60 * ms}}}
 	assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, terms), Taken)
 	a := f.act()
 	assert.Equal(t, len(a.Ended)+len(a.Starts), 0, "%v", a)
 	f.now += 20 * ms
-	f.room(0, 2, 0)
+	f.setCapacity(0, 2, 0)
 	assert.Equal(t, len(f.act().Starts), 1)
 }
 
-// A runner that never had enough is no reason to wait, and neither is the runner's next life.
-func TestJobThatFittedAnotherLifeIsFailedAtOnce(t *testing.T) {
+// A job does not wait for a runner that never had enough capacity, nor for one whose earlier
+// incarnation had it.
+func TestJobThatFittedAnEarlierIncarnationFailsAtOnce(t *testing.T) {
 	f := newFleet(t, 2)
 	f.Describe(f.now, f.id(0), Room{Service: "teardown", Runner: work.Incarnation{ID: "next"}, Open: true, Total: core})
 	w := work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core.Add(core), Declared: 60 * ms}}}
@@ -34,8 +35,8 @@
 	assert.Equal(t, a.Ended[0].Why, WhyTooLarge)
 }
 
-// A runner shrinks below what runs there. Nothing is started until what is free is more
-// than nothing, however the amounts are taken from one another.
+// A runner shrinks below what is running there. Nothing is started until its free capacity is
+// positive again, in whichever order the amounts change.
 func TestNothingIsStartedBelowZero(t *testing.T) {
 	f := newFleet(t, 4)
 	a := f.submit("first", 4, 900*ms)
@@ -43,11 +44,11 @@
 	for _, s := range a.Starts {
 		f.report(s, Running)
 	}
-	f.room(0, 1, 4)
+	f.setCapacity(0, 1, 4)
 	assert.Equal(t, len(f.submit("next", 1, 60*ms).Starts), 0)
 	for _, s := range a.Starts[:3] {
 		f.report(s, Done)
-		assert.Equal(t, len(f.after(ms).Starts), 0, "what still runs takes all that there is")
+		assert.Equal(t, len(f.after(ms).Starts), 0, "the remaining runs use the whole capacity")
 	}
 	f.report(a.Starts[3], Done)
 	assert.Equal(t, len(f.after(ms).Starts), 1)
--- a/dispatch/planner/types.go
+++ b/dispatch/planner/types.go
@@ -6,33 +6,33 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Terms are what the job's contract says.
+// Terms are the parts of a job's contract that the planner uses.
 type Terms struct {
 	Contract string
 	Service  string
-	// Urgency orders jobs that must start at the same time; 0 comes first.
+	// Urgency is the priority of jobs that must start at the same time; 0 goes first.
 	Urgency     int
 	MaxAttempts int
-	// Stretch times the longest chain of work and Allowance more is the time in
-	// which the answer is wanted.
+	// The response-time target is Stretch times the run time of the job's critical path, plus
+	// Allowance.
 	Stretch   float64
 	Allowance time.Duration
 }
 
-// Outcome of a job.
+// Outcome is the final result of a job.
 type Outcome int
 
-// Outcomes.
+// Values of Outcome. The zero value means that the job is still open.
 const (
 	// Completed: every task is done.
 	Completed Outcome = iota + 1
-	// Failed: a task failed as often as its contract allows, or can't be run.
+	// Failed: a task used up the attempts that its contract allows, or cannot be run at all.
 	Failed
-	// Refused: no task has started, and none will.
+	// Refused: no task has started, and none will be.
 	Refused
-	// Expired: some task has started, and the caller's time is over.
+	// Expired: a task has started, and the caller's deadline leaves no time for the rest.
 	Expired
-	// Cancelled: the caller no longer waits.
+	// Cancelled: the caller stopped waiting.
 	Cancelled
 )
 
@@ -41,73 +41,74 @@
 	return [...]string{"open", "completed", "failed", "refused", "expired", "cancelled"}[o]
 }
 
-// Why a job ended as it did.
+// Why is the reason for a job's outcome or for stopping a run.
 type Why string
 
-// Reasons.
+// Values of Why.
 const (
 	WhyDone       Why = "done"
 	WhyTaskFailed Why = "task_failed"
-	// WhyCrashes: runners crashed under the same task.
+	// WhyCrashes: runners crashed while running the same task.
 	WhyCrashes  Why = "crashes_runners"
 	WhyTooLarge Why = "fits_no_runner"
 	WhyNoRunner Why = "no_runner"
 	WhyOverload Why = "no_room_in_time"
 	WhyDeadline Why = "caller_time_over"
-	// WhyTooLittleTime: the caller would have left before the work could be done.
+	// WhyTooLittleTime: the caller's deadline would have passed before the work was done.
 	WhyTooLittleTime Why = "too_little_time"
 	WhyCallerGone    Why = "caller_gone"
 	WhyUnreachable   Why = "guard_unreachable"
-	// WhyTooLong: a run takes far longer than it should.
+	// WhyTooLong: a run takes far longer than expected.
 	WhyTooLong Why = "runs_too_long"
 )
 
-// Ended tells that a job has its outcome.
+// Ended reports the outcome of a job.
 type Ended struct {
 	Job     string
 	Outcome Outcome
 	Why     Why
-	// RetryAfter is when a refused job may have room; zero otherwise.
+	// RetryAfter is the time after which there may be capacity for a refused job; zero for
+	// other outcomes.
 	RetryAfter time.Duration
 	// Waited is the time from submission to the first start, or to the outcome.
 	Waited time.Duration
 }
 
-// Answer is what a job's callers are told.
+// Answer is the outcome of a job as its callers get it.
 type Answer struct {
 	Outcome    Outcome
 	Why        Why
 	RetryAfter time.Duration
 }
 
-// Start orders one task.
+// Start is an order to start one task.
 type Start struct {
 	Endpoint string
 	Run      work.RunID
 	Spec     string
 	Need     work.Amounts
-	// Life is the time left until the caller stops waiting.
+	// Life is the time left until the caller's deadline.
 	Life time.Duration
-	// Free is what was believed free at the endpoint, thousandths of a core, and
-	// Age how long ago its guard told.
+	// Free is the CPU believed free at the endpoint, in thousandths of a core, and Age the time
+	// since its guard's last report.
 	Free int64
 	Age  time.Duration
 }
 
-// Stop ends one run.
+// Stop is an order to stop one run.
 type Stop struct {
 	Endpoint string
 	Run      work.RunID
 	Why      Why
 }
 
-// Actions is what is to be done now.
+// Actions are what the caller of Act has to carry out now.
 type Actions struct {
 	Starts []Start
 	Stops  []Stop
 	Ended  []Ended
-	// Settled names jobs that have ended before and whose last run is over now.
+	// Settled lists jobs that ended earlier and whose last run is now over.
 	Settled []string
-	// Wake names endpoints whose guards are to learn that tasks wait.
+	// Wake lists endpoints whose guards must be notified that tasks are waiting for capacity.
 	Wake []string
 }
--- a/dispatch/planner/waiting.go
+++ b/dispatch/planner/waiting.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// waitHold is how long a service counts as one with waiting tasks after the last
-// has found room: tasks come in bursts, and each change is a message to every guard.
-const waitHold = 40 * time.Millisecond
+// waitingHoldTime is how long a service still counts as having waiting tasks after the last of
+// them was placed: tasks come in bursts, and each change is a message to every guard.
+const waitingHoldTime = 40 * time.Millisecond
 
-// Waiting reports whether tasks wait for room at the endpoint's service, or did
-// a moment ago, and what these need, thousandths of a core.
-func (p *Planner) Waiting(now time.Duration, endpoint string) (waits bool, wants int64) {
+// Waiting reports whether tasks are waiting for capacity of the endpoint's service, or were a
+// moment ago, and the CPU that they need, in thousandths of a core.
+func (p *Planner) Waiting(now time.Duration, endpoint string) (waiting bool, demand int64) {
 	e := p.endpoints[endpoint]
-	if e == nil || e.service == nil || !e.service.waits(now) {
+	if e == nil || e.service == nil || !e.service.hasWaiting(now) {
 		return false, 0
 	}
-	return true, e.service.wants
+	return true, e.service.demand
 }
 
-func (s *service) waits(now time.Duration) bool {
-	return s.waitedAt > 0 && now-s.waitedAt < waitHold
+func (s *service) hasWaiting(now time.Duration) bool {
+	return s.lastWaiting > 0 && now-s.lastWaiting < waitingHoldTime
 }
 
-// noteWaiting has the guards told when tasks begin to wait for room.
-func (p *Planner) noteWaiting(now time.Duration, s *service) {
-	s.wants = s.wanted()
-	if len(s.begun)+len(s.fresh) == 0 {
+// updateWaiting updates the demand of the waiting tasks, and has the guards notified when tasks
+// start waiting for capacity.
+func (p *Planner) updateWaiting(now time.Duration, s *service) {
+	s.demand = s.waitingDemand()
+	if len(s.started)+len(s.unstarted) == 0 {
 		return
 	}
-	if !s.waits(now) {
-		s.shortAt = now
+	if !s.hasWaiting(now) {
+		s.shortSince = now
 		for _, e := range s.endpoints {
 			if e.attached {
 				p.out.Wake = append(p.out.Wake, e.id)
 			}
 		}
 	}
-	s.waitedAt = now
+	s.lastWaiting = now
 }
