--- a/dispatch/queue/job.go
+++ b/dispatch/queue/job.go
@@ -7,41 +7,41 @@
 	"almondstand.dev/dispatch/internal/indexed"
 )
 
-// Job is a job with the tasks that have not ended. Its owner fills the exported
-// fields before Add and only reads them afterwards.
+// Job is a job with tasks that have not ended. The caller sets the exported fields before Add
+// and only reads them afterwards.
 type Job struct {
 	ID       string
 	Customer string
-	// Weight is the customer's share against others.
+	// Weight is the client's weight in fair queueing.
 	Weight   float64
 	Accepted time.Time
 	Deadline time.Time
 	Bytes    int64
-	// Idempotent marks a request that may be started again after an unknown
-	// outcome.
+	// Idempotent is true if the job's tasks may be started again after an unknown outcome.
 	Idempotent bool
 	// Estimates are the expected run times of the tasks, by index.
 	Estimates []time.Duration
-	// Shown are the run times that the tasks count with against jobs that ask for
-	// admission, by index; nil takes Estimates. The order goes by Estimates.
+	// Shown are the run times that count for the tasks in the admission of other jobs, by
+	// index; nil takes Estimates. The order of jobs uses Estimates.
 	Shown []time.Duration
 
-	// left counts the unfinished tasks, work sums up their estimates.
+	// left counts the unfinished tasks, work is the sum of their estimates.
 	left    int
 	work    time.Duration
 	longest time.Duration
-	// waiting are the indexes of the waiting tasks, by estimate but for those
-	// that came back; the last, and longest, goes next.
+	// waiting holds the indexes of the waiting tasks, sorted by estimate except for returned
+	// ones; the last, normally the longest, is started next.
 	waiting []int
 	seq     uint64
 	key     float64
 	removed bool
 	account *account
-	// size is the class of the job by the expected work of all its tasks, added
-	// when it came.
-	size  int
-	added time.Time
-	// aged is set once the job goes before all that aren't; agesAt is when.
+	// sizeClass is the size class of the job by the expected work of all its tasks, added the
+	// time when the job was added.
+	sizeClass int
+	added     time.Time
+	// aged is set once the job has reached agesAt; from then on it takes turns with the first
+	// job by the order.
 	aged   bool
 	agesAt time.Time
 
@@ -53,24 +53,23 @@
 // Left returns the number of unfinished tasks.
 func (j *Job) Left() int { return j.left }
 
-// Work returns the expected run time of the unfinished tasks together.
+// Work returns the expected run time of all unfinished tasks together.
 func (j *Job) Work() time.Duration { return j.work }
 
 // Longest returns the expected run time of the job's longest task.
 func (j *Job) Longest() time.Duration { return j.longest }
 
-// Shortest returns the expected run time of the shortest waiting task; some task
-// has to wait.
+// Shortest returns the expected run time of the shortest waiting task. A task must be waiting.
 func (j *Job) Shortest() time.Duration { return j.Estimates[j.waiting[0]] }
 
-// Waiting returns the number of tasks that have not been started.
+// Waiting returns the number of tasks that are not started.
 func (j *Job) Waiting() int { return len(j.waiting) }
 
-// Removed reports whether the job was taken out of the queue.
+// Removed reports whether the job was removed from the queue.
 func (j *Job) Removed() bool { return j.removed }
 
-// prepare sets up the state of a new job. Tasks expected to run long go first:
-// a job ends with its last task, and a long one started last would prolong it.
+// prepare initializes the state of a new job. Tasks with a long expected run time go first: a
+// job ends with its last task, and a long one started last would delay that.
 func (j *Job) prepare(seq uint64) {
 	j.seq = seq
 	j.left = len(j.Estimates)
@@ -88,7 +87,7 @@
 	j.sort()
 }
 
-// sort puts the waiting tasks into their order and finds the longest of all.
+// sort sorts the waiting tasks by estimate and finds the longest estimate of all tasks.
 func (j *Job) sort() {
 	j.longest = 0
 	for _, estimate := range j.Estimates {
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -1,6 +1,5 @@
-// Package queue holds the jobs of one service whose tasks wait, and decides
-// which task goes next: fairly between customers by their weight, within a
-// customer by an Order.
+// Package queue holds the jobs of one service that have waiting tasks, and decides which task
+// is started next: by weighted fair queueing between clients, and by an Order within a client.
 package queue
 
 import (
@@ -10,25 +9,24 @@
 	"almondstand.dev/dispatch/internal/indexed"
 )
 
-// Options of a Queue.
+// Options configure a Queue.
 type Options struct {
-	// Order of jobs; nil takes LeastWork.
+	// Order is the order of jobs; nil takes LeastWork.
 	Order Order
-	// Unfair leaves the shares of customers out.
+	// Unfair turns fair queueing between clients off.
 	Unfair bool
-	// Slack is how far a customer may be ahead of its fair share, in time of
-	// the whole service. Zero keeps to the share task by task.
+	// Slack is how far a client may be ahead of its fair share, in time of the whole service.
+	// Zero enforces the share task by task.
 	Slack time.Duration
-	// Ageing is the part of its answer time after which a job takes turns with
-	// the first by the order, earliest deadline first; zero for never. Without
-	// it a steady stream of small jobs keeps a large one waiting until its
-	// answer is late; going always first, aged jobs would in turn hold up the
-	// small ones whenever there is too much to do.
+	// Ageing is the fraction of its answer time after which a job takes turns with the first
+	// job by the order, earliest deadline first among aged jobs; zero for never. Without it a
+	// steady stream of small jobs keeps a large one waiting until its answer is late; if aged
+	// jobs always went first, they would hold up the small ones whenever there is too much to
+	// do.
 	Ageing float64
 }
 
-// Queue holds jobs until their tasks have ended. It is not safe for concurrent
-// use.
+// Queue holds jobs until their tasks have ended. It is not safe for concurrent use.
 type Queue struct {
 	opts      Options
 	seq       uint64
@@ -63,8 +61,8 @@
 
 func byAge(a, b *Job) bool { return a.agesAt.Before(b.agesAt) }
 
-// byKey compares the heads of customers: one whose turn is an aged job's goes
-// first, by deadline; the rest by the order's key, oldest first on a tie.
+// byKey compares the first jobs of two clients: an aged job goes before one that is not aged,
+// two aged ones by deadline, the others by the key of the order, oldest first on a tie.
 func byKey(a, b *Job) bool {
 	if a.aged != b.aged {
 		return a.aged
@@ -78,13 +76,13 @@
 	return a.key < b.key
 }
 
-// Add takes a new job with all its tasks waiting.
+// Add adds a new job with all its tasks waiting.
 func (q *Queue) Add(now time.Time, j *Job) {
 	q.seq++
 	j.prepare(q.seq)
 	j.key = q.opts.Order.Key(j)
 	j.account = q.shares.account(j.Customer, j.Weight)
-	j.account.arrive(now, j)
+	j.account.countArrival(now, j)
 	q.jobs++
 	q.waiting += len(j.waiting)
 	q.bytes += j.Bytes
@@ -98,25 +96,25 @@
 	}
 }
 
-// SetCapacity tells the number of slots that the service has for this queue;
-// the slack between customers follows from it.
+// SetCapacity sets the number of slots that the service has for this queue; the slack between
+// clients is scaled by it.
 func (q *Queue) SetCapacity(slots float64) { q.shares.capacity = slots }
 
-// Peek returns the job whose task goes next, nil when none waits.
+// Peek returns the job whose task is started next, nil if none is waiting.
 func (q *Queue) Peek(now time.Time) *Job {
 	for q.ages.Len() > 0 && !q.ages.Min().agesAt.After(now) {
 		j := q.ages.Pop()
-		j.account.age(j)
+		j.account.moveToAged(j)
 	}
 	return q.shares.next()
 }
 
-// Start takes the job's next task out of those that wait and returns its index.
+// Start removes the job's next task from the waiting ones and returns its index.
 func (q *Queue) Start(now time.Time, j *Job) int {
 	return q.start(now, j, len(j.waiting)-1)
 }
 
-// StartShortest is Start for the shortest of the job's tasks.
+// StartShortest is like Start, for the shortest waiting task of the job.
 func (q *Queue) StartShortest(now time.Time, j *Job) int {
 	return q.start(now, j, 0)
 }
@@ -125,32 +123,32 @@
 	index := j.waiting[at]
 	j.waiting = slices.Delete(j.waiting, at, at+1)
 	q.waiting--
-	j.account.turn = !j.aged
+	j.account.agedNext = !j.aged
 	q.addWork(j, -j.Shown[index])
-	q.shares.hold(j.account, 1)
+	q.shares.addStarted(j.account, 1)
 	q.shares.charge(now, j.account, j.Estimates[index])
 	if len(j.waiting) == 0 {
-		q.shares.drop(j)
+		q.shares.remove(j)
 	}
 	return index
 }
 
-// Return puts a started task back that did not run or may run again.
+// Return puts back a started task that did not run or may run again.
 func (q *Queue) Return(now time.Time, j *Job, index int) {
 	j.waiting = append(j.waiting, index)
 	q.waiting++
 	q.addWork(j, j.Shown[index])
-	q.shares.hold(j.account, -1)
+	q.shares.addStarted(j.account, -1)
 	q.shares.charge(now, j.account, -j.Estimates[index])
 	if len(j.waiting) == 1 {
 		q.shares.push(j)
 	}
 }
 
-// Finish ends a started task that used run of a slot's time. It returns true
-// when it was the job's last.
+// Finish ends a started task that used run of a slot's time. It returns true for the last task
+// of the job.
 func (q *Queue) Finish(now time.Time, j *Job, index int, run time.Duration) bool {
-	q.shares.hold(j.account, -1)
+	q.shares.addStarted(j.account, -1)
 	q.shares.charge(now, j.account, run-j.Estimates[index])
 	if j.removed {
 		return false
@@ -166,9 +164,9 @@
 	return true
 }
 
-// Estimate changes what the job's tasks are expected to run, by index, and what
-// they count with against jobs that ask for admission. A task that was started
-// keeps its estimate, as it was charged with that.
+// Estimate changes the expected run times of the job's tasks, by index, and the run times that
+// count for them in the admission of other jobs. A started task keeps its estimate, because it
+// was charged with it.
 func (q *Queue) Estimate(now time.Time, j *Job, estimates, shown []time.Duration) {
 	if j.removed {
 		return
@@ -178,11 +176,11 @@
 		j.work += estimates[index] - j.Estimates[index]
 		j.Estimates[index] = estimates[index]
 	}
-	j.account.count(now, j, -1)
+	j.account.addArrivals(now, j, -1)
 	j.Shown = shown
-	j.size = sizeOf(sum(estimates))
+	j.sizeClass = sizeClassOf(sum(estimates))
 	j.sort()
-	j.account.count(now, j, 1)
+	j.account.addArrivals(now, j, 1)
 	for _, index := range j.waiting {
 		q.addWork(j, shown[index])
 	}
@@ -190,7 +188,7 @@
 	j.account.heap(j).Fix(j)
 }
 
-// Remove takes a job out and returns its tasks that waited.
+// Remove removes a job and returns the indexes of its waiting tasks.
 func (q *Queue) Remove(j *Job) []int {
 	if j.removed {
 		return nil
@@ -206,16 +204,16 @@
 	}
 	q.ages.Remove(j)
 	q.deadlines.Remove(j)
-	q.shares.drop(j)
+	q.shares.remove(j)
 	return waiting
 }
 
 func (q *Queue) addWork(j *Job, work time.Duration) {
 	q.work += work
-	j.account.work[j.size] += work
+	j.account.work[j.sizeClass] += work
 }
 
-// Expired returns the next job whose deadline has passed, nil when none.
+// Expired returns the next job whose deadline has passed, nil if there is none.
 func (q *Queue) Expired(now time.Time) *Job {
 	if q.deadlines.Len() == 0 {
 		return nil
@@ -227,7 +225,7 @@
 	return first
 }
 
-// NextDeadline returns the earliest deadline, zero when there is no job.
+// NextDeadline returns the earliest deadline, zero if there is no job.
 func (q *Queue) NextDeadline() time.Time {
 	if q.deadlines.Len() == 0 {
 		return time.Time{}
@@ -238,33 +236,33 @@
 // Jobs returns the number of jobs with unfinished tasks.
 func (q *Queue) Jobs() int { return q.jobs }
 
-// Waiting returns the number of tasks that wait.
+// Waiting returns the number of waiting tasks.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Bytes returns the size of the jobs' payloads.
+// Bytes returns the total size of the jobs' payloads.
 func (q *Queue) Bytes() int64 { return q.bytes }
 
-// Work returns the run time that the waiting tasks count with together.
+// Work returns the total run time that counts for the waiting tasks.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Standing describes what a new job of one customer would meet.
+// Standing is the load that a new job of one client would meet in the queue.
 type Standing struct {
-	// Idle is true when nothing of the customer waits.
+	// Idle is true if no task of the client is waiting.
 	Idle bool
-	// Ahead is the run time that the customer's waiting tasks count with in jobs of
-	// the same size or smaller, which go first.
+	// Ahead is the run time that counts for the client's waiting tasks in jobs of the same size
+	// class or smaller, which go first.
 	Ahead time.Duration
-	// SmallerRate is the work of smaller jobs of the customer that arrives per
-	// second, in seconds: it will go first too.
+	// SmallerRate is the rate at which work of the client's smaller jobs arrives, in seconds of
+	// work per second: these jobs will go first too.
 	SmallerRate float64
-	// Share is the part of the service that the customer's weight gives it
-	// among those with waiting tasks, itself counted.
+	// Share is the share of the service that the client's weight gives it among the clients
+	// with waiting tasks, itself included.
 	Share float64
-	// OthersRate is the slots that all other customers use.
+	// OthersRate is the number of slots that all other clients use.
 	OthersRate float64
 }
 
-// Standing returns the standing at now of a job with the given expected work.
-func (q *Queue) Standing(now time.Time, customer string, weight float64, work time.Duration) Standing {
-	return q.shares.standing(now, customer, weight, work)
+// Standing returns the load that a job of the client with the given expected work would meet.
+func (q *Queue) Standing(now time.Time, client string, weight float64, work time.Duration) Standing {
+	return q.shares.clientLoad(now, client, weight, work)
 }
--- a/dispatch/queue/queue_test.go
+++ b/dispatch/queue/queue_test.go
@@ -12,10 +12,10 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newJob(id, customer string, accepted time.Time, tasks int) *queue.Job {
+func newJob(id, client string, accepted time.Time, tasks int) *queue.Job {
 	j := &queue.Job{
 		ID:        id,
-		Customer:  customer,
+		Customer:  client,
 		Weight:    1,
 		Accepted:  accepted,
 		Deadline:  accepted.Add(10 * time.Second),
@@ -27,14 +27,13 @@
 	return j
 }
 
-// TestSomeoneIsAlwaysEligible: tasks that ran shorter than expected put the
-// virtual times of both customers below zero, alike. The weighted mean is then
-// rounded, and a customer at the mean has to stay eligible: otherwise tasks wait
-// and none is ever chosen.
-func TestSomeoneIsAlwaysEligible(t *testing.T) {
+// TestAClientIsAlwaysEligible: tasks that ran shorter than expected put the virtual times of
+// both clients below zero, to the same value. The weighted mean is then rounded, and a client
+// at the mean must stay eligible: otherwise tasks wait and none is ever chosen.
+func TestAClientIsAlwaysEligible(t *testing.T) {
 	q := queue.New(queue.Options{})
-	for _, customer := range []string{"x", "z"} {
-		j := newJob(customer, customer, origin, 2)
+	for _, client := range []string{"x", "z"} {
+		j := newJob(client, client, origin, 2)
 		q.Add(origin, j)
 		index := q.Start(origin, j)
 		q.Finish(origin, j, index, -2*time.Second)
@@ -42,10 +41,10 @@
 	assert.Assert(t, q.Peek(origin) != nil)
 }
 
-// TestSharesBindOnlyBeyondTheSlack: a customer that floods with small jobs goes
-// first by the order, until it is ahead of its share by the slack; from then on
-// the other gets its half.
-func TestSharesBindOnlyBeyondTheSlack(t *testing.T) {
+// TestSharesLimitOnlyBeyondTheSlack: the small jobs of a client that floods the queue go first
+// by the order, until the client is ahead of its share by the slack; from then on the other
+// client gets its half.
+func TestSharesLimitOnlyBeyondTheSlack(t *testing.T) {
 	q := queue.New(queue.Options{Slack: time.Second})
 	q.SetCapacity(2)
 	flood := 0
@@ -64,19 +63,18 @@
 			firstLarge = started
 		}
 	}
-	// Two slots for a second are 2 s of work, 20 tasks of 100 ms, by which the
-	// flood may be above the mean of the two.
-	assert.Assert(t, firstLarge >= 20 && firstLarge <= 42, "first of the other after %d", firstLarge)
+	// Two slots for a second are 2 s of work, or 20 tasks of 100 ms, by which the flooding
+	// client may be above the mean of the two.
+	assert.Assert(t, firstLarge >= 20 && firstLarge <= 42, "first task of the other client after %d", firstLarge)
 	assert.Assert(t, flood >= 50 && flood <= 71, "flood got %d of 100", flood)
 }
 
-// TestEstimateAgain: a job declared a hundred times too long waits behind shorter
-// ones and stands against those that come. Once its tasks are known to be short
-// it has the place, and counts for as much, as if that had been known when it
-// came.
+// TestEstimateAgain: a job declared a hundred times too long waits behind shorter ones and
+// counts against new jobs. Once its tasks are known to be short, its rank and its weight
+// against new jobs must be as if that had been known from the start.
 func TestEstimateAgain(t *testing.T) {
 	now := origin.Add(time.Second)
-	standings := map[bool]queue.Standing{}
+	loads := map[bool]queue.Standing{}
 	for _, known := range []bool{false, true} {
 		q := queue.New(queue.Options{})
 		short := newJob("short", "c", origin, 4)
@@ -95,15 +93,15 @@
 		}
 		assert.Equal(t, q.Peek(now), long)
 		assert.Equal(t, q.Work(), 600*time.Millisecond)
-		standings[known] = q.Standing(now, "c", 1, time.Second)
+		loads[known] = q.Standing(now, "c", 1, time.Second)
 	}
-	off := standings[false].SmallerRate - standings[true].SmallerRate
-	assert.Assert(t, math.Abs(off) < 1e-9, "%v", standings)
-	assert.Equal(t, standings[false].Ahead, standings[true].Ahead)
+	off := loads[false].SmallerRate - loads[true].SmallerRate
+	assert.Assert(t, math.Abs(off) < 1e-9, "%v", loads)
+	assert.Equal(t, loads[false].Ahead, loads[true].Ahead)
 }
 
-// TestOthersCountFromTheStart: in the first moment of a rush the others have used
-// next to nothing, but hold slots. A customer can't count on these.
+// TestOthersCountFromTheStart: at the beginning of a burst the other clients have used next to
+// nothing yet, but hold slots. A client must not count on these.
 func TestOthersCountFromTheStart(t *testing.T) {
 	q := queue.New(queue.Options{})
 	j := newJob("j", "other", origin, 5)
--- a/dispatch/queue/shares.go
+++ b/dispatch/queue/shares.go
@@ -9,77 +9,76 @@
 	"almondstand.dev/dispatch/internal/indexed"
 )
 
-// rateHalfLife is how fast the measured use of a customer follows a change.
+// rateHalfLife is the half-life of the measured use of a client.
 const rateHalfLife = 5 * time.Second
 
-// Arrivals by size are measured over a part of the answer time: a job has to
-// outlast what comes while it waits, and a rush that is short against its answer
-// time does it no harm.
+// Arrivals by size are measured over a fraction of the answer time: a job has to wait out what
+// arrives meanwhile, and a burst that is short against its answer time does not hurt it.
 const (
-	arrivalPart        = 3
+	arrivalDivisor     = 3
 	minArrivalHalfLife = time.Second
 	maxArrivalHalfLife = time.Minute
 )
 
 func arrivalHalfLife(answerTime time.Duration) time.Duration {
-	return min(max(minArrivalHalfLife, answerTime/arrivalPart), maxArrivalHalfLife)
+	return min(max(minArrivalHalfLife, answerTime/arrivalDivisor), maxArrivalHalfLife)
 }
 
-// sizes is the number of classes of jobs by their work, each twice as large as
-// the one below. The first ends at smallest.
+// sizeClasses is the number of size classes of jobs by their work. Each class goes up to twice
+// the work of the one below it; the first ends at smallestClass.
 const (
-	sizes    = 16
-	smallest = 50 * time.Millisecond
+	sizeClasses   = 16
+	smallestClass = 50 * time.Millisecond
 )
 
-// sizeOf returns the class of a job with the given work.
-func sizeOf(work time.Duration) int {
-	return min(bits.Len64(uint64(max(0, work)/smallest)), sizes-1)
+// sizeClassOf returns the size class of a job with the given work.
+func sizeClassOf(work time.Duration) int {
+	return min(bits.Len64(uint64(max(0, work)/smallestClass)), sizeClasses-1)
 }
 
-// shares keeps weighted fair queueing between customers, in the manner of
-// earliest eligible virtual deadline first: each customer has a virtual start
-// time that advances by the work it is given divided by its weight, and a
-// customer is eligible while it is not ahead of the weighted mean by more than
-// the slack. Among the eligible the Order alone decides. So shares bind when a
-// customer takes more than its own, and otherwise short jobs go first
-// whosever they are; keeping to the shares task by task would make every job
-// slower without making any customer better off.
+// shares implements weighted fair queueing between clients, similar to earliest eligible
+// virtual deadline first (EEVDF): the virtual time of a client advances by the work that it is
+// given divided by its weight, and a client is eligible while its virtual time is not ahead of
+// the weighted mean by more than the slack. Among eligible clients only the Order decides. So
+// the shares limit a client that takes more than its own, and otherwise short jobs go first,
+// whichever client they belong to; enforcing the shares task by task would make every job
+// slower without a benefit for any client.
 type shares struct {
 	fair     bool
 	slack    time.Duration
 	capacity float64
 	accounts map[string]*account
-	// active are the customers with waiting tasks. There are few hundred at
-	// most, so one pass over them is cheaper than heaps whose order changes
-	// with the mean.
+	// active holds the clients with waiting tasks. There are a few hundred at most, so one pass
+	// over them is cheaper than heaps whose order changes with the mean.
 	active []*account
-	// mean is the weighted mean of the active customers' virtual times.
-	mean  float64
-	total decay.Sum
-	open  int
+	// mean is the weighted mean of the active clients' virtual times.
+	mean         float64
+	total        decay.Sum
+	startedTasks int
 }
 
-// account is what one customer has been given.
+// account is the fair queueing state of one client.
 type account struct {
 	weight float64
-	// virtual is the work given divided by the weight, in seconds.
-	virtual float64
-	used    decay.Sum
-	// open counts the started tasks that have not ended.
-	open int
-	// work is what the waiting tasks count with by the expected size of their
-	// job, arrived the same of the jobs taken of late.
-	work    [sizes]time.Duration
-	arrived [sizes]decay.Sum
-	// halfLife is that of the arrivals.
+	// virtualTime is the client's virtual time: the work given divided by the weight, in
+	// seconds.
+	virtualTime float64
+	used        decay.Sum
+	// startedTasks counts the started tasks that have not ended.
+	startedTasks int
+	// work is the run time that counts for the waiting tasks, by size class of their job;
+	// arrived is the same for recently added jobs.
+	work    [sizeClasses]time.Duration
+	arrived [sizeClasses]decay.Sum
+	// halfLife is the half-life of arrived.
 	halfLife time.Duration
-	// jobs are those with waiting tasks, in the order's turn; aged are those
-	// that have waited for long, by deadline. Both in turn while both wait.
-	jobs *indexed.Heap[*Job]
-	aged *indexed.Heap[*Job]
-	turn bool
-	// index is the place among the active, indexed.None when not active.
+	// jobs holds the jobs with waiting tasks, sorted by the order; aged holds the aged ones,
+	// sorted by deadline. While both have jobs they alternate; agedNext is true
+	// when an aged one is next.
+	jobs     *indexed.Heap[*Job]
+	aged     *indexed.Heap[*Job]
+	agedNext bool
+	// index is the position in active, indexed.None if the client is not active.
 	index int
 }
 
@@ -87,35 +86,34 @@
 	return shares{fair: !o.Unfair, slack: o.Slack, accounts: map[string]*account{}}
 }
 
-// account returns the customer's account with its present weight. The number of
-// accounts is bounded by the number of contracts.
-func (s *shares) account(customer string, weight float64) *account {
-	a := s.accounts[customer]
+// account returns the client's account and sets its current weight. The number of accounts is
+// bounded by the number of contracts.
+func (s *shares) account(client string, weight float64) *account {
+	a := s.accounts[client]
 	if a == nil {
 		a = &account{
 			jobs:  indexed.New(byKey, func(j *Job) *int { return &j.position }),
 			aged:  indexed.New(byDeadline, func(j *Job) *int { return &j.position }),
 			index: indexed.None,
 		}
-		s.accounts[customer] = a
+		s.accounts[client] = a
 	}
 	a.weight = weight
 	return a
 }
 
-// arrive counts the job among the arrivals of its size.
-func (a *account) arrive(now time.Time, j *Job) {
+// countArrival counts the job among the arrivals of its size class.
+func (a *account) countArrival(now time.Time, j *Job) {
 	j.added = now
-	j.size = sizeOf(sum(j.Estimates))
+	j.sizeClass = sizeClassOf(sum(j.Estimates))
 	a.halfLife = arrivalHalfLife(j.Deadline.Sub(j.Accepted))
-	a.count(now, j, 1)
+	a.addArrivals(now, j, 1)
 }
 
-// count adds the job's part in the arrivals of its size, as it is by now, so many
-// times.
-func (a *account) count(now time.Time, j *Job, times float64) {
-	left := math.Exp2(-now.Sub(j.added).Seconds() / a.halfLife.Seconds())
-	a.arrived[j.size].Add(now, a.halfLife, times*left*sum(j.Shown).Seconds())
+// addArrivals adds the job's arrivals to its size class, decayed to now and multiplied by times.
+func (a *account) addArrivals(now time.Time, j *Job, times float64) {
+	decayed := math.Exp2(-now.Sub(j.added).Seconds() / a.halfLife.Seconds())
+	a.arrived[j.sizeClass].Add(now, a.halfLife, times*decayed*sum(j.Shown).Seconds())
 }
 
 func sum(times []time.Duration) time.Duration {
@@ -126,7 +124,7 @@
 	return all
 }
 
-// heap is where the job waits.
+// heap returns the heap that the job waits in.
 func (a *account) heap(j *Job) *indexed.Heap[*Job] {
 	if j.aged {
 		return a.aged
@@ -137,16 +135,16 @@
 // waiting counts the jobs with waiting tasks.
 func (a *account) waiting() int { return a.jobs.Len() + a.aged.Len() }
 
-// head is the job whose task goes next; some job has to wait.
+// head returns the job whose task is started next. A job must be waiting.
 func (a *account) head() *Job {
-	if a.jobs.Len() == 0 || a.turn && a.aged.Len() > 0 {
+	if a.jobs.Len() == 0 || a.agedNext && a.aged.Len() > 0 {
 		return a.aged.Min()
 	}
 	return a.jobs.Min()
 }
 
-// age lets a job go in turn with those that come before it by the order.
-func (a *account) age(j *Job) {
+// moveToAged moves a job to the aged jobs, which take turns with the others.
+func (a *account) moveToAged(j *Job) {
 	waits := j.position != indexed.None
 	a.jobs.Remove(j)
 	j.aged = true
@@ -158,28 +156,28 @@
 func (s *shares) push(j *Job) {
 	j.account.heap(j).Push(j)
 	if j.account.index == indexed.None {
-		s.join(j.account)
+		s.activate(j.account)
 	}
 }
 
-func (s *shares) drop(j *Job) {
+func (s *shares) remove(j *Job) {
 	j.account.heap(j).Remove(j)
 	if j.account.waiting() == 0 && j.account.index != indexed.None {
-		s.leave(j.account)
+		s.deactivate(j.account)
 	}
 }
 
-// join makes a customer active. It can't have saved up a share while it had
-// nothing to run, and it owes what it was ahead for no longer than the slack.
-func (s *shares) join(a *account) {
-	mean, slack := s.measure()
-	a.virtual = min(max(a.virtual, mean), mean+slack)
+// activate makes a client active. A client cannot save up its share while it has nothing to run,
+// and it does not owe more than the slack for having been ahead.
+func (s *shares) activate(a *account) {
+	mean, slack := s.meanAndSlack()
+	a.virtualTime = min(max(a.virtualTime, mean), mean+slack)
 	a.index = len(s.active)
 	s.active = append(s.active, a)
 }
 
-func (s *shares) leave(a *account) {
-	s.measure()
+func (s *shares) deactivate(a *account) {
+	s.meanAndSlack()
 	last := len(s.active) - 1
 	s.active[a.index] = s.active[last]
 	s.active[a.index].index = a.index
@@ -188,15 +186,15 @@
 	a.index = indexed.None
 }
 
-// measure returns the weighted mean of the virtual times and the slack in the
-// same unit. With nobody active the mean stays where it was.
-func (s *shares) measure() (mean, slack float64) {
+// meanAndSlack updates the weighted mean of the virtual times, and returns it with the slack
+// in virtual time. While no client is active the mean stays the same.
+func (s *shares) meanAndSlack() (mean, slack float64) {
 	if len(s.active) == 0 {
 		return s.mean, 0
 	}
 	var sum, weights float64
 	for _, a := range s.active {
-		sum += a.weight * a.virtual
+		sum += a.weight * a.virtualTime
 		weights += a.weight
 	}
 	s.mean = sum / weights
@@ -207,10 +205,10 @@
 	if len(s.active) == 0 {
 		return nil
 	}
-	limit := s.limit()
+	limit := s.eligibleUntil()
 	var best *Job
 	for _, a := range s.active {
-		if a.virtual > limit {
+		if a.virtualTime > limit {
 			continue
 		}
 		if head := a.head(); best == nil || byKey(head, best) {
@@ -220,64 +218,64 @@
 	return best
 }
 
-// limit is the virtual time up to which a customer is eligible. The one furthest
-// behind always is, also when rounding puts the mean below all of them.
-func (s *shares) limit() float64 {
+// eligibleUntil returns the virtual time up to which a client is eligible. The client furthest
+// behind is always eligible, also when rounding puts the mean below all of them.
+func (s *shares) eligibleUntil() float64 {
 	if !s.fair {
 		return math.Inf(1)
 	}
 	least := math.Inf(1)
 	for _, a := range s.active {
-		least = min(least, a.virtual)
+		least = min(least, a.virtualTime)
 	}
-	mean, slack := s.measure()
+	mean, slack := s.meanAndSlack()
 	return max(least, mean+slack)
 }
 
 func (s *shares) charge(now time.Time, a *account, work time.Duration) {
-	a.virtual += work.Seconds() / a.weight
+	a.virtualTime += work.Seconds() / a.weight
 	a.used.Add(now, rateHalfLife, work.Seconds())
 	s.total.Add(now, rateHalfLife, work.Seconds())
 }
 
-// hold counts started tasks.
-func (s *shares) hold(a *account, tasks int) {
-	a.open += tasks
-	s.open += tasks
+// addStarted adds to the counts of started tasks; a negative number subtracts.
+func (s *shares) addStarted(a *account, tasks int) {
+	a.startedTasks += tasks
+	s.startedTasks += tasks
 }
 
-func (s *shares) standing(now time.Time, customer string, weight float64, work time.Duration) Standing {
+func (s *shares) clientLoad(now time.Time, client string, weight float64, work time.Duration) Standing {
 	weights := weight
-	own := s.accounts[customer]
+	own := s.accounts[client]
 	for _, a := range s.active {
 		if a != own {
 			weights += a.weight
 		}
 	}
-	standing := Standing{Share: weight / weights, OthersRate: s.othersRate(now, own), Idle: true}
+	load := Standing{Share: weight / weights, OthersRate: s.othersRate(now, own), Idle: true}
 	if own == nil {
-		return standing
+		return load
 	}
-	standing.Idle = own.index == indexed.None
-	size := sizeOf(work)
-	for i := range size {
-		standing.Ahead += own.work[i]
-		standing.SmallerRate += max(0, own.arrived[i].Rate(now, own.halfLife))
+	load.Idle = own.index == indexed.None
+	class := sizeClassOf(work)
+	for i := range class {
+		load.Ahead += own.work[i]
+		load.SmallerRate += max(0, own.arrived[i].Rate(now, own.halfLife))
 	}
-	standing.Ahead += own.work[size]
-	standing.SmallerRate += max(0, own.arrived[size].Rate(now, own.halfLife)) / 2
-	return standing
+	load.Ahead += own.work[class]
+	load.SmallerRate += max(0, own.arrived[class].Rate(now, own.halfLife)) / 2
+	return load
 }
 
-// othersRate is the slots that all but one customer use: what they used of late,
-// or what they hold now if that is more. In the first seconds of a rush little
-// was used yet; by that alone each customer would count on nearly all slots, and
-// more be taken of all of them than can be answered.
+// othersRate returns the number of slots that all clients but one use: what they used
+// recently, or what they hold now if that is more. In the first seconds of a burst they have
+// used little; by recent use alone each client would count on nearly all slots, and more jobs
+// would be admitted than can be answered.
 func (s *shares) othersRate(now time.Time, own *account) float64 {
-	used, open := s.total.Rate(now, rateHalfLife), s.open
+	used, startedTasks := s.total.Rate(now, rateHalfLife), s.startedTasks
 	if own != nil {
 		used -= own.used.Rate(now, rateHalfLife)
-		open -= own.open
+		startedTasks -= own.startedTasks
 	}
-	return max(0, used, float64(open))
+	return max(0, used, float64(startedTasks))
 }
