--- a/dispatch/admission/admission.go
+++ b/dispatch/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides at once whether a new job can be answered within
-// its answer time, and says when to come back when it can't.
+// Package admission decides at once whether a new job can be answered within its answer time,
+// and if not, when its caller should retry.
 package admission
 
 import (
@@ -16,39 +16,39 @@
 	DefaultMaxRetry = time.Minute
 )
 
-// rushPart is the part of the answer time for which arrivals are expected to go
-// on as measured.
-const rushPart = 0.5
+// arrivalHorizon is the fraction of the answer time for which arrivals are expected to
+// continue at the measured rate.
+const arrivalHorizon = 0.5
 
-// Options of a Gate; zero values take the defaults.
+// Options configure a Gate; zero values take the defaults.
 type Options struct {
-	// MaxTasks and MaxBytes bound what the queue may hold.
+	// MaxTasks and MaxBytes limit what the queue may hold.
 	MaxTasks int
 	MaxBytes int64
-	// Margin is the part of the answer time that the estimate may fill.
+	// Margin is the fraction of the answer time that the forecast may use.
 	Margin float64
-	// MinRetry and MaxRetry bound the times told to those refused.
+	// MinRetry and MaxRetry are the bounds of the retry times for refused jobs.
 	MinRetry time.Duration
 	MaxRetry time.Duration
 }
 
-// Load is the state of the service at the moment of a decision.
+// Load is the state of the service at the time of a decision.
 type Load struct {
-	// Waiting and Bytes are what the queue holds.
+	// Waiting is the number of tasks in the queue, Bytes the size of its payloads.
 	Waiting int
 	Bytes   int64
-	// Slots is what this entry can count on, free of others' work.
+	// Slots is the number of slots that this entry can count on, without those that other
+	// entries use.
 	Slots float64
-	// Idle is true when nothing of the customer waits.
+	// Idle is true if no task of the client is waiting.
 	Idle bool
-	// Ahead is the expected run time of the customer's waiting tasks that go
-	// before the job's, SmallerRate what arrives of such work per second, in
-	// slots.
+	// Ahead is the expected run time of the client's waiting tasks that go before the job's;
+	// SmallerRate is the rate at which such work arrives, in slots.
 	Ahead       time.Duration
 	SmallerRate float64
-	// Share is the customer's fair part of the slots, from 0 to 1.
+	// Share is the client's fair share of the slots, from 0 to 1.
 	Share float64
-	// OthersRate is the slots that other customers use.
+	// OthersRate is the number of slots that other clients use.
 	OthersRate float64
 }
 
@@ -57,39 +57,38 @@
 	Customer string
 	Tasks    int
 	Bytes    int64
-	// Work is the expected run time of the job's tasks together, Longest that
-	// of its longest task.
+	// Work is the total expected run time of the job's tasks, Longest that of its longest task.
 	Work    time.Duration
 	Longest time.Duration
-	// Learnt is true when the times were learnt and not guessed.
+	// Learnt is true if the run times were learnt from earlier runs, false if they are a guess.
 	Learnt bool
 	// AnswerTime is the time left for the answer.
 	AnswerTime time.Duration
 }
 
-// Verdict is the outcome of a decision.
+// Verdict is the result of an admission decision.
 type Verdict int
 
-// Verdicts.
+// Values of Verdict.
 const (
 	Admitted Verdict = iota
-	// TooLate: the job can't be answered in time.
+	// TooLate: the job cannot be answered in time.
 	TooLate
-	// Full: a bound of the queue is reached.
+	// Full: the queue has reached one of its limits.
 	Full
 )
 
-// Gate decides on admission. It is not safe for concurrent use.
+// Gate decides on the admission of jobs. It is not safe for concurrent use.
 type Gate struct {
-	opts Options
-	rng  *rand.Rand
-	// returns holds, for each customer refused of late, the moment up to which
-	// those refused have been asked to come back.
-	returns map[string]time.Time
+	opts   Options
+	random *rand.Rand
+	// lastRetry holds, for each client with recently refused jobs, the latest retry time that
+	// was given out.
+	lastRetry map[string]time.Time
 }
 
 // New returns a Gate.
-func New(o Options, rng *rand.Rand) *Gate {
+func New(o Options, random *rand.Rand) *Gate {
 	if o.MaxTasks == 0 {
 		o.MaxTasks = DefaultMaxTasks
 	}
@@ -105,39 +104,40 @@
 	if o.MaxRetry == 0 {
 		o.MaxRetry = DefaultMaxRetry
 	}
-	return &Gate{opts: o, rng: rng, returns: map[string]time.Time{}}
+	return &Gate{opts: o, random: random, lastRetry: map[string]time.Time{}}
 }
 
-// Decide judges one job. retryAfter is set for every verdict but Admitted.
+// Decide decides on one job. retryAfter is set for every verdict except Admitted.
 func (g *Gate) Decide(now time.Time, l Load, d Demand) (v Verdict, retryAfter time.Duration) {
 	rate := g.rate(l)
 	if l.Waiting+d.Tasks > g.opts.MaxTasks || l.Bytes+d.Bytes > g.opts.MaxBytes {
 		return Full, g.retryAfter(now, d, rate, g.opts.MinRetry)
 	}
 	late := g.Forecast(l, d).Lateness()
-	if late <= 0 || g.trial(l, d) {
+	if late <= 0 || g.admitGuess(l, d) {
 		return Admitted, 0
 	}
 	if !g.Feasible(l, d) {
-		// It waits for no other job, so an appointment would only defer later ones.
+		// The job does not wait for other jobs, so reserving a retry time would only delay the
+		// later ones.
 		return TooLate, g.Spread(min(late, g.opts.MaxRetry))
 	}
 	return TooLate, g.retryAfter(now, d, rate, late)
 }
 
-// Forecast is how long a job would take if it were taken now.
+// Forecast is how long a job would take if it were admitted now.
 type Forecast struct {
-	// Rate is the slots that serve the customer.
+	// Rate is the number of slots that serve the client.
 	Rate float64
-	// Drain is the time to serve the job and all that goes before it, Allowed the
-	// time there is for that: zero or less when the longest task alone fills it.
+	// Drain is the time needed to run the job and all that goes before it, Allowed the time
+	// available for that: zero or less if the longest task alone exceeds it.
 	Drain, Allowed time.Duration
 }
 
-// Lateness is how much too late the job would end, zero or less when it is in time.
+// Lateness returns how late the job would end, zero or less if it ends in time.
 func (f Forecast) Lateness() time.Duration { return f.Drain - f.Allowed }
 
-// Forecast returns how long a job would take.
+// Forecast returns how long a job would take if it were admitted now.
 func (g *Gate) Forecast(l Load, d Demand) Forecast {
 	rate := g.rate(l)
 	return Forecast{
@@ -147,78 +147,78 @@
 	}
 }
 
-// RetryAfterNone is for a service of which no endpoint is known: a random time
+// RetryAfterNone returns the retry time for a service without known endpoints: a random time
 // of up to a second, in which one may announce itself.
 func (g *Gate) RetryAfterNone() time.Duration { return g.Spread(time.Second) }
 
-// rate is the slots that the customer can count on: its fair share, or what the
-// others leave when that is more.
+// rate returns the number of slots that the client can count on: its fair share, or what the
+// other clients leave if that is more.
 func (g *Gate) rate(l Load) float64 {
 	const least = 0.1
 	return max(least, l.Slots*l.Share, l.Slots-l.OthersRate)
 }
 
-// Feasible reports whether the job could be answered in time if it had the whole service
-// for itself.
+// Feasible reports whether the job could be answered in time if it had the whole service to
+// itself.
 func (g *Gate) Feasible(l Load, d Demand) bool {
 	return g.Forecast(Load{Slots: l.Slots, Share: 1}, d).Lateness() <= 0
 }
 
-// drainTime is the time to serve the job and what goes before it. Smaller jobs of its
-// customer that wait go before it, and so do those that come while it waits: a large job
-// gets only what the stream of small ones leaves. A rush of small ones is taken
-// to last for a part of the answer time. Jobs larger than it don't count, as it
-// overtakes them.
+// drainTime returns the time needed to run the job and what goes before it: smaller jobs of
+// its client, both those that are waiting and those that arrive while it waits. A large job
+// thus gets only the slots that the stream of small ones leaves free. A burst of small jobs is
+// assumed to last for a fraction of the answer time. Larger jobs do not count, because the job
+// goes before them.
 func drainTime(l Load, d Demand, rate float64) time.Duration {
 	ahead := (l.Ahead + d.Work).Seconds()
-	drain := (ahead + l.SmallerRate*d.AnswerTime.Seconds()*rushPart) / rate
-	if left := rate - l.SmallerRate; left > 0 {
-		drain = min(drain, ahead/left)
+	drain := (ahead + l.SmallerRate*d.AnswerTime.Seconds()*arrivalHorizon) / rate
+	if available := rate - l.SmallerRate; available > 0 {
+		drain = min(drain, ahead/available)
 	}
 	return time.Duration(drain * float64(time.Second))
 }
 
-// trial lets a job through against a guessed estimate when nothing of its
-// customer waits. A guess that is far too long would otherwise shut a customer
-// out for good, since nothing of its could ever run and correct the guess.
-func (g *Gate) trial(l Load, d Demand) bool {
+// admitGuess reports whether to admit a job against a guessed estimate, which is the case if
+// nothing of its client is waiting. A guess that is far too long would otherwise lock out a
+// client for good, since no task of it could ever run and correct the guess.
+func (g *Gate) admitGuess(l Load, d Demand) bool {
 	return !d.Learnt && l.Idle
 }
 
-// retryAfter gives those refused an appointment each: the time by which the
-// backlog has shrunk enough, and after it one job after the other at the rate
-// at which the customer is served. Told the same moment, they would all come
-// back together and most be refused again.
+// retryAfter gives each refused job its own retry time: the time by which the backlog has
+// shrunk enough, and from then on one job after another at the rate at which the client is
+// served. If all got the same time, they would all retry together and most would be refused
+// again.
 func (g *Gate) retryAfter(now time.Time, d Demand, rate float64, late time.Duration) time.Duration {
-	g.sweep(now)
+	g.removePassed(now)
 	at := now.Add(max(late, g.opts.MinRetry))
-	if booked := g.returns[d.Customer]; booked.After(at) {
-		at = booked
+	if previous := g.lastRetry[d.Customer]; previous.After(at) {
+		at = previous
 	}
 	at = at.Add(time.Duration(d.Work.Seconds() / rate * float64(time.Second)))
 	if latest := now.Add(g.opts.MaxRetry); at.After(latest) {
 		at = latest
 	}
-	g.returns[d.Customer] = at
+	g.lastRetry[d.Customer] = at
 	return g.Spread(at.Sub(now))
 }
 
-// Spread adds a random part, so that those told the same moment, by several
-// entries or at the longest wait, don't come in the same one.
+// Spread adds random jitter, so that callers given the same time, by several entries or
+// because it is the longest one, do not retry at the same moment.
 func (g *Gate) Spread(wait time.Duration) time.Duration {
-	const part = 0.2
-	return max(g.opts.MinRetry, time.Duration(float64(wait)*(1+part*g.rng.Float64())))
+	const jitter = 0.2
+	return max(g.opts.MinRetry, time.Duration(float64(wait)*(1+jitter*g.random.Float64())))
 }
 
-// sweep drops appointments that have passed once there are many.
-func (g *Gate) sweep(now time.Time) {
+// removePassed removes retry times that have passed once there are many entries.
+func (g *Gate) removePassed(now time.Time) {
 	const many = 1024
-	if len(g.returns) < many {
+	if len(g.lastRetry) < many {
 		return
 	}
-	for customer, at := range g.returns {
+	for client, at := range g.lastRetry {
 		if at.Before(now) {
-			delete(g.returns, customer)
+			delete(g.lastRetry, client)
 		}
 	}
 }
--- a/dispatch/admission/admission_test.go
+++ b/dispatch/admission/admission_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestRetryAfterSpreadsClients: a hundred jobs are refused in the same moment.
-// Asked to come back together they would be refused together again; they have
-// to spread over about the time that their work takes.
+// TestRetryAfterSpreadsClients: a hundred jobs are refused at the same moment. If all were
+// told to retry at the same time, most would be refused again; their retry times must spread
+// over about the time that their work takes.
 func TestRetryAfterSpreadsClients(t *testing.T) {
 	g := newGate()
 	load := admission.Load{Slots: 10, Share: 1, Ahead: 100 * time.Second}
