--- a/dispatch/placement/endpoint.go
+++ b/dispatch/placement/endpoint.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// smoothing is the time over which reports of others' work are averaged.
-const smoothing = time.Second
+// othersTimeConstant is the time constant over which reports of others' tasks are averaged.
+const othersTimeConstant = time.Second
 
-// Endpoint is what an entry knows of one endpoint's slots.
+// Endpoint is what an entry knows about the slots of one endpoint.
 type Endpoint struct {
-	// ID names the endpoint, Zone its data centre.
+	// ID is the name of the endpoint, Zone its data centre.
 	ID   string
 	Zone string
 
@@ -22,108 +22,109 @@
 	others   int
 	version  uint64
 	reported time.Time
-	// usual is the number of tasks held for others, averaged over time.
-	usual float64
-	// pace is the part of its slots that counts, below 1 for a slow endpoint.
-	pace float64
-	held bool
-	// trial is true while one task at a time may be open there.
-	trial bool
-
-	near bool
-	// level and index are the place in the Set's index; level is noLevel while
-	// the endpoint can't take a task.
+	// meanOthers is the moving average of the number of tasks held for other entries.
+	meanOthers float64
+	// slotWeight is the fraction of the slots that counts, below 1 for a slow endpoint.
+	slotWeight float64
+	excluded   bool
+	// probing is true while only one task at a time may be open there, to test the endpoint.
+	probing bool
+
+	local bool
+	// level and index are the endpoint's position in the Set's index; level is noLevel while
+	// the endpoint cannot take a task.
 	level int
 	index int
-	// all is the place among all endpoints of the Set.
+	// all is the position among all endpoints of the Set.
 	all int
 }
 
 // Slots returns the number of tasks that the endpoint runs at once.
 func (e *Endpoint) Slots() int { return e.slots }
 
-// Own returns this entry's open starts there.
+// Own returns the number of this entry's open starts there.
 func (e *Endpoint) Own() int { return e.own }
 
-// Others returns the tasks held there for others by the last report.
+// Others returns the number of tasks held there for other entries, by the last report.
 func (e *Endpoint) Others() int { return e.others }
 
-// Leaving reports whether no new task may start there.
+// Leaving reports whether the endpoint is draining: no new task may be started there.
 func (e *Endpoint) Leaving() bool { return e.leaving }
 
-// Held reports whether the owner has taken the endpoint out of choice.
-func (e *Endpoint) Held() bool { return e.held }
+// Held reports whether the endpoint is excluded from placement by Hold.
+func (e *Endpoint) Held() bool { return e.excluded }
 
-// Barred reports whether no task may start there, whatever its load.
+// Barred reports whether no task may be started there, whatever its load.
 func (e *Endpoint) Barred() bool {
 	return !e.Usable() || e.ownLimit > 0 && e.own >= e.ownLimit
 }
 
-// share is the number of slots that this entry may count on: what others
-// usually leave, and at least one, which the guard's queue gives it in turn.
+// usableSlots returns the number of slots that this entry can count on: what others usually
+// leave, but at least one, because the guard's queue serves the entries in turn.
 //
-// Of an endpoint without a queue it is no less than what this entry holds now. One
-// refusal reads as others holding all the rest there; believed against its own open
-// starts, jobs were refused as a backlog that these slots answer in a moment. A
-// guard's report counts what others hold, and an own start there may only wait.
-func (e *Endpoint) share() float64 {
+// For an endpoint without a queue it is at least what this entry holds now. A refusal there is
+// read as others holding all other slots; if that were believed against the entry's own open
+// starts, jobs would be refused for a backlog that these slots work off in a moment. At an
+// endpoint with a guard, the report counts what others hold, and an own start may still be
+// waiting there.
+func (e *Endpoint) usableSlots() float64 {
 	if !e.Usable() {
 		return 0
 	}
-	share := max(1, float64(e.slots)-e.usual)
+	usable := max(1, float64(e.slots)-e.meanOthers)
 	if e.noQueue {
-		share = max(share, float64(min(e.own, e.slots)))
+		usable = max(usable, float64(min(e.own, e.slots)))
 	}
 	if e.ownLimit > 0 {
-		share = min(share, float64(e.ownLimit))
+		usable = min(usable, float64(e.ownLimit))
 	}
-	return share * e.pace
+	return usable * e.slotWeight
 }
 
-// Usable reports whether the endpoint takes tasks at all.
+// Usable reports whether the endpoint accepts tasks at all.
 func (e *Endpoint) Usable() bool { return !e.leaving && e.slots > 0 }
 
-// average takes a report's count of others' work into the running mean.
-func (e *Endpoint) average(now time.Time, others int) {
-	part := 1.0
+// averageOthers adds a report's count of others' tasks to the moving average.
+func (e *Endpoint) averageOthers(now time.Time, others int) {
+	weight := 1.0
 	if !e.reported.IsZero() {
 		age := max(0, now.Sub(e.reported))
-		part = 1 - math.Exp(-age.Seconds()/smoothing.Seconds())
+		weight = 1 - math.Exp(-age.Seconds()/othersTimeConstant.Seconds())
 	}
-	e.usual += (float64(others) - e.usual) * part
+	e.meanOthers += (float64(others) - e.meanOthers) * weight
 	e.reported = now
 }
 
-// counted is the number of slots by the measured pace: one that runs at a
-// fourth of its peers' pace does the work of a fourth of its slots.
-func (e *Endpoint) counted() int {
-	if e.pace >= 1 {
+// effectiveSlots returns the number of slots scaled by slotWeight: an endpoint that runs at a
+// quarter of its peers' speed does the work of a quarter of its slots.
+func (e *Endpoint) effectiveSlots() int {
+	if e.slotWeight >= 1 {
 		return e.slots
 	}
-	return max(1, int(math.Floor(float64(e.slots)*e.pace)))
+	return max(1, int(math.Floor(float64(e.slots)*e.slotWeight)))
 }
 
-// free is the number of slots believed free, negative when more tasks are there
+// freeSlots returns the number of slots believed free, negative when the endpoint has more tasks
 // than slots.
-func (e *Endpoint) free() int { return e.counted() - e.own - e.others }
+func (e *Endpoint) freeSlots() int { return e.effectiveSlots() - e.own - e.others }
 
-// rank returns the level that the endpoint is chosen by, noLevel for none. A
-// slow one comes after all others, also after those that are full but below the
-// floor: a task that waits for a steady one is mostly answered sooner. One on
+// rank returns the level by which the endpoint is chosen, noLevel if it cannot be. A slow
+// endpoint comes after all normal ones, also after those that are full but have fewer own
+// starts than floor: a task waiting for a normal endpoint is mostly answered sooner. One on
 // trial comes last.
 func (e *Endpoint) rank(floor int) int {
-	if e.held || e.Barred() {
+	if e.excluded || e.Barred() {
 		return noLevel
 	}
-	free := e.free()
+	free := e.freeSlots()
 	switch {
-	case e.trial && e.own == 0:
-		return trialLevel
-	case e.trial:
+	case e.probing && e.own == 0:
+		return probingLevel
+	case e.probing:
 		return noLevel
-	case e.pace < 1 && free > 0:
+	case e.slotWeight < 1 && free > 0:
 		return slowLevel
-	case e.pace < 1:
+	case e.slotWeight < 1:
 		return noLevel
 	case free <= 0 && (e.noQueue || e.own >= floor):
 		return noLevel
--- a/dispatch/placement/placement_test.go
+++ b/dispatch/placement/placement_test.go
@@ -16,14 +16,15 @@
 	return placement.New(placement.Options{Zone: "near", Floor: floor}, rand.New(rand.NewPCG(1, 2)))
 }
 
-func add(s *placement.Set, id, zone string, slots int) *placement.Endpoint {
-	e := s.Add(id, zone)
+func add(s *placement.Set, id, dataCentre string, slots int) *placement.Endpoint {
+	e := s.Add(id, dataCentre)
 	s.Configure(e, slots, 0, false)
 	return e
 }
 
-// TestKnownFreeOrder: most free slots first, the own zone on a tie, then what is
-// below the floor, then a slow one; never the one to avoid while another will do.
+// TestKnownFreeOrder: the endpoint with the most free slots goes first, one in the entry's
+// data centre on a tie, then a full one with fewer own starts than the floor, then a slow one.
+// The one to avoid is chosen only if there is no other.
 func TestKnownFreeOrder(t *testing.T) {
 	s := newSet(1)
 	far := add(s, "far", "far", 3)
@@ -56,7 +57,8 @@
 	assert.Assert(t, slots == 0 && usable == 0)
 }
 
-// TestOwnLimit: a bare endpoint's share caps this entry, whatever is free.
+// TestOwnLimit: the share of a bare endpoint (one without a guard) caps this entry's starts,
+// whatever is free.
 func TestOwnLimit(t *testing.T) {
 	s := newSet(4)
 	e := s.Add("a", "near")
@@ -69,10 +71,10 @@
 	assert.Equal(t, slots, 2.0)
 }
 
-// TestHeldSlotsCount: a bare endpoint refuses a start, which is taken for others
-// holding all its other slots, while four of this entry's tasks run there. It can
-// count on these four. Counted as one, the callers of a first rush were told that
-// there is a backlog, though all would have been answered within a second.
+// TestHeldSlotsCount: a bare endpoint refuses a start, which is read as others holding all its
+// other slots, while four of this entry's tasks run there. The entry can count on these four.
+// If they counted as one, callers of a first burst would be told that there is a backlog,
+// although all would have been answered within a second.
 func TestHeldSlotsCount(t *testing.T) {
 	s := newSet(0)
 	e := s.Add("a", "near")
@@ -86,9 +88,9 @@
 	assert.Assert(t, slots == 4 && usable == 1, "%v", slots)
 }
 
-// TestTrial: an endpoint on trial comes after all others and has one own task at
-// most, those that began before included.
-func TestTrial(t *testing.T) {
+// TestProbing: an endpoint on trial comes after all others and has at most one own task,
+// including those started before the trial.
+func TestProbing(t *testing.T) {
 	s := newSet(1)
 	trial := add(s, "trial", "near", 8)
 	steady := add(s, "steady", "near", 1)
@@ -104,8 +106,8 @@
 	assert.Equal(t, s.Choose(nil), trial)
 }
 
-// TestNoQueue: a start above the slots of an endpoint without a queue would be
-// refused, so the floor does not hold there.
+// TestNoQueue: a start above the slots of an endpoint without a queue would be refused, so the
+// floor does not apply there.
 func TestNoQueue(t *testing.T) {
 	s := newSet(1)
 	e := s.Add("a", "near")
--- a/dispatch/placement/set.go
+++ b/dispatch/placement/set.go
@@ -1,5 +1,5 @@
-// Package placement chooses the endpoint for the next task, from what one entry
-// knows of the slots: its own open starts exactly, those of others by the last
+// Package placement chooses the endpoint for the next task, from what one entry knows about
+// the slots: it knows its own open starts exactly, and those of other entries by the last
 // report.
 package placement
 
@@ -12,72 +12,73 @@
 	highestLevel = 255
 	lowestLevel  = -255
 	slowLevel    = lowestLevel - 1
-	trialLevel   = slowLevel - 1
-	noLevel      = trialLevel - 1
-	levels       = highestLevel - trialLevel + 1
+	probingLevel = slowLevel - 1
+	noLevel      = probingLevel - 1
+	levels       = highestLevel - probingLevel + 1
 )
 
-// Chooser picks the endpoint for the next task; nil when none may take one now.
-// avoid is an endpoint to be chosen only when there is no other, or nil.
+// Chooser chooses the endpoint for the next task; nil if none can take one now. avoid, if not
+// nil, is an endpoint to choose only if there is no other.
 type Chooser interface {
 	Choose(s *Set, avoid *Endpoint) *Endpoint
 }
 
-// Report is an endpoint's count of what it holds for others.
+// Report is an endpoint's report of what it holds for other entries.
 type Report struct {
 	// Version orders the reports of one endpoint.
 	Version uint64
 	Others  int
-	// Slots is the endpoint's number of slots, zero when not told.
+	// Slots is the endpoint's number of slots, zero if not reported.
 	Slots   int
 	Leaving bool
 }
 
-// Options of a Set.
+// Options configure a Set.
 type Options struct {
-	// Zone is this entry's data centre; endpoints in it are preferred on a tie.
+	// Zone is this entry's data centre; its endpoints are preferred on a tie.
 	Zone string
-	// Floor is the number of own starts that may be open on an endpoint
-	// whatever its last report says. Without a floor a report of a full
-	// endpoint is never corrected, as only replies bring new ones, and the
-	// entry starves; the starts above the slots wait in the guard's queue.
+	// Floor is the number of own starts that may be open on an endpoint whatever its last
+	// report says. Without it a report of a full endpoint would never be corrected, since only
+	// replies bring new reports, and the entry would starve. Starts above the slots wait in the
+	// guard's queue.
 	Floor int
-	// Chooser is the way of choosing; nil takes KnownFree.
+	// Chooser is the placement policy; nil takes KnownFree.
 	Chooser Chooser
 }
 
-// Set is the endpoints of one service. It is not safe for concurrent use.
+// Set holds the endpoints of one service. It is not safe for concurrent use.
 type Set struct {
-	opts Options
-	rng  *rand.Rand
-	all  []*Endpoint
-	// index holds the endpoints that can take a task, by level; near ones and
-	// far ones apart. top is at or above the highest level in use.
+	opts   Options
+	random *rand.Rand
+	all    []*Endpoint
+	// index holds the endpoints that can take a task by level, with those in the own data
+	// centre apart. top is at least the highest level in use; ready counts the endpoints in the
+	// index.
 	index [levels]level
 	top   int
 	ready int
 }
 
-// level is the endpoints of one level, those of the own data centre first.
-type level struct{ near, far []*Endpoint }
+// level holds the endpoints of one level: local those in the own data centre, remote the others.
+type level struct{ local, remote []*Endpoint }
 
 // New returns an empty Set.
-func New(o Options, rng *rand.Rand) *Set {
+func New(o Options, random *rand.Rand) *Set {
 	if o.Chooser == nil {
 		o.Chooser = KnownFree{}
 	}
-	return &Set{opts: o, rng: rng, top: trialLevel}
+	return &Set{opts: o, random: random, top: probingLevel}
 }
 
-// Add takes a new endpoint.
-func (s *Set) Add(id, zone string) *Endpoint {
-	e := &Endpoint{ID: id, Zone: zone, pace: 1, level: noLevel, all: len(s.all)}
-	e.near = zone == s.opts.Zone
+// Add adds a new endpoint.
+func (s *Set) Add(id, dataCentre string) *Endpoint {
+	e := &Endpoint{ID: id, Zone: dataCentre, slotWeight: 1, level: noLevel, all: len(s.all)}
+	e.local = dataCentre == s.opts.Zone
 	s.all = append(s.all, e)
 	return e
 }
 
-// Remove forgets an endpoint.
+// Remove removes an endpoint.
 func (s *Set) Remove(e *Endpoint) {
 	s.unlink(e)
 	last := len(s.all) - 1
@@ -95,20 +96,20 @@
 	s.relink(e)
 }
 
-// SetNoQueue says that a start above the endpoint's slots would be refused and
-// not wait there, so that the floor does not hold for it.
+// SetNoQueue sets whether a start above the endpoint's slots would be refused instead of
+// queued there. If so, Floor does not apply to the endpoint.
 func (s *Set) SetNoQueue(e *Endpoint, noQueue bool) {
 	e.noQueue = noQueue
 	s.relink(e)
 }
 
-// Report takes the endpoint's count of what it holds for others; false when the
+// Report records an endpoint's report of what it holds for others. It returns false if the
 // report is not newer than the last one.
 func (s *Set) Report(now time.Time, e *Endpoint, r Report) bool {
 	if !e.reported.IsZero() && r.Version <= e.version {
 		return false
 	}
-	e.average(now, r.Others)
+	e.averageOthers(now, r.Others)
 	e.version = r.Version
 	e.others = r.Others
 	if r.Slots > 0 {
@@ -119,49 +120,49 @@
 	return true
 }
 
-// Open counts one own start more.
+// Open counts one more open start of this entry.
 func (s *Set) Open(e *Endpoint) {
 	e.own++
 	s.relink(e)
 }
 
-// Close is the end of one own start.
+// Close counts the end of one open start of this entry.
 func (s *Set) Close(e *Endpoint) {
 	e.own--
 	s.relink(e)
 }
 
-// Hold takes the endpoint out of choice or lets it back in.
-func (s *Set) Hold(e *Endpoint, held bool) {
-	if e.held != held {
-		e.held = held
+// Hold excludes the endpoint from placement, or includes it again.
+func (s *Set) Hold(e *Endpoint, excluded bool) {
+	if e.excluded != excluded {
+		e.excluded = excluded
 		s.relink(e)
 	}
 }
 
-// SetPace sets the part of the endpoint's slots that counts: 1 for a steady one,
-// less for a slow one.
-func (s *Set) SetPace(e *Endpoint, pace float64) {
-	e.pace = pace
+// SetPace sets the fraction of the endpoint's slots that counts: 1 for a normal endpoint, less
+// for a slow one.
+func (s *Set) SetPace(e *Endpoint, slotWeight float64) {
+	e.slotWeight = slotWeight
 	s.relink(e)
 }
 
 // SetTrial makes the endpoint the last choice, with one task at a time.
-func (s *Set) SetTrial(e *Endpoint, trial bool) {
-	if e.trial != trial {
-		e.trial = trial
+func (s *Set) SetTrial(e *Endpoint, probing bool) {
+	if e.probing != probing {
+		e.probing = probing
 		s.relink(e)
 	}
 }
 
-// Choose picks the endpoint for the next task; nil when none may take one.
+// Choose chooses the endpoint for the next task; nil if none can take one.
 func (s *Set) Choose(avoid *Endpoint) *Endpoint { return s.opts.Chooser.Choose(s, avoid) }
 
-// Capacity returns the slots that this entry may count on and the number of
-// endpoints that take tasks at all.
+// Capacity returns the number of slots that this entry can count on, and the number of
+// endpoints that accept tasks at all.
 func (s *Set) Capacity() (slots float64, usable int) {
 	for _, e := range s.all {
-		slots += e.share()
+		slots += e.usableSlots()
 		if e.Usable() {
 			usable++
 		}
@@ -169,13 +170,13 @@
 	return slots, usable
 }
 
-// All returns all endpoints, for reading.
+// All returns all endpoints. The caller must not change the slice.
 func (s *Set) All() []*Endpoint { return s.all }
 
 // IntN returns a random number from 0 to n-1.
-func (s *Set) IntN(n int) int { return s.rng.IntN(n) }
+func (s *Set) IntN(n int) int { return s.random.IntN(n) }
 
-// relink moves the endpoint to its present level.
+// relink moves the endpoint to its current level in the index.
 func (s *Set) relink(e *Endpoint) {
 	rank := e.rank(s.opts.Floor)
 	if rank == e.level {
@@ -185,7 +186,7 @@
 	if rank == noLevel {
 		return
 	}
-	bucket := s.bucket(rank, e.near)
+	bucket := s.bucket(rank, e.local)
 	e.level = rank
 	e.index = len(*bucket)
 	*bucket = append(*bucket, e)
@@ -197,7 +198,7 @@
 	if e.level == noLevel {
 		return
 	}
-	bucket := s.bucket(e.level, e.near)
+	bucket := s.bucket(e.level, e.local)
 	last := len(*bucket) - 1
 	(*bucket)[e.index] = (*bucket)[last]
 	(*bucket)[e.index].index = e.index
@@ -207,17 +208,17 @@
 	s.ready--
 }
 
-func (s *Set) bucket(rank int, near bool) *[]*Endpoint {
-	l := &s.index[rank-trialLevel]
-	if near {
-		return &l.near
+func (s *Set) bucket(rank int, local bool) *[]*Endpoint {
+	l := &s.index[rank-probingLevel]
+	if local {
+		return &l.local
 	}
-	return &l.far
+	return &l.remote
 }
 
-// KnownFree picks the endpoint with the most slots believed free, then one that
-// is below the floor and least overfull, then a slow one; the own data centre
-// first on a tie, else at random.
+// KnownFree chooses the endpoint with the most slots believed free, then the least overloaded
+// of those with fewer own starts than Floor, then a slow one, then one on trial; on a tie one
+// in the own data centre, else at random.
 type KnownFree struct{}
 
 // Choose implements Chooser.
@@ -228,10 +229,10 @@
 	if s.ready == 1 && avoid != nil && avoid.level != noLevel {
 		return avoid
 	}
-	s.settleTop()
-	for rank := s.top; rank >= trialLevel; rank-- {
-		for _, near := range []bool{true, false} {
-			if e := s.pick(*s.bucket(rank, near), avoid); e != nil {
+	s.lowerTop()
+	for rank := s.top; rank >= probingLevel; rank-- {
+		for _, local := range []bool{true, false} {
+			if e := s.pick(*s.bucket(rank, local), avoid); e != nil {
 				return e
 			}
 		}
@@ -239,16 +240,16 @@
 	return nil
 }
 
-// settleTop lowers top to the highest level in use.
-func (s *Set) settleTop() {
-	for s.top > trialLevel && s.empty(s.top) {
+// lowerTop lowers top to the highest level in use.
+func (s *Set) lowerTop() {
+	for s.top > probingLevel && s.empty(s.top) {
 		s.top--
 	}
 }
 
 func (s *Set) empty(rank int) bool {
-	l := &s.index[rank-trialLevel]
-	return len(l.near) == 0 && len(l.far) == 0
+	l := &s.index[rank-probingLevel]
+	return len(l.local) == 0 && len(l.remote) == 0
 }
 
 // pick returns a random endpoint of the bucket other than avoid.
@@ -257,7 +258,7 @@
 	if n == 0 {
 		return nil
 	}
-	first := s.rng.IntN(n)
+	first := s.random.IntN(n)
 	if bucket[first] != avoid {
 		return bucket[first]
 	}
