--- a/dispatch/work/account.go
+++ b/dispatch/work/account.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// RunName names a run at its runner. Numbers rise with each start of a task there.
+// RunName identifies a run at its runner. Number rises with each start of the task there.
 type RunName struct {
 	Task   TaskID
 	Number int
 }
 
-// How a run ended at its runner.
+// How is the way in which a run ended at its runner.
 type How int
 
-// Ends of a run.
+// Values of How.
 const (
-	// Broken: ended without its work done: stopped, lapsed, or with its peers.
+	// Broken: ended before its work was done, because it was stopped, its lease expired, or it
+	// ended together with other runs.
 	Broken How = iota
 	Done
 	Failed
 )
 
-// End of a run. Seq rises in one process of the runner.
+// End is the end of a run. Seq rises within one process of the runner.
 type End struct {
 	Seq int64
 	Run RunName
 	How How
 }
 
-// Account is the word of a runner's process on what runs and what ended.
+// Account is the report of a runner's process on its running and ended runs.
 type Account struct {
-	// Born is when the process was started, Unix milliseconds; zero where it doesn't say.
+	// Born is the start time of the process in Unix milliseconds; zero if the runner does not
+	// report it.
 	Born int64
-	// Clock is the runner's own, when it answered.
+	// Clock is the runner's own clock at the time of the report.
 	Clock   time.Duration
 	Running []RunName
 	Ends    []End
-	// More is true when not every end is listed.
+	// More is true if not all ends are listed.
 	More bool
 }
--- a/dispatch/work/incarnation.go
+++ b/dispatch/work/incarnation.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// Incarnation names one process of a runner. It is compared whole: a process may be started
-// under the id of the one before it.
+// Incarnation identifies one process of a runner. Both fields are compared: a process may be
+// started under the id of the one before it.
 type Incarnation struct {
 	ID string
-	// Born is when the process was started, Unix milliseconds; zero where the runner doesn't say.
+	// Born is the start time of the process in Unix milliseconds; zero if the runner does not
+	// report it.
 	Born int64
 }
 
-// String names the incarnation for logs.
+// String returns the incarnation as written in logs.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.ID
--- a/dispatch/work/work.go
+++ b/dispatch/work/work.go
@@ -1,10 +1,10 @@
-// Package work holds what jobs ask for and what runners have, as the deciding
-// packages see it.
+// Package work defines what jobs ask for and what runners have, as used by the packages that
+// make scheduling decisions.
 package work
 
 import "time"
 
-// Amounts are what a task takes from its runner, or what a runner has.
+// Amounts are resources: what a task takes from its runner, or what a runner has.
 type Amounts struct {
 	// CPUMilli is in thousandths of a core.
 	CPUMilli int64
@@ -27,15 +27,15 @@
 	return Amounts{max(a.CPUMilli, b.CPUMilli), max(a.MemoryMB, b.MemoryMB), max(a.GPUs, b.GPUs)}
 }
 
-// Fits reports whether a fits into room in every dimension.
-func (a Amounts) Fits(room Amounts) bool {
-	return a.CPUMilli <= room.CPUMilli && a.MemoryMB <= room.MemoryMB && a.GPUs <= room.GPUs
+// Fits reports whether a fits into capacity in every resource.
+func (a Amounts) Fits(capacity Amounts) bool {
+	return a.CPUMilli <= capacity.CPUMilli && a.MemoryMB <= capacity.MemoryMB && a.GPUs <= capacity.GPUs
 }
 
-// Times returns how many of a fit into room, most at most.
-func (a Amounts) Times(room Amounts, most int) int {
-	n := most
-	for _, d := range [...][2]int64{{a.CPUMilli, room.CPUMilli}, {a.MemoryMB, room.MemoryMB}, {a.GPUs, room.GPUs}} {
+// Times returns how many times a fits into capacity, at most limit.
+func (a Amounts) Times(capacity Amounts, limit int) int {
+	n := limit
+	for _, d := range [...][2]int64{{a.CPUMilli, capacity.CPUMilli}, {a.MemoryMB, capacity.MemoryMB}, {a.GPUs, capacity.GPUs}} {
 		if d[0] <= 0 {
 			continue
 		}
@@ -44,40 +44,40 @@
 	return max(n, 0)
 }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job   string
 	Step  int
 	Index int
 }
 
-// RunID names one start of a task by the entry that owns its job. Attempts
-// rise from 1.
+// RunID identifies one start of a task by the entry that owns its job. Attempts count from 1.
 type RunID struct {
 	Task    TaskID
 	Attempt int
 }
 
-// Step is a set of like tasks.
+// Step is a set of tasks with equal requirements.
 type Step struct {
 	Count int
 	Need  Amounts
-	// Declared is the caller's estimate of one task's run time; zero when none.
+	// Declared is the caller's estimate of one task's run time; zero if there is none.
 	Declared time.Duration
-	// After lists earlier steps whose tasks must all be done first.
+	// After lists the earlier steps whose tasks must all be done first.
 	After []int
-	// Label must be among the runner's; empty asks for none.
+	// Label must be one of the runner's labels; empty for no requirement.
 	Label string
-	// DataRack is the label of the rack where the step's data lies; empty for none.
+	// DataRack is the label of the rack that holds the step's data; empty for none.
 	DataRack string
-	// MaxPerRunner bounds the tasks of the step at a time on one runner; zero for none.
+	// MaxPerRunner limits how many tasks of the step run on one runner at a time; zero for no
+	// limit.
 	MaxPerRunner int
 }
 
 // Job is what a caller submits.
 type Job struct {
 	ID string
-	// Spec is handed to the runner as it is.
+	// Spec is passed to the runner unchanged.
 	Spec  string
 	Steps []Step
 }
