--- a/dispatch/internal/indexed/heap.go
+++ b/dispatch/internal/indexed/heap.go
@@ -1,20 +1,20 @@
-// Package indexed is a binary heap whose items know their own position, so that
-// one of them can be moved or removed in logarithmic time.
+// Package indexed implements a binary heap whose items store their own position, so that an
+// item can be moved or removed in logarithmic time.
 package indexed
 
 import "container/heap"
 
-// None is the position of an item that is in no heap.
+// None is the position of an item that is not in a heap.
 const None = -1
 
-// Heap orders items by a less function. Items are pointers that carry their
-// position in a field of theirs.
+// Heap orders items by a less function. Items are pointers to values that store their position
+// in a field.
 type Heap[T any] struct {
 	data data[T]
 }
 
-// New returns an empty heap. position gives the address of an item's position;
-// an item that is in no heap has to hold None there.
+// New returns an empty heap. position returns the address of an item's position; it must be
+// None for an item that is not in a heap.
 func New[T any](less func(a, b T) bool, position func(T) *int) *Heap[T] {
 	return &Heap[T]{data: data[T]{less: less, position: position}}
 }
@@ -31,15 +31,14 @@
 // Pop removes and returns the first item; the heap must not be empty.
 func (h *Heap[T]) Pop() T { return heap.Pop(&h.data).(T) }
 
-// Remove takes an item out; it does nothing for one that isn't in.
+// Remove removes an item; it does nothing if the item is not in the heap.
 func (h *Heap[T]) Remove(item T) {
 	if p := *h.data.position(item); p != None {
 		heap.Remove(&h.data, p)
 	}
 }
 
-// Fix moves an item whose order has changed; it does nothing for one that isn't
-// in.
+// Fix moves an item whose order has changed; it does nothing if the item is not in the heap.
 func (h *Heap[T]) Fix(item T) {
 	if p := *h.data.position(item); p != None {
 		heap.Fix(&h.data, p)
