--- a/entry/sessions/events.go
+++ b/entry/sessions/events.go
@@ -8,10 +8,10 @@
 
 var (
 	guardAttached = eventlog.Define(1351, "session.guard_attached", slog.LevelInfo,
-		"A guard attached. open_runs are runs of this entry there whose fate it is asked for.", "None.")
+		"A guard attached. open_runs is the number of this entry's open runs there whose state the guard is asked to report.", "None.")
 	guardLost = eventlog.Define(1352, "session.guard_lost", slog.LevelWarn,
-		"A guard's session ended. Its runs stay open until the guard attaches again or their callers' time is over.",
-		"If it goes on, look at that guard and the network between.")
+		"A guard's session ended. Its runs stay open until the guard attaches again or their jobs' deadlines pass.",
+		"If it persists, check that guard and the network between it and the entry.")
 	guardReleased = eventlog.Define(1353, "session.guard_released", slog.LevelInfo,
-		"A guard serves other entries from now on; none of this entry's runs is left there.", "None.")
+		"A retiring guard was released and serves other entries from now on; none of this entry's runs is open there.", "None.")
 )
--- a/entry/sessions/session.go
+++ b/entry/sessions/session.go
@@ -13,7 +13,7 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// session is one guard's stream.
+// session is the server side of one guard's stream.
 type session struct {
 	server *Server
 	guard  string
@@ -24,28 +24,29 @@
 	mu     sync.Mutex
 	starts []planner.Start
 	stops  []planner.Stop
-	// decidedAt is when the oldest of the starts was decided on, uptime.
+	// decidedAt is the uptime at which the planner decided on the oldest of the starts.
 	decidedAt time.Duration
-	// readClock is the clock of the newest message that was taken in.
+	// readClock is the guard's clock in the last message that was processed.
 	readClock time.Duration
-	// confirmAt is when a message is to confirm that at the latest, uptime; zero when a
-	// heartbeat is soon enough.
-	confirmAt time.Duration
-	// prompt is true when a message is to go out though there are no orders.
-	prompt bool
-	// retiring is true while the guard asks to be released.
+	// ackAt is the uptime by which a message must acknowledge readClock; zero when the next
+	// heartbeat is early enough.
+	ackAt time.Duration
+	// sendNow requests a message even if there are no orders.
+	sendNow bool
+	// retiring is true while the guard asks this entry to release it.
 	retiring bool
-	// open counts the runs ordered here and not over.
+	// open counts the runs that were ordered at this guard and have not ended.
 	open int
-	// clock is the guard's newest clock, and clockAt when it came, uptime.
+	// clock is the guard's clock in its newest message, and clockAt the uptime at which that
+	// message was received.
 	clock, clockAt time.Duration
-	lastHeard      time.Duration
+	lastReceived      time.Duration
 	membersVersion uint64
-	// nearest is the least difference seen between this host's uptime and the guard's
-	// clock when a message was read: the two clocks' offset and the shortest way.
-	nearest time.Duration
-	// measured is true once nearest is known.
-	measured bool
+	// minClockOffset is the smallest difference seen between this host's uptime and the guard's
+	// clock when a message was read: the offset of the two clocks plus the shortest transit time.
+	minClockOffset time.Duration
+	// hasClockOffset is true once minClockOffset is known.
+	hasClockOffset bool
 }
 
 // Order implements jobs.Guard.
@@ -64,49 +65,50 @@
 // Wake implements jobs.Guard.
 func (s *session) Wake() {
 	s.mu.Lock()
-	s.prompt = true
+	s.sendNow = true
 	s.mu.Unlock()
 	s.signal()
 }
 
-// heard notes the guard's clock. Only a newer one counts: the oldest possible
-// time of an order is worked out from it.
-func (s *session) heard(clockUs int64) {
+// recordClock stores the guard's clock from a received message. Orders carry that clock,
+// extrapolated to the time of sending; the guard derives the earliest possible time of an order
+// from it, so only the newest value counts.
+func (s *session) recordClock(clockUs int64) {
 	now := uptime.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastHeard = now
+	s.lastReceived = now
 	s.clock = time.Duration(clockUs) * time.Microsecond
 	s.clockAt = now
 }
 
-// age is the time that a message of the guard lay unread or was on the way, beyond the
-// least that one of this session has taken.
-func (s *session) age(clockUs int64) time.Duration {
-	apart := uptime.Now() - time.Duration(clockUs)*time.Microsecond
+// messageAge returns how long a guard's message was in transit or waited unread, beyond the
+// smallest such delay seen in this session.
+func (s *session) messageAge(clockUs int64) time.Duration {
+	offset := uptime.Now() - time.Duration(clockUs)*time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.measured || apart < s.nearest {
-		s.nearest, s.measured = apart, true
+	if !s.hasClockOffset || offset < s.minClockOffset {
+		s.minClockOffset, s.hasClockOffset = offset, true
 	}
-	return apart - s.nearest
+	return offset - s.minClockOffset
 }
 
-// takenIn takes note that a message has been read. Where capacity came and tasks are pending,
-// that is confirmed soon, so that the guard sends what changes next.
-func (s *session) takenIn(m *wirev1.AttachRequest, age time.Duration) {
-	soon := false
-	if m.GetCapacity() != nil && age <= confirmAge {
-		soon, _ = s.server.jobs.Waiting(s.guard)
+// noteRead records that a message was processed. If it carried capacity and tasks are pending, an
+// acknowledgement is scheduled soon, because the guard sends its next change only after it.
+func (s *session) noteRead(m *wirev1.AttachRequest, messageAge time.Duration) {
+	ackSoon := false
+	if m.GetCapacity() != nil && messageAge <= ackMaxAge {
+		ackSoon, _ = s.server.jobs.Waiting(s.guard)
 	}
 	s.mu.Lock()
 	s.readClock = time.Duration(m.GetClockUs()) * time.Microsecond
-	soon = soon && s.confirmAt == 0
-	if soon {
-		s.confirmAt = uptime.Now() + confirmDelay
+	ackSoon = ackSoon && s.ackAt == 0
+	if ackSoon {
+		s.ackAt = uptime.Now() + ackDelay
 	}
 	s.mu.Unlock()
-	if soon {
+	if ackSoon {
 		s.signal()
 	}
 }
@@ -125,33 +127,33 @@
 	if err := s.stream.Send(&wirev1.AttachResponse{Handshake: handshake, Entries: entries, Guards: uint32(s.server.jobs.Guards()), ReadUs: s.clock.Microseconds()}); err != nil {
 		return err
 	}
-	failed := make(chan error, 1)
+	receiveErr := make(chan error, 1)
 	go func() {
-		failed <- s.receive()
+		receiveErr <- s.receive()
 	}()
-	return s.send(ctx, failed)
+	return s.send(ctx, receiveErr)
 }
 
-// receive takes messages until the stream ends. It goes on after the session
-// has ended, until the handler's return breaks the stream.
+// receive processes messages until the stream ends. It outlives the session: it returns only when
+// the handler's return closes the stream.
 func (s *session) receive() error {
 	for {
 		m, err := s.stream.Receive()
 		if err != nil {
 			return err
 		}
-		s.heard(m.GetClockUs())
-		news := jobs.News{Room: roomOf(m.GetCapacity())}
-		over := 0
+		s.recordClock(m.GetClockUs())
+		update := jobs.News{Room: capacityOf(m.GetCapacity())}
+		ended := 0
 		for _, r := range m.GetReports() {
 			c := changeOf(r)
 			if c != planner.Running {
-				over++
+				ended++
 			}
 			if c == planner.NotTaken || c == planner.Unknown {
 				s.server.opt.Lag.Stale()
 			}
-			news.Reports = append(news.Reports, jobs.Report{
+			update.Reports = append(update.Reports, jobs.Report{
 				Run:    fleetwire.FromRun(r.GetTask(), r.GetAttempt()),
 				Change: c,
 				Ran:    time.Duration(r.GetRanUs()) * time.Microsecond,
@@ -159,20 +161,20 @@
 			})
 		}
 		s.mu.Lock()
-		s.open = max(s.open-over, 0)
+		s.open = max(s.open-ended, 0)
 		s.mu.Unlock()
-		if news.Room != nil || len(news.Reports) > 0 {
-			s.server.jobs.Tell(s.guard, s, news)
+		if update.Room != nil || len(update.Reports) > 0 {
+			s.server.jobs.Tell(s.guard, s, update)
 		}
-		age := s.age(m.GetClockUs())
-		s.server.opt.Lag.Read(age)
-		s.takenIn(m, age)
+		messageAge := s.messageAge(m.GetClockUs())
+		s.server.opt.Lag.Read(messageAge)
+		s.noteRead(m, messageAge)
 		s.setRetiring(m.GetCapacity())
 	}
 }
 
-// setRetiring takes note of whether the guard asks to be released. The room told with
-// it is closed, so nothing more is ordered there.
+// setRetiring records whether the guard asks to be released. A retiring guard reports closed
+// capacity, so nothing more is ordered there.
 func (s *session) setRetiring(r *wirev1.Capacity) {
 	s.mu.Lock()
 	if r != nil {
@@ -185,8 +187,8 @@
 	}
 }
 
-// released reports whether a retiring guard holds no run of this entry any more, and
-// takes its endpoint away.
+// released reports whether the guard is retiring and none of this entry's runs is open there. In
+// that case it also removes the guard's endpoint.
 func (s *session) released() bool {
 	s.mu.Lock()
 	retiring := s.retiring
@@ -194,7 +196,7 @@
 	return retiring && s.server.jobs.Release(s.guard, s)
 }
 
-// signal has the session look for something to send.
+// signal wakes the send loop without blocking.
 func (s *session) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -202,34 +204,34 @@
 	}
 }
 
-// send writes orders at once, and a ping when there are none.
-func (s *session) send(ctx context.Context, failed chan error) error {
-	timer := time.NewTimer(pingBusy)
+// send writes orders as soon as they are queued, and heartbeats when there are none.
+func (s *session) send(ctx context.Context, receiveErr chan error) error {
+	timer := time.NewTimer(heartbeatBusy)
 	defer timer.Stop()
 	lastSent := uptime.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-failed:
+		case err := <-receiveErr:
 			return err
 		case <-s.wake:
 		case <-timer.C:
 		}
 		now := uptime.Now()
-		if s.silentFor(now) > listenFor {
+		if s.sinceLastReceived(now) > guardTimeout {
 			return context.DeadlineExceeded
 		}
 		if s.released() {
 			return errReleased
 		}
-		starts, decided := s.pendingStarts()
-		m, pause := s.take(now, now-lastSent)
+		starts, decidedAt := s.pendingStarts()
+		m, delay := s.nextMessage(now, now-lastSent)
 		if !s.server.jobs.Current(s.guard, s) {
-			return errOlder
+			return errSuperseded
 		}
 		if m == nil {
-			timer.Reset(pause)
+			timer.Reset(delay)
 			continue
 		}
 		m.HasPending, m.PendingMilli = s.server.jobs.Waiting(s.guard)
@@ -237,52 +239,51 @@
 		if err := s.stream.Send(m); err != nil {
 			return err
 		}
-		s.server.opt.Lag.Sent(starts, uptime.Now()-decided)
+		s.server.opt.Lag.Sent(starts, uptime.Now()-decidedAt)
 		lastSent = now
-		timer.Reset(pingBusy)
+		timer.Reset(heartbeatBusy)
 	}
 }
 
-// pendingStarts counts the starts that are to be sent, and says when the oldest was
-// decided on.
-func (s *session) pendingStarts() (n int, decided time.Duration) {
+// pendingStarts counts the queued starts and returns when the planner decided on the oldest.
+func (s *session) pendingStarts() (n int, decidedAt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.starts), s.decidedAt
 }
 
-func (s *session) silentFor(now time.Duration) time.Duration {
+func (s *session) sinceLastReceived(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now - s.lastHeard
+	return now - s.lastReceived
 }
 
-// take builds the next message. It is nil when there is nothing to tell and the
-// last was sent a short while ago; nothing is taken as told then, and pause is
-// the time until a ping is due.
-func (s *session) take(now, since time.Duration) (m *wirev1.AttachResponse, pause time.Duration) {
+// nextMessage builds the next message and marks its content as sent. It returns nil and keeps the
+// queue when there is nothing to send and no heartbeat is due yet; delay is then the time until
+// the next message is due.
+func (s *session) nextMessage(now, since time.Duration) (m *wirev1.AttachResponse, delay time.Duration) {
 	entries, version := s.server.members.Known()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	every := pingIdle
+	interval := heartbeatIdle
 	if s.open > 0 {
-		every = pingBusy
+		interval = heartbeatBusy
 	}
-	news := len(s.starts) > 0 || len(s.stops) > 0 || s.prompt || version != s.membersVersion
-	confirm := s.confirmAt > 0 && now >= s.confirmAt
-	if !news && !confirm && since < every {
-		return nil, s.untilDue(now, every-since)
+	hasUpdate := len(s.starts) > 0 || len(s.stops) > 0 || s.sendNow || version != s.membersVersion
+	ackDue := s.ackAt > 0 && now >= s.ackAt
+	if !hasUpdate && !ackDue && since < interval {
+		return nil, s.nextDue(now, interval-since)
 	}
 	m = &wirev1.AttachResponse{
 		EchoUs: (s.clock + now - s.clockAt).Microseconds(),
 		ReadUs: s.readClock.Microseconds(),
-		Starts: group(s.starts),
+		Starts: groupByStep(s.starts),
 	}
-	s.confirmAt = 0
+	s.ackAt = 0
 	for _, x := range s.stops {
 		m.Stops = append(m.Stops, &wirev1.StopOrder{Task: fleetwire.Task(x.Run.Task), Attempt: uint32(x.Run.Attempt)})
 	}
-	s.starts, s.stops, s.prompt = nil, nil, false
+	s.starts, s.stops, s.sendNow = nil, nil, false
 	if version != s.membersVersion {
 		s.membersVersion = version
 		m.Entries = entries
@@ -290,17 +291,18 @@
 	return m, 0
 }
 
-// untilDue is the time until the next message without orders is due. The lock is held.
-func (s *session) untilDue(now, heartbeat time.Duration) time.Duration {
-	due := min(heartbeat, pingBusy)
-	if s.confirmAt > 0 {
-		due = min(due, s.confirmAt-now)
+// nextDue returns the time until the next message without orders is due. The caller holds the
+// lock.
+func (s *session) nextDue(now, heartbeat time.Duration) time.Duration {
+	due := min(heartbeat, heartbeatBusy)
+	if s.ackAt > 0 {
+		due = min(due, s.ackAt-now)
 	}
 	return due
 }
 
-// group puts the tasks of one step into one order.
-func group(starts []planner.Start) []*wirev1.StartOrder {
+// groupByStep combines consecutive starts of the same job and step into one order.
+func groupByStep(starts []planner.Start) []*wirev1.StartOrder {
 	var out []*wirev1.StartOrder
 	for _, s := range starts {
 		t := &wirev1.TaskStart{Index: uint32(s.Run.Task.Index), Attempt: uint32(s.Run.Attempt)}
@@ -320,7 +322,7 @@
 	return out
 }
 
-func roomOf(r *wirev1.Capacity) *planner.Room {
+func capacityOf(r *wirev1.Capacity) *planner.Room {
 	if r == nil {
 		return nil
 	}
@@ -352,7 +354,7 @@
 	}
 }
 
-// crashOf reads what a guard knows of a crash; nil for a run that ended otherwise.
+// crashOf converts a guard's crash report; nil for a run that ended otherwise.
 func crashOf(c *wirev1.Crash) *jobs.Crash {
 	if c == nil {
 		return nil
--- a/entry/sessions/sessions.go
+++ b/entry/sessions/sessions.go
@@ -18,55 +18,57 @@
 
 // Timing of a session.
 const (
-	// pingBusy is the pause after which a guard that runs tasks of this entry
-	// hears from it though there is nothing to order: a guard stops the runs of an
-	// entry that is silent for some 520 ms, so three may be lost.
-	pingBusy = 150 * time.Millisecond
-	// pingIdle is the same for the others; they take the entry for gone after 3 s.
-	pingIdle = time.Second
-	// confirmDelay is how long the word that capacity has been read waits for an order while
-	// tasks are pending: the guard sends no more until then. With heartbeats alone 2.5 % fewer
-	// jobs are answered in time on three entries at full load; at 25 ms 1.5 % fewer.
-	confirmDelay = 10 * time.Millisecond
-	// confirmAge is the age of a message above which heartbeats and orders alone confirm it:
-	// the entry is short of processor time, and more capacity would only lie unread.
-	confirmAge = 10 * time.Millisecond
-	// listenFor ends a session whose guard was silent for so long; guards send
-	// once a second at least.
-	listenFor = 2500 * time.Millisecond
-	// forgetEvery paces the removal of endpoints that are gone.
-	forgetEvery = 5 * time.Second
-	// forgetAfter drops the endpoint of a guard that was gone for so long.
-	forgetAfter = 30 * time.Second
+	// heartbeatBusy is the longest interval between two messages to a guard that runs tasks of
+	// this entry. A guard stops the runs of an entry from which it has received nothing for about
+	// 520 ms, so three heartbeats in a row may be lost.
+	heartbeatBusy = 150 * time.Millisecond
+	// heartbeatIdle is the interval for guards that run no task of this entry; they consider the
+	// entry gone after 3 s.
+	heartbeatIdle = time.Second
+	// ackDelay is how long the acknowledgement of a capacity update waits for an order to carry it
+	// while tasks are pending; the guard sends no further capacity until then. With heartbeats as
+	// the only acknowledgement, 2.5 % fewer jobs are answered in time on three entries at full
+	// load; with a delay of 25 ms, 1.5 % fewer.
+	ackDelay = 10 * time.Millisecond
+	// ackMaxAge is the message age above which only heartbeats and orders acknowledge a capacity
+	// update: the entry is then short of processor time, and more updates would only queue unread.
+	ackMaxAge = 10 * time.Millisecond
+	// guardTimeout ends a session whose guard has sent nothing for this long; guards send at least
+	// once a second.
+	guardTimeout = 2500 * time.Millisecond
+	// removeInterval is the interval between checks for endpoints to remove.
+	removeInterval = 5 * time.Second
+	// removeAfter is how long a guard has been disconnected before its endpoint is removed.
+	removeAfter = 30 * time.Second
 )
 
-// ErrNoHandshake means that a guard's first message was no handshake.
+// ErrNoHandshake means that a guard's first message contained no handshake.
 var ErrNoHandshake = errors.New("sessions: no handshake")
 
-// errReleased means that the guard is retiring from this entry, which holds no run there.
-var errReleased = errors.New("sessions: the guard is released")
+// errReleased ends the session of a retiring guard on which this entry has no open runs.
+var errReleased = errors.New("sessions: the guard was released")
 
-// errOlder means that a newer life of the same guard is attached.
-var errOlder = errors.New("sessions: a newer life of the guard is attached")
+// errSuperseded means that a newer session or a newer incarnation of the same guard is attached.
+var errSuperseded = errors.New("sessions: a newer life of the guard is attached")
 
-// Members knows the entries.
+// Members is the entry's view of the cluster membership.
 type Members interface {
-	// Known returns the entries' addresses and a number that changes with them.
+	// Known returns the addresses of the entries and a version that changes whenever they do.
 	Known() (addresses []string, version uint64)
-	// Hint takes addresses that may be entries.
+	// Hint suggests addresses at which entries may be found.
 	Hint(addresses []string)
 }
 
-// Options of a Server.
+// Options configure a Server.
 type Options struct {
 	Entry       string
 	Incarnation uint64
 	Logger      *slog.Logger
-	// Lag measures how late messages are.
+	// Lag records the age of received messages and the delay of sent orders.
 	Lag *lag.Meter
 }
 
-// Server keeps the guards' sessions.
+// Server accepts and tracks the sessions of guards.
 type Server struct {
 	opt     Options
 	jobs    *jobs.Engine
@@ -74,41 +76,41 @@
 	logger  *slog.Logger
 
 	mu sync.Mutex
-	// lives are the newest lives of the guards, by id.
-	lives map[string]life
+	// guards holds the newest known incarnation of each guard, by guard id.
+	guards map[string]guardState
 }
 
-type life struct {
+type guardState struct {
 	incarnation uint64
-	// seen is when a session of the guard last ended; zero while one is on.
-	seen time.Time
+	// endedAt is when the guard's last session ended; zero while one is active.
+	endedAt time.Time
 }
 
 // New returns a server without sessions.
 func New(o Options, e *jobs.Engine, m Members) *Server {
-	return &Server{opt: o, jobs: e, members: m, logger: o.Logger, lives: map[string]life{}}
+	return &Server{opt: o, jobs: e, members: m, logger: o.Logger, guards: map[string]guardState{}}
 }
 
-// Run drops endpoints that are gone, until the context ends.
+// Run periodically removes the endpoints of guards that are gone, until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	tick := time.NewTicker(forgetEvery)
+	tick := time.NewTicker(removeInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			s.forget()
+			s.removeLost()
 		}
 	}
 }
 
-func (s *Server) forget() {
+func (s *Server) removeLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.lives {
-		if !l.seen.IsZero() && time.Since(l.seen) > forgetAfter && s.jobs.Forget(id) {
-			delete(s.lives, id)
+	for id, l := range s.guards {
+		if !l.endedAt.IsZero() && time.Since(l.endedAt) > removeAfter && s.jobs.Forget(id) {
+			delete(s.guards, id)
 		}
 	}
 }
@@ -127,42 +129,43 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ses := &session{server: s, guard: g.GetGuard(), stream: st, wake: make(chan struct{}, 1), cancel: cancel}
-	ses.heard(first.GetClockUs())
-	open, err := s.admit(ses, g)
+	sess := &session{server: s, guard: g.GetGuard(), stream: st, wake: make(chan struct{}, 1), cancel: cancel}
+	sess.recordClock(first.GetClockUs())
+	open, err := s.admit(sess, g)
 	if err != nil {
 		return connect.NewError(connect.CodeFailedPrecondition, err)
 	}
 	s.members.Hint(g.GetEntries())
-	guardAttached.Log(ctx, s.logger, slog.String("guard", ses.guard), slog.Uint64("incarnation", g.GetIncarnation()), slog.Int("open_runs", len(open)))
-	err = ses.serve(ctx, open)
-	s.jobs.Detach(ses.guard, ses)
-	s.left(ses.guard)
+	guardAttached.Log(ctx, s.logger, slog.String("guard", sess.guard), slog.Uint64("incarnation", g.GetIncarnation()), slog.Int("open_runs", len(open)))
+	err = sess.serve(ctx, open)
+	s.jobs.Detach(sess.guard, sess)
+	s.sessionEnded(sess.guard)
 	if errors.Is(err, errReleased) {
-		guardReleased.Log(ctx, s.logger, slog.String("guard", ses.guard))
+		guardReleased.Log(ctx, s.logger, slog.String("guard", sess.guard))
 		return nil
 	}
-	guardLost.Log(ctx, s.logger, slog.String("guard", ses.guard), slog.Any("error", err))
-	// An end without an error tells the guard that no run is left open there.
+	guardLost.Log(ctx, s.logger, slog.String("guard", sess.guard), slog.Any("error", err))
+	// The guard takes an end of the stream without an error to mean that this entry has no open
+	// run there, so any other end is an error.
 	return connect.NewError(connect.CodeAborted, err)
 }
 
-// admit makes the session its guard's newest and returns the open runs there.
-func (s *Server) admit(ses *session, g *wirev1.GuardHandshake) ([]work.RunID, error) {
+// admit registers the session as its guard's newest and returns the runs that are open there.
+func (s *Server) admit(sess *session, g *wirev1.GuardHandshake) ([]work.RunID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.lives[ses.guard]
-	if g.GetIncarnation() < known.incarnation {
-		return nil, errOlder
+	prev := s.guards[sess.guard]
+	if g.GetIncarnation() < prev.incarnation {
+		return nil, errSuperseded
 	}
-	s.lives[ses.guard] = life{incarnation: g.GetIncarnation()}
-	return s.jobs.Attach(ses.guard, g.GetZone(), g.GetIncarnation() != known.incarnation, ses), nil
+	s.guards[sess.guard] = guardState{incarnation: g.GetIncarnation()}
+	return s.jobs.Attach(sess.guard, g.GetZone(), g.GetIncarnation() != prev.incarnation, sess), nil
 }
 
-func (s *Server) left(guard string) {
+func (s *Server) sessionEnded(guard string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.lives[guard]
-	l.seen = time.Now()
-	s.lives[guard] = l
+	l := s.guards[guard]
+	l.endedAt = time.Now()
+	s.guards[guard] = l
 }
