--- a/entry/jobs/answers.go
+++ b/entry/jobs/answers.go
@@ -6,8 +6,9 @@
 	"almondstand.dev/dispatch/planner"
 )
 
-// ended hands a job's outcome to its callers.
-func (e *Engine) ended(now time.Duration, d planner.Ended) {
+// finish returns a job's outcome to its callers, caches it if a repeated request needs it, and
+// counts and logs it.
+func (e *Engine) finish(now time.Duration, d planner.Ended) {
 	w := e.waiters[d.Job]
 	if w == nil {
 		return
@@ -16,20 +17,20 @@
 	w.answer = planner.Answer{Outcome: d.Outcome, Why: d.Why, RetryAfter: d.RetryAfter}
 	close(w.ready)
 	if d.Outcome == planner.Completed || d.Outcome == planner.Failed {
-		e.answers[d.Job] = kept{w.answer, now}
+		e.answers[d.Job] = cachedAnswer{w.answer, now}
 	}
-	e.ending(d.Job)
-	e.metrics.ended(w.terms.Contract, d)
+	e.runsEndedChan(d.Job)
+	e.metrics.countEnded(w.terms.Contract, d)
 	logEnded(e.logger, d, w.terms, now-w.arrived)
 }
 
-func (e *Engine) prune(now time.Duration) {
-	if now-e.pruned < keepAnswers/4 {
+func (e *Engine) pruneAnswers(now time.Duration) {
+	if now-e.lastPrune < answerTTL/4 {
 		return
 	}
-	e.pruned = now
+	e.lastPrune = now
 	for id, k := range e.answers {
-		if now-k.at > keepAnswers {
+		if now-k.at > answerTTL {
 			delete(e.answers, id)
 		}
 	}
--- a/entry/jobs/guards.go
+++ b/entry/jobs/guards.go
@@ -5,19 +5,18 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// Attach makes a guard's endpoint known and returns its open runs. fresh is
-// true when the guard is a new life. Orders go to g from now on.
+// Attach registers the guard's session and its endpoint, and returns the runs that are open there.
+// fresh is true if the guard is a new incarnation. Orders go to g from now on.
 func (e *Engine) Attach(id, zone string, fresh bool, g Guard) []work.RunID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	open := e.plan.Attach(id, zone, fresh)
 	e.guards[id] = g
-	e.act(uptime.Now())
+	e.applyActions(uptime.Now())
 	return open
 }
 
-// Detach takes note that a guard can't be reached, unless a newer session has
-// taken over.
+// Detach marks the guard as unreachable, unless a newer session has replaced g.
 func (e *Engine) Detach(id string, g Guard) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -28,8 +27,8 @@
 	e.plan.Detach(id)
 }
 
-// Release takes a guard's endpoint away when none of this entry's runs is left there. It
-// returns false when there are some, or a newer session has taken over.
+// Release removes the guard's endpoint if none of this entry's runs is open there. It returns
+// false if there are open runs, or if a newer session has replaced g.
 func (e *Engine) Release(id string, g Guard) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,14 +39,14 @@
 	return true
 }
 
-// Guards counts the guards that are attached.
+// Guards returns the number of attached guards.
 func (e *Engine) Guards() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.guards)
 }
 
-// Current reports whether a guard's session is the newest.
+// Current reports whether g is the guard's newest session.
 func (e *Engine) Current(id string, g Guard) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/jobs/jobs.go
+++ b/entry/jobs/jobs.go
@@ -1,5 +1,5 @@
-// Package jobs runs the jobs that this entry took: it feeds the planner with
-// what happens, hands its orders to the sessions, and its outcomes to callers.
+// Package jobs runs the jobs that this entry accepted: it feeds events to the planner, passes
+// the planner's orders to the guards' sessions, and returns outcomes to callers.
 package jobs
 
 import (
@@ -15,37 +15,38 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// keepAnswers is how long an answer is kept for a request that comes again
-// though its answer was delivered: such ones come within seconds.
-const keepAnswers = 8 * time.Second
+// answerTTL is how long an answer is cached for a repeated request, for example a retry by a
+// caller that did not receive the first answer; such requests arrive within seconds.
+const answerTTL = 8 * time.Second
 
-// endingWait bounds how long a job that is submitted again waits for the runs
-// of its predecessor to end; a stop takes some 60 ms, a lease's end 700 ms.
-const endingWait = 800 * time.Millisecond
+// runsEndedTimeout bounds how long a resubmitted job waits for the runs of the earlier job with
+// the same id to end: a stop takes about 60 ms, a lease expires after 700 ms.
+const runsEndedTimeout = 800 * time.Millisecond
 
-// Limits on a process that stood still.
+// Detection of a paused process, for example by SIGSTOP or a suspended virtual machine.
 const (
-	// beatEvery paces the look at the clock.
-	beatEvery = 100 * time.Millisecond
-	// stoodStill is the time without a beat after which the process counts as one
-	// that was frozen. Guards stop the runs of an entry that is silent for 520 ms.
-	stoodStill = 500 * time.Millisecond
-	// settle is how long nothing is ordered after that. What came meanwhile is read
-	// in any order: the end of a run before the news that its caller has left, and
-	// the task would be ordered anew though its job runs elsewhere by now. Each
-	// piece of news takes microseconds; a processor that is held back gets its share
-	// within a tenth of a second.
-	settle = 100 * time.Millisecond
+	// pauseCheckInterval is the interval between two readings of the clock.
+	pauseCheckInterval = 100 * time.Millisecond
+	// pauseThreshold is the gap between two readings above which the process is considered to have
+	// been paused. Guards stop the runs of an entry that has sent nothing for 520 ms.
+	pauseThreshold = 500 * time.Millisecond
+	// resumeDelay is how long no task is started after a pause. The messages that arrived
+	// meanwhile are read in no particular order: if the end of a run is read before the disconnect
+	// of its caller, the task would be started again although its job already runs through another
+	// entry. Processing a message takes microseconds, and a CPU-throttled process gets its share
+	// within 100 ms.
+	resumeDelay = 100 * time.Millisecond
 )
 
-// Guard takes orders for one endpoint. Its methods must not block.
+// Guard sends orders to one endpoint. Its methods must not block.
 type Guard interface {
 	Order(starts []planner.Start, stops []planner.Stop)
-	// Wake has the guard told at once whether tasks wait for room.
+	// Wake requests an immediate message that tells the guard whether tasks are waiting for
+	// capacity.
 	Wake()
 }
 
-// Options of an Engine.
+// Options configure an Engine.
 type Options struct {
 	Planner planner.Options
 	Logger  *slog.Logger
@@ -59,19 +60,20 @@
 
 	mu      sync.Mutex
 	plan    *planner.Planner
-	waiters map[string]*waiters
+	waiters map[string]*jobWaiters
 	guards  map[string]Guard
-	answers map[string]kept
-	// endings are closed when the last run of an ended job is over.
-	endings map[string]chan struct{}
-	wake    *time.Timer
-	pruned  time.Duration
-	// beat is when the process last looked at the clock, zero before it runs.
-	beat time.Duration
+	answers map[string]cachedAnswer
+	// runsEnded holds, by job id, channels that are closed when the last run of an ended job is
+	// over.
+	runsEnded map[string]chan struct{}
+	actTimer  *time.Timer
+	lastPrune time.Duration
+	// lastCheck is the uptime of the last clock reading; zero until Run is called.
+	lastCheck time.Duration
 }
 
-// waiters are the callers of one job.
-type waiters struct {
+// jobWaiters tracks the callers that wait for one job.
+type jobWaiters struct {
 	callers int
 	ready   chan struct{}
 	answer  planner.Answer
@@ -79,7 +81,7 @@
 	arrived time.Duration
 }
 
-type kept struct {
+type cachedAnswer struct {
 	answer planner.Answer
 	at     time.Duration
 }
@@ -87,25 +89,25 @@
 // New returns an engine without endpoints.
 func New(o Options) *Engine {
 	e := &Engine{
-		logger:  o.Logger,
-		metrics: newMetrics(o.Scope),
-		plan:    planner.New(o.Planner),
-		waiters: map[string]*waiters{},
-		guards:  map[string]Guard{},
-		answers: map[string]kept{},
-		endings: map[string]chan struct{}{},
+		logger:    o.Logger,
+		metrics:   newMetrics(o.Scope),
+		plan:      planner.New(o.Planner),
+		waiters:   map[string]*jobWaiters{},
+		guards:    map[string]Guard{},
+		answers:   map[string]cachedAnswer{},
+		runsEnded: map[string]chan struct{}{},
 	}
-	e.wake = time.AfterFunc(time.Hour, e.tick)
+	e.actTimer = time.AfterFunc(time.Hour, e.tick)
 	return e
 }
 
-// Run keeps the engine until the context ends.
+// Run detects pauses of the process until the context ends.
 func (e *Engine) Run(ctx context.Context) error {
-	defer e.wake.Stop()
-	tick := time.NewTicker(beatEvery)
+	defer e.actTimer.Stop()
+	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
 	e.mu.Lock()
-	e.beat = uptime.Now()
+	e.lastCheck = uptime.Now()
 	e.mu.Unlock()
 	for {
 		select {
@@ -114,47 +116,47 @@
 		case <-tick.C:
 		}
 		e.mu.Lock()
-		e.look(uptime.Now())
+		e.checkPause(uptime.Now())
 		e.mu.Unlock()
 	}
 }
 
-// look notes the time, and whether the process stood still since the last look. The
-// lock is held.
-func (e *Engine) look(now time.Duration) {
-	if e.beat == 0 {
-		// Not running yet.
+// checkPause reads the clock and suspends new starts if the process was paused since the last
+// reading. The caller holds the lock.
+func (e *Engine) checkPause(now time.Duration) {
+	if e.lastCheck == 0 {
+		// Run has not been called yet.
 		return
 	}
-	if now-e.beat > stoodStill {
-		e.plan.Pause(now + settle)
-		stoodStillFor.Log(context.Background(), e.logger, millis("for_ms", now-e.beat))
+	if now-e.lastCheck > pauseThreshold {
+		e.plan.Pause(now + resumeDelay)
+		processPaused.Log(context.Background(), e.logger, millis("for_ms", now-e.lastCheck))
 	}
-	e.beat = now
+	e.lastCheck = now
 }
 
 func (e *Engine) tick() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.act(uptime.Now())
+	e.applyActions(uptime.Now())
 }
 
-// Submit runs a job and returns its outcome. deadline is the uptime until which
-// the caller waits; the context ends when the caller is gone.
+// Submit runs a job and returns its outcome. deadline is the uptime until which the caller waits;
+// ctx ends when the caller disconnects.
 func (e *Engine) Submit(ctx context.Context, job work.Job, terms planner.Terms, deadline time.Duration) planner.Answer {
 	e.mu.Lock()
 	now := uptime.Now()
-	if k, again := e.answers[job.ID]; again && now-k.at < keepAnswers {
+	if k, cached := e.answers[job.ID]; cached && now-k.at < answerTTL {
 		e.mu.Unlock()
 		return k.answer
 	}
 	verdict := e.plan.Submit(now, deadline, job, terms)
 	for verdict == planner.Ending {
-		ending := e.ending(job.ID)
+		ended := e.runsEndedChan(job.ID)
 		e.mu.Unlock()
-		if !awaitEnding(ctx, ending) {
-			// What was submitted under this id before may have run, or still run, so
-			// the answer must not say that nothing has.
+		if !awaitRunsEnded(ctx, ended) {
+			// An earlier job with this id may have run or still be running, so the
+			// answer must not say that no task has started.
 			return planner.Answer{Outcome: planner.Expired, Why: planner.WhyUnreachable}
 		}
 		e.mu.Lock()
@@ -163,46 +165,47 @@
 	}
 	w := e.waiters[job.ID]
 	if w == nil {
-		w = &waiters{ready: make(chan struct{}), terms: terms, arrived: now}
+		w = &jobWaiters{ready: make(chan struct{}), terms: terms, arrived: now}
 		e.waiters[job.ID] = w
 	}
 	w.callers++
 	if verdict == planner.Taken {
-		logTaken(e.logger, job, terms, deadline-now, e.plan.Outlook(job.ID))
+		logAccepted(e.logger, job, terms, deadline-now, e.plan.Outlook(job.ID))
 	}
-	e.act(now)
+	e.applyActions(now)
 	e.mu.Unlock()
 	select {
 	case <-w.ready:
 	case <-ctx.Done():
-		e.leave(job.ID, w)
+		e.removeCaller(job.ID, w)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return w.answer
 }
 
-// ending is closed when the last run of an ended job is over. The lock is held.
-func (e *Engine) ending(id string) chan struct{} {
-	if e.endings[id] == nil {
-		e.endings[id] = make(chan struct{})
+// runsEndedChan returns the channel that is closed when the last run of an ended job is over. The
+// caller holds the lock.
+func (e *Engine) runsEndedChan(id string) chan struct{} {
+	if e.runsEnded[id] == nil {
+		e.runsEnded[id] = make(chan struct{})
 	}
-	return e.endings[id]
+	return e.runsEnded[id]
 }
 
-// awaitEnding reports whether a job's predecessor ended in time.
-func awaitEnding(ctx context.Context, ending chan struct{}) bool {
+// awaitRunsEnded reports whether the runs of the earlier job with the same id ended in time.
+func awaitRunsEnded(ctx context.Context, ended chan struct{}) bool {
 	select {
-	case <-ending:
+	case <-ended:
 		return true
-	case <-time.After(endingWait):
+	case <-time.After(runsEndedTimeout):
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// leave takes a caller away; a job without callers is stopped.
-func (e *Engine) leave(id string, w *waiters) {
+// removeCaller removes one caller of a job. A job without callers is cancelled.
+func (e *Engine) removeCaller(id string, w *jobWaiters) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	w.callers--
@@ -211,10 +214,10 @@
 	}
 	now := uptime.Now()
 	e.plan.Cancel(now, id)
-	e.act(now)
+	e.applyActions(now)
 }
 
-// Cancel ends a job at its caller's wish; it reports whether there was one.
+// Cancel ends a job at its caller's request. It reports whether the job was open.
 func (e *Engine) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -223,76 +226,75 @@
 	}
 	now := uptime.Now()
 	e.plan.Cancel(now, id)
-	e.act(now)
+	e.applyActions(now)
 	return true
 }
 
-// State of a job, for a caller who asks.
-func (e *Engine) State(id string) (outcome planner.Outcome, begun, known bool) {
+// State returns the state of a job. known is false if the job is neither open nor cached.
+func (e *Engine) State(id string) (outcome planner.Outcome, started, known bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if outcome, begun, known = e.plan.State(id); known && outcome == 0 {
-		return outcome, begun, true
+	if outcome, started, known = e.plan.State(id); known && outcome == 0 {
+		return outcome, started, true
 	}
-	if k, kept := e.answers[id]; kept {
+	if k, cached := e.answers[id]; cached {
 		return k.answer.Outcome, true, true
 	}
-	return outcome, begun, known
+	return outcome, started, known
 }
 
-// Count returns the open jobs of a contract, or of all for "".
+// Count returns the numbers of open jobs of a contract, or of all contracts if it is "".
 func (e *Engine) Count(contract string) planner.Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.Count(uptime.Now(), contract)
 }
 
-// Endpoints counts the endpoints by state; every state is there.
+// Endpoints counts the endpoints by state; states without endpoints are included.
 func (e *Engine) Endpoints() map[planner.State]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.Endpoints(uptime.Now())
 }
 
-// Crashes returns what became of the crashes that guards have reported.
+// Crashes returns counts of the crashes that guards reported, by how the planner classified them.
 func (e *Engine) Crashes() planner.CrashCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.CrashCounts()
 }
 
-// Reachable counts the endpoints that take starts.
+// Reachable counts the endpoints on which tasks can be started.
 func (e *Engine) Reachable() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.Reachable()
 }
 
-// News is what a guard tells in one message.
+// News is the content of one guard message: its capacity, if it changed, and reports of runs.
 type News struct {
 	Room    *planner.Room
 	Reports []Report
 }
 
-// Report of a run.
+// Report is a state change of a run.
 type Report struct {
 	Run    work.RunID
 	Change planner.Change
-	// Ran is how long the run has lasted as its guard says; zero when that is not
-	// known.
+	// Ran is how long the run has lasted according to its guard; zero if unknown.
 	Ran time.Duration
-	// Crash is set when the runner crashed under the run.
+	// Crash is set if the runner crashed during the run.
 	Crash *Crash
 }
 
-// Crash is what a guard knows of a run whose runner crashed.
+// Crash describes a runner crash that ended a run.
 type Crash struct {
 	planner.Crash
-	// Beside names the jobs of some other runs that were there.
+	// Beside lists the jobs of some of the other runs on that runner.
 	Beside []string
 }
 
-// Tell takes a guard's message, unless a newer session has taken over.
+// Tell processes a guard's message, unless a newer session has replaced g.
 func (e *Engine) Tell(id string, g Guard, n News) {
 	now := uptime.Now()
 	e.mu.Lock()
@@ -301,17 +303,17 @@
 		return
 	}
 	for _, r := range n.Reports {
-		e.metrics.change(r.Change)
+		e.metrics.countChange(r.Change)
 		logChange(e.logger, id, r, e.report(now, id, r))
 	}
 	if n.Room != nil {
 		e.plan.Describe(now, id, *n.Room)
 	}
-	e.act(now)
+	e.applyActions(now)
 }
 
-// report gives the planner one report, and returns how long the run lasted. The lock is
-// held.
+// report passes one report to the planner and returns how long the run lasted. The caller holds
+// the lock.
 func (e *Engine) report(now time.Duration, id string, r Report) time.Duration {
 	if r.Change == planner.Crashed && r.Crash != nil {
 		return e.plan.Crash(now, id, r.Run, r.Ran, r.Crash.Crash)
@@ -319,41 +321,43 @@
 	return e.plan.Report(now, id, r.Run, r.Change, r.Ran)
 }
 
-// Forget drops an endpoint that nobody reaches; false when it has open runs.
+// Forget removes the endpoint of an unreachable guard. It returns false if the endpoint has open
+// runs.
 func (e *Engine) Forget(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.Forget(id)
 }
 
-// Waiting reports whether tasks wait for room at the endpoint's service, and what
-// they need, thousandths of a core.
-func (e *Engine) Waiting(id string) (waits bool, wants int64) {
+// Waiting reports whether tasks of the endpoint's service are waiting for capacity, and how much
+// CPU they need in total, in thousandths of a core.
+func (e *Engine) Waiting(id string) (pending bool, milliCPU int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.Waiting(uptime.Now(), id)
 }
 
-// act carries out what the planner decides. The lock is held.
-func (e *Engine) act(now time.Duration) {
-	e.look(now)
+// applyActions carries out the planner's decisions and sets the timer for the next ones. The
+// caller holds the lock.
+func (e *Engine) applyActions(now time.Duration) {
+	e.checkPause(now)
 	actions, next := e.plan.Act(now)
 	type orders struct {
 		starts []planner.Start
 		stops  []planner.Stop
 	}
 	byGuard := map[string]*orders{}
-	of := func(id string) *orders {
+	ordersFor := func(id string) *orders {
 		if byGuard[id] == nil {
 			byGuard[id] = &orders{}
 		}
 		return byGuard[id]
 	}
 	for _, s := range actions.Starts {
-		of(s.Endpoint).starts = append(of(s.Endpoint).starts, s)
+		ordersFor(s.Endpoint).starts = append(ordersFor(s.Endpoint).starts, s)
 	}
 	for _, s := range actions.Stops {
-		of(s.Endpoint).stops = append(of(s.Endpoint).stops, s)
+		ordersFor(s.Endpoint).stops = append(ordersFor(s.Endpoint).stops, s)
 	}
 	for id, o := range byGuard {
 		logOrders(e.logger, id, o.starts, o.stops)
@@ -367,14 +371,14 @@
 		}
 	}
 	for _, ended := range actions.Ended {
-		e.ended(now, ended)
+		e.finish(now, ended)
 	}
 	for _, id := range actions.Settled {
-		if c := e.endings[id]; c != nil {
+		if c := e.runsEnded[id]; c != nil {
 			close(c)
-			delete(e.endings, id)
+			delete(e.runsEnded, id)
 		}
 	}
-	e.prune(now)
-	e.wake.Reset(max(next-now, time.Millisecond))
+	e.pruneAnswers(now)
+	e.actTimer.Reset(max(next-now, time.Millisecond))
 }
--- a/entry/jobs/jobs_test.go
+++ b/entry/jobs/jobs_test.go
@@ -15,24 +15,24 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// guard takes orders and keeps them.
-type guard struct{ starts chan planner.Start }
+// fakeGuard records the starts it is ordered to make.
+type fakeGuard struct{ starts chan planner.Start }
 
-func (g *guard) Order(starts []planner.Start, _ []planner.Stop) {
+func (g *fakeGuard) Order(starts []planner.Start, _ []planner.Stop) {
 	for _, s := range starts {
 		g.starts <- s
 	}
 }
-func (g *guard) Wake() {}
+func (g *fakeGuard) Wake() {}
 
 var (
 	terms = planner.Terms{Contract: "c", Service: "s", MaxAttempts: 2, Stretch: 1.6, Allowance: 60 * time.Millisecond}
 	job   = work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: work.Amounts{CPUMilli: 1000}, Declared: 60 * time.Millisecond}}}
 )
 
-func newEngine() (*Engine, *guard) {
+func newEngine() (*Engine, *fakeGuard) {
 	e := New(Options{Logger: slog.New(slog.NewJSONHandler(io.Discard, nil)), Scope: tally.NoopScope})
-	g := &guard{starts: make(chan planner.Start, 16)}
+	g := &fakeGuard{starts: make(chan planner.Start, 16)}
 	e.Attach("g", "a", true, g)
 	e.Tell("g", g, News{Room: &planner.Room{Service: "s", Runner: work.Incarnation{ID: "r"}, Open: true, Total: work.Amounts{CPUMilli: 4000}}})
 	return e, g
@@ -42,9 +42,9 @@
 	return e.Submit(ctx, job, terms, uptime.Now()+3*time.Second)
 }
 
-// A caller breaks its connection and submits the job again while the guard that
-// runs its task can't be reached. The answer must not say that nothing has run.
-func TestResubmittedJobIsNotDenied(t *testing.T) {
+// A caller disconnects and submits the job again while the guard that runs its task is
+// unreachable. The answer must not say that no task has started.
+func TestResubmittedJobWithUnreachableRunExpires(t *testing.T) {
 	e, g := newEngine()
 	ctx, leave := context.WithCancel(t.Context())
 	first := make(chan planner.Answer, 1)
@@ -57,7 +57,8 @@
 	assert.Equal(t, submit(t.Context(), e).Outcome, planner.Expired)
 }
 
-// The job comes again, its older run ends meanwhile, and it runs anew.
+// A job is submitted again while its earlier run is being stopped. Once that run ends, the job
+// runs again.
 func TestResubmittedJobWaitsAndRuns(t *testing.T) {
 	e, g := newEngine()
 	ctx, leave := context.WithCancel(t.Context())
@@ -72,11 +73,11 @@
 	newer := <-g.starts
 	e.Tell("g", g, News{Reports: []Report{{Run: newer.Run, Change: planner.Running}, {Run: newer.Run, Change: planner.Done}}})
 	assert.Equal(t, (<-second).Outcome, planner.Completed)
-	assert.Equal(t, submit(t.Context(), e).Outcome, planner.Completed, "a request that comes once more gets the kept answer")
+	assert.Equal(t, submit(t.Context(), e).Outcome, planner.Completed, "a repeated request gets the cached answer")
 }
 
-// Two requests of one job at a time join: its task is ordered once.
-func TestSameJobJoins(t *testing.T) {
+// Two concurrent requests for the same job share one execution: its task is ordered once.
+func TestConcurrentRequestsShareOneJob(t *testing.T) {
 	e, g := newEngine()
 	answers := make(chan planner.Answer, 2)
 	for range 2 {
@@ -90,10 +91,10 @@
 	assert.Equal(t, len(g.starts), 0)
 }
 
-// An entry is frozen with a task running. Its guard ends the run, and the caller goes
-// to another entry. At the thaw the end is read before the news that the caller has
-// left: the task must not be ordered anew, it runs through the other entry by now.
-func TestThawedEntryOrdersNothingAtOnce(t *testing.T) {
+// An entry is paused while a task runs. Its guard stops the run, and the caller retries at another
+// entry. After the pause the entry reads the end of the run before the caller's disconnect; it
+// must not start the task again, because the job already runs through the other entry.
+func TestNoStartsRightAfterProcessPause(t *testing.T) {
 	e, g := newEngine()
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -103,19 +104,19 @@
 	go func() { answer <- submit(caller, e) }()
 	s := <-g.starts
 	e.mu.Lock()
-	e.beat = uptime.Now() - 2*time.Second
+	e.lastCheck = uptime.Now() - 2*time.Second
 	e.mu.Unlock()
 	e.Tell("g", g, News{Reports: []Report{{Run: s.Run, Change: planner.Stopped}}})
 	leave()
 	assert.Equal(t, (<-answer).Outcome, planner.Cancelled)
-	time.Sleep(2 * settle)
+	time.Sleep(2 * resumeDelay)
 	assert.Equal(t, len(g.starts), 0)
 	stop()
 	assert.NilError(t, <-ended)
 }
 
-// A thawed entry whose caller still waits serves it.
-func TestThawedEntryGoesOn(t *testing.T) {
+// After a pause of its process, an entry still serves a caller that is waiting.
+func TestJobCompletesAfterProcessPause(t *testing.T) {
 	e, g := newEngine()
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -124,11 +125,11 @@
 	go func() { answer <- submit(t.Context(), e) }()
 	s := <-g.starts
 	e.mu.Lock()
-	e.beat = uptime.Now() - 2*time.Second
+	e.lastCheck = uptime.Now() - 2*time.Second
 	e.mu.Unlock()
 	e.Tell("g", g, News{Reports: []Report{{Run: s.Run, Change: planner.Stopped}}})
-	again := <-g.starts
-	e.Tell("g", g, News{Reports: []Report{{Run: again.Run, Change: planner.Done}}})
+	retry := <-g.starts
+	e.Tell("g", g, News{Reports: []Report{{Run: retry.Run, Change: planner.Done}}})
 	assert.Equal(t, (<-answer).Outcome, planner.Completed)
 	stop()
 	assert.NilError(t, <-ended)
--- a/entry/jobs/log.go
+++ b/entry/jobs/log.go
@@ -11,13 +11,14 @@
 
 func millis(key string, d time.Duration) slog.Attr { return slog.Int64(key, d.Milliseconds()) }
 
-func logTaken(l *slog.Logger, job work.Job, t planner.Terms, wait time.Duration, o planner.Outlook) {
-	jobTaken.Log(context.Background(), l, slog.String("job", job.ID), slog.String("contract", t.Contract), slog.String("service", t.Service),
+func logAccepted(l *slog.Logger, job work.Job, t planner.Terms, wait time.Duration, o planner.Outlook) {
+	jobAccepted.Log(context.Background(), l, slog.String("job", job.ID), slog.String("contract", t.Contract), slog.String("service", t.Service),
 		slog.Int("tasks", job.Tasks()), millis("caller_waits_ms", wait), millis("expected_ms", o.Expected),
 		millis("start_in_ms", o.StartIn), millis("keep_for_ms", o.KeepFor), slog.Int("jobs_ahead", o.Ahead))
 }
 
-// logOrders writes a line for the tasks of one job that are ordered at one guard.
+// logOrders logs the orders sent to one guard: one line for each group of starts of the same job
+// and step, one for each stop.
 func logOrders(l *slog.Logger, guard string, starts []planner.Start, stops []planner.Stop) {
 	for i := 0; i < len(starts); {
 		first := starts[i]
@@ -36,13 +37,13 @@
 }
 
 func logChange(l *slog.Logger, guard string, r Report, ran time.Duration) {
-	event := runOver
+	event := runEnded
 	switch r.Change {
 	case planner.Running:
 		return
 	case planner.Done, planner.NoRoom:
 	default:
-		event = runWrong
+		event = runFailed
 	}
 	attrs := []slog.Attr{
 		slog.String("job", r.Run.Task.Job), slog.Int("step", r.Run.Task.Step), slog.Int("index", r.Run.Task.Index),
@@ -57,7 +58,7 @@
 func logEnded(l *slog.Logger, d planner.Ended, t planner.Terms, took time.Duration) {
 	event := jobFailed
 	if d.Outcome == planner.Completed {
-		event = jobEnded
+		event = jobCompleted
 	}
 	event.Log(context.Background(), l, slog.String("job", d.Job), slog.String("contract", t.Contract),
 		slog.String("outcome", d.Outcome.String()), slog.String("why", string(d.Why)),
--- a/entry/jobs/metrics.go
+++ b/entry/jobs/metrics.go
@@ -6,20 +6,20 @@
 	"almondstand.dev/dispatch/planner"
 )
 
-// metrics count jobs and runs.
+// metrics counts ended jobs and state changes of runs.
 type metrics struct {
-	scope   tally.Scope
-	changes map[planner.Change]tally.Counter
-	ends    map[endKey]*endMetrics
+	scope    tally.Scope
+	changes  map[planner.Change]tally.Counter
+	outcomes map[outcomeKey]*outcomeMetrics
 }
 
-type endKey struct {
+type outcomeKey struct {
 	contract string
 	outcome  planner.Outcome
-	why      planner.Why
+	reason   planner.Why
 }
 
-type endMetrics struct {
+type outcomeMetrics struct {
 	count  tally.Counter
 	waited tally.Timer
 }
@@ -37,22 +37,22 @@
 }
 
 func newMetrics(scope tally.Scope) *metrics {
-	m := &metrics{scope: scope, changes: map[planner.Change]tally.Counter{}, ends: map[endKey]*endMetrics{}}
+	m := &metrics{scope: scope, changes: map[planner.Change]tally.Counter{}, outcomes: map[outcomeKey]*outcomeMetrics{}}
 	for c, name := range changeNames {
 		m.changes[c] = scope.Tagged(map[string]string{"change": name}).Counter("run_changes_total")
 	}
 	return m
 }
 
-func (m *metrics) change(c planner.Change) { m.changes[c].Inc(1) }
+func (m *metrics) countChange(c planner.Change) { m.changes[c].Inc(1) }
 
-func (m *metrics) ended(contract string, d planner.Ended) {
-	k := endKey{contract, d.Outcome, d.Why}
-	e := m.ends[k]
+func (m *metrics) countEnded(contract string, d planner.Ended) {
+	k := outcomeKey{contract, d.Outcome, d.Why}
+	e := m.outcomes[k]
 	if e == nil {
 		s := m.scope.Tagged(map[string]string{"contract": contract, "outcome": d.Outcome.String(), "why": string(d.Why)})
-		e = &endMetrics{count: s.Counter("jobs_ended_total"), waited: s.Timer("job_wait_seconds")}
-		m.ends[k] = e
+		e = &outcomeMetrics{count: s.Counter("jobs_ended_total"), waited: s.Timer("job_wait_seconds")}
+		m.outcomes[k] = e
 	}
 	e.count.Inc(1)
 	e.waited.Record(d.Waited)
