--- a/entry/task/task.go
+++ b/entry/task/task.go
@@ -1,5 +1,5 @@
-// Package task defines what passes between the parts of an entry for one task:
-// the call to an endpoint and its final outcome.
+// Package task defines the types that the packages of an entry exchange about one task: the
+// call to an endpoint and its final outcome.
 package task
 
 import (
@@ -9,30 +9,30 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// Ran says whether a task started; it is part of every failure a caller sees.
+// Ran says whether a task started. It is part of every failure that a caller sees.
 type Ran string
 
 // Values of Ran.
 const (
-	// RanNo: it did not start and never will. Always true when said.
+	// RanNo: the task did not start and never will; reported only when that is certain.
 	RanNo Ran = "no"
-	// RanYes: it started.
+	// RanYes: the task started.
 	RanYes Ran = "yes"
-	// RanUnknown: it may have started.
+	// RanUnknown: the task may have started.
 	RanUnknown Ran = "unknown"
 )
 
-// Code is a stable name of a failure, part of the callers' interface.
+// Code identifies a kind of failure. Codes are part of the callers' API and stay stable.
 type Code string
 
 // Codes of task failures.
 const (
-	CodeRefused   Code = "endpoint_refused" // true refusal, retry budget spent
+	CodeRefused   Code = "endpoint_refused" // the endpoint rejected the start; the retry budget is exhausted
 	CodeFailed    Code = "task_failed"      // the runner answered with an error
-	CodeTruncated Code = "answer_truncated" // the runner's answer was not whole
+	CodeTruncated Code = "answer_truncated" // the runner's answer was incomplete
 	CodeRunLimit  Code = "run_limit"        // stopped after the contract's run limit
 	CodeCancelled Code = "cancelled"
-	CodeLost      Code = "endpoint_lost" // no contact within the budget
+	CodeLost      Code = "endpoint_lost" // no contact with the endpoint within the retry budget
 	CodeDeadline  Code = "answer_time"   // the answer time passed
 )
 
@@ -45,19 +45,19 @@
 	Kind       string
 	Payload    []byte
 	Urgency    int
-	// Deadline is when the answer is of no use any more.
+	// Deadline is the time after which the answer is useless to the caller.
 	Deadline time.Time
-	// RunLimit is the longest run the contract allows.
+	// RunLimit is the longest run time that the contract allows.
 	RunLimit time.Duration
 }
 
-// Outcome is the final word on one start. It never changes afterwards.
+// Outcome is the final result of one start. It does not change once it is known.
 type Outcome struct {
-	// Code is empty when the task completed.
+	// Code is empty if the task completed.
 	Code    Code
 	Message string
 	Ran     Ran
-	// Payload and Digest (SHA-256) are set when the task completed.
+	// Payload and Digest (SHA-256) are set if the task completed.
 	Payload []byte
 	Digest  []byte
 	// RunTime is the time at the runner, WaitTime the time in a guard's queue.
@@ -68,15 +68,15 @@
 // OK reports whether the task completed.
 func (o Outcome) OK() bool { return o.Code == "" }
 
-// Starter starts tasks on endpoints. Start returns exactly one final outcome:
-// it resolves a lost reply itself, as long as the call's deadline allows. When
-// ctx ends the task is cancelled: barred when it has not started, else stopped.
+// Starter starts tasks on endpoints. Start returns exactly one final outcome. If a reply is lost,
+// Start queries the endpoint for it as long as the call's deadline allows. When ctx ends the task
+// is cancelled: a task that has not started is prevented from starting, a running one is stopped.
 type Starter interface {
 	Start(ctx context.Context, c Call) Outcome
 }
 
-// EndpointSink is told of endpoints as they come, report and go. It is
-// implemented by the job engine and called by the fleet, from any goroutine.
+// EndpointSink receives endpoint updates: endpoints that are added, report their state, or are
+// removed. The job engine implements it; the fleet calls it from any goroutine.
 type EndpointSink interface {
 	SetEndpoint(service string, e scheduler.Endpoint)
 	RemoveEndpoint(service string, id scheduler.EndpointID)
