--- a/entry/lag/lag_test.go
+++ b/entry/lag/lag_test.go
@@ -12,9 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The line of each second carries the worst readings of that second only, and what was
-// counted in it.
-func TestLineTellsTheWorstOfItsSecond(t *testing.T) {
+// Each report covers only its own interval: maxima and counters are reset after it.
+func TestReportCoversOnlyItsInterval(t *testing.T) {
 	var out bytes.Buffer
 	m := New(tally.NoopScope, slog.New(slog.NewJSONHandler(&out, nil)))
 	m.Read(30 * time.Millisecond)
@@ -23,7 +22,7 @@
 	m.Sent(0, time.Hour)
 	m.Stale()
 	m.report(context.Background(), time.Second, 120*time.Millisecond)
-	line := lineOf(t, &out)
+	line := logLine(t, &out)
 	for key, want := range map[string]float64{
 		"message_age_ms": 400, "order_delay_ms": 70, "cpu_ms": 120,
 		"messages_read": 2, "messages_sent": 2, "starts": 3, "starts_not_taken": 1,
@@ -31,23 +30,23 @@
 		assert.Equal(t, line[key], want, key)
 	}
 	m.report(context.Background(), time.Second, 0)
-	line = lineOf(t, &out)
+	line = logLine(t, &out)
 	assert.Equal(t, line["message_age_ms"], 0.0)
 	assert.Equal(t, line["messages_read"], 0.0)
 }
 
-// A process whose timers fire on time writes a line a second that says so.
-func TestMeterRuns(t *testing.T) {
+// Run logs one report per second.
+func TestRunReportsEverySecond(t *testing.T) {
 	var out bytes.Buffer
 	m := New(tally.NoopScope, slog.New(slog.NewJSONHandler(&out, nil)))
 	ctx, cancel := context.WithTimeout(t.Context(), reportInterval+reportInterval/2)
 	defer cancel()
 	assert.NilError(t, m.Run(ctx))
-	line := lineOf(t, &out)
+	line := logLine(t, &out)
 	assert.Assert(t, line["span_ms"].(float64) >= 1000)
 }
 
-func lineOf(t *testing.T, out *bytes.Buffer) map[string]any {
+func logLine(t *testing.T, out *bytes.Buffer) map[string]any {
 	t.Helper()
 	line := map[string]any{}
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &line))
