--- a/entry/quota/account.go
+++ b/entry/quota/account.go
@@ -9,79 +9,82 @@
 )
 
 const (
-	// pauseTolerance is how far the wall clock may run ahead of the monotonic one
-	// between two looks before that counts as a pause of the machine.
+	// pauseTolerance is how far the wall clock may advance ahead of the monotonic clock between
+	// two updates before the host is considered to have been suspended.
 	pauseTolerance = 200 * time.Millisecond
-	// headroom is what an entry keeps or borrows above its measured need.
+	// headroom is the factor by which an entry keeps or leases more than its measured demand.
 	headroom = 1.1
-	// lendMargin is added to a loan's time at the lender, for clocks that run apart.
-	lendMargin = 50 * time.Millisecond
-	// maxRetryAfter bounds what a refused customer is told.
+	// leaseMargin is added to a lease's duration at the lessor, to allow for clocks that run at
+	// different rates.
+	leaseMargin = 50 * time.Millisecond
+	// maxRetryAfter bounds the retry delay returned to a rejected client.
 	maxRetryAfter = 10 * time.Second
-	// retrySpread is the part of a pause that is drawn at random, so that clients
-	// that were refused together do not come back together.
-	retrySpread = 0.25
-	// defaultHold stands in for a contract without an answer time.
-	defaultHold = 10 * time.Second
+	// retryJitter is the largest random addition to a retry delay, as a fraction of it, so that
+	// clients that were rejected together do not retry together.
+	retryJitter = 0.25
+	// defaultAnswerTime is used for a contract without an answer time.
+	defaultAnswerTime = 10 * time.Second
 )
 
-// account is one customer's limits at one entry.
+// account holds one client's limits at one entry.
 type account struct {
-	mu     sync.Mutex
-	name   string
-	opts   Options
-	limit  amounts
-	hold   time.Duration // the answer time: what is admitted ends within it
-	active bool
-	rights rights
-	// tokens fill at the rate up to the burst; last is the time they were filled to.
+	mu         sync.Mutex
+	name       string
+	opts       Options
+	limit      amounts
+	answerTime time.Duration // admitted tasks end within it
+	active     bool
+	allowance  allowance
+	// tokens is the content of the token bucket, which fills at the rate up to the burst; last is
+	// the time up to which it has been filled.
 	tokens float64
 	last   time.Time
 	used   int
-	// shrunk is when the base last became smaller.
-	shrunk time.Time
-	need   need
-	wants  map[string]want
-	// call counts the calls that asked for loans; calls holds each lender's last.
-	call  uint64
-	calls map[string]uint64
-	// promised is the time up to which refused tasks were told to come back.
-	promised time.Time
+	// shrunkAt is when the base share last became smaller.
+	shrunkAt    time.Time
+	estimate    demandEstimate
+	peerDemands map[string]peerDemand
+	// callCount counts the calls that requested leases; lastCalls holds the number of the last
+	// call to each lessor.
+	callCount uint64
+	lastCalls map[string]uint64
+	// retryScheduledUntil is the end of the time already assigned to retries of rejected jobs.
+	retryScheduledUntil time.Time
 }
 
-// want is what a peer lacked when it last asked.
-type want struct {
+// peerDemand is what a peer requested in its last call.
+type peerDemand struct {
 	amounts
-	// job is the size of a job that the peer's base share can't hold.
-	job float64
-	at  time.Time
-	// call is the borrower's number of the call.
+	// oversized is the size of a job that exceeds the peer's base share.
+	oversized float64
+	at        time.Time
+	// call is the lessee's number of the call.
 	call uint64
 }
 
 func newAccount(now time.Time, name string, opts Options) *account {
-	return &account{name: name, opts: opts, last: now, wants: map[string]want{}, calls: map[string]uint64{}, need: need{began: now}}
+	return &account{name: name, opts: opts, last: now, peerDemands: map[string]peerDemand{}, lastCalls: map[string]uint64{}, estimate: demandEstimate{windowStart: now}}
 }
 
 func (a *account) setContract(now time.Time, c contract.Contract, s Share) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	fresh := a.limit == amounts{}
-	next := amounts{rate: c.Rate, burst: float64(c.Burst), flight: float64(c.InFlight)}
+	isNew := a.limit == amounts{}
+	next := amounts{rate: c.Rate, burst: float64(c.Burst), inFlight: float64(c.InFlight)}
 	if next.min(a.limit) != a.limit {
-		// A limit was lowered: loans cut from the former one would add to the new
-		// shares of the others.
-		a.rights.borrowed = nil
+		// A limit was lowered: leases granted from the former limit would be added to the new
+		// shares of the other entries.
+		a.allowance.leased = nil
 	}
 	a.limit = next
-	a.hold = cmp.Or(time.Duration(c.AnswerTime), defaultHold)
+	a.answerTime = cmp.Or(time.Duration(c.AnswerTime), defaultAnswerTime)
 	a.active = c.State != contract.Retired
 	a.rebase(now, s.base(c.Customer, next))
-	if fresh {
-		// A contract that begins while this entry holds a share begins with its
-		// burst unused; an entry that joins later may not add any.
-		a.tokens = a.depth()
+	if isNew {
+		// A contract that is added while this entry holds a share starts with a full token
+		// bucket; an entry that joins later must not add tokens.
+		a.tokens = a.burstSize()
 	}
 }
 
@@ -92,7 +95,7 @@
 	a.rebase(now, s.base(customer, a.limit))
 }
 
-// base is this entry's own part of a limit.
+// base returns this entry's own part of a limit.
 func (s Share) base(customer string, limit amounts) amounts {
 	if !s.Holding || s.Entries < 1 || s.Waiting[customer] {
 		return amounts{}
@@ -101,223 +104,224 @@
 }
 
 func (a *account) rebase(now time.Time, base amounts) {
-	if base.min(a.rights.base) != a.rights.base {
-		a.shrunk = now
+	if base.min(a.allowance.base) != a.allowance.base {
+		a.shrunkAt = now
 	}
-	a.rights.base = base
-	a.clip()
+	a.allowance.base = base
+	a.clampTokens()
 }
 
-// advance fills the tokens up to now, piece by piece where the rate changes.
+// advance fills the token bucket up to now, in one step for each interval of constant rate, and
+// removes expired leases.
 func (a *account) advance(now time.Time) {
 	if now.Before(a.last) {
 		return
 	}
 	a.dropAfterPause(now)
-	for len(a.rights.borrowed)+len(a.rights.lent) > 0 {
-		next, ok := a.rights.nextChange(a.last, now)
+	for len(a.allowance.leased)+len(a.allowance.granted) > 0 {
+		next, ok := a.allowance.nextChange(a.last, now)
 		if !ok {
 			break
 		}
 		a.fill(next)
 	}
 	a.fill(now)
-	a.rights.prune(now)
-	a.need.advance(now)
+	a.allowance.prune(now)
+	a.estimate.advance(now)
 }
 
-// dropAfterPause drops what was borrowed when the wall clock ran ahead of the
-// monotonic one: the machine was suspended, and loans that seem valid have lapsed
-// at their lenders.
+// dropAfterPause discards the leases from others if the wall clock advanced ahead of the monotonic
+// clock: the host was suspended, and leases that seem valid here have expired at their lessors.
 func (a *account) dropAfterPause(now time.Time) {
 	ahead := now.Round(0).Sub(a.last.Round(0)) - now.Sub(a.last)
 	if ahead > pauseTolerance {
-		a.rights.borrowed = nil
+		a.allowance.leased = nil
 	}
 }
 
 func (a *account) fill(to time.Time) {
-	// The rate from last to to is the one that holds just after last.
-	rate := max(a.rights.at(a.last, "").rate, 0)
+	// The rate is constant between last and to; it is the one in effect right after last.
+	rate := max(a.allowance.at(a.last, "").rate, 0)
 	a.tokens += rate * to.Sub(a.last).Seconds()
 	a.last = to
-	a.clip()
+	a.clampTokens()
 }
 
-func (a *account) clip() { a.tokens = min(a.tokens, a.depth()) }
+func (a *account) clampTokens() { a.tokens = min(a.tokens, a.burstSize()) }
 
-func (a *account) depth() float64 { return max(a.rights.at(a.last, "").burst, 0) }
+func (a *account) burstSize() float64 { return max(a.allowance.at(a.last, "").burst, 0) }
 
-// usable is the number of tasks that may be in flight, so that those admitted now
-// have ended when the loans that allow them lapse.
-func (a *account) usable() float64 {
-	if len(a.rights.borrowed)+len(a.rights.lent) == 0 {
-		return a.rights.base.flight
+// maxInFlight returns the number of tasks that may be in flight such that tasks admitted now have
+// ended when the leases that allow them expire.
+func (a *account) maxInFlight() float64 {
+	if len(a.allowance.leased)+len(a.allowance.granted) == 0 {
+		return a.allowance.base.inFlight
 	}
-	return a.rights.least(a.last, a.last.Add(a.hold), "").flight
+	return a.allowance.minBetween(a.last, a.last.Add(a.answerTime), "").inFlight
 }
 
 func (a *account) admit(now time.Time, tasks int) Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	wants := float64(tasks)
-	if !a.active || wants > a.limit.burst || wants > a.limit.flight {
+	requested := float64(tasks)
+	if !a.active || requested > a.limit.burst || requested > a.limit.inFlight {
 		return Decision{Permanent: true}
 	}
-	a.need.offered(a.last, wants)
-	a.need.remember(a.need.size, a.limit.rate)
-	if wants > min(a.rights.base.burst, a.rights.base.flight)+slack {
-		a.need.tooLarge(a.last, wants)
+	a.estimate.recordOffered(a.last, requested)
+	a.estimate.setRetention(a.estimate.largestJob, a.limit.rate)
+	if requested > min(a.allowance.base.burst, a.allowance.base.inFlight)+roundingSlack {
+		a.estimate.recordOversized(a.last, requested)
 	}
-	if float64(a.used)+wants > a.usable()+slack {
-		a.need.lackedFlight(float64(a.used), wants)
-		return Decision{RetryAfter: a.retryFlight()}
+	if float64(a.used)+requested > a.maxInFlight()+roundingSlack {
+		a.estimate.recordInFlightShortfall(float64(a.used), requested)
+		return Decision{RetryAfter: a.retryAfterInFlight()}
 	}
-	if wants > a.tokens+slack {
-		a.need.lackedBurst(a.depth(), wants)
-		return Decision{RetryAfter: a.retryTokens(wants)}
+	if requested > a.tokens+roundingSlack {
+		a.estimate.recordBurstShortfall(a.burstSize(), requested)
+		return Decision{RetryAfter: a.retryAfterTokens(requested)}
 	}
-	a.tokens -= wants
+	a.tokens -= requested
 	a.used += tasks
-	a.need.inFlight(float64(a.used))
-	a.need.admitted(a.last, wants)
-	return a.taken(tasks)
+	a.estimate.recordInFlight(float64(a.used))
+	a.estimate.recordAdmitted(a.last, requested)
+	return a.admittedDecision(tasks)
 }
 
-// taken returns the decision for tasks that were just taken. What it gives back
-// is given back once, whichever way.
-func (a *account) taken(tasks int) Decision {
-	given := false
-	giveBack := func(tokens float64) {
+// admittedDecision returns the decision for tasks that were just admitted. They are returned at
+// most once, by Release or by Undo.
+func (a *account) admittedDecision(tasks int) Decision {
+	released := false
+	release := func(tokens float64) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if given {
+		if released {
 			return
 		}
-		given = true
+		released = true
 		a.used -= tasks
 		a.tokens += tokens
-		a.clip()
+		a.clampTokens()
 	}
 	return Decision{
 		OK:      true,
-		Release: func() { giveBack(0) },
-		Undo:    func() { giveBack(float64(tasks)) },
+		Release: func() { release(0) },
+		Undo:    func() { release(float64(tasks)) },
 	}
 }
 
-// retryFlight guesses when tasks in flight have ended: a quarter of the answer
-// time, within bounds.
-func (a *account) retryFlight() time.Duration {
-	return a.spread(min(max(a.hold/4, ExchangePause/10), ExchangePause))
+// retryAfterInFlight estimates when tasks in flight will have ended: a quarter of the answer time,
+// within bounds.
+func (a *account) retryAfterInFlight() time.Duration {
+	return a.withJitter(min(max(a.answerTime/4, ExchangePause/10), ExchangePause))
 }
 
-// retryTokens gives each refused job its own time, one after the other as the
-// tokens for them come in.
-func (a *account) retryTokens(wants float64) time.Duration {
-	rate := a.rights.at(a.last, "").rate
-	if rate <= 0 || wants > a.depth()+slack {
-		return a.spread(ExchangePause)
+// retryAfterTokens assigns each rejected job its own retry time, one after the other at the rate
+// at which tokens become available.
+func (a *account) retryAfterTokens(requested float64) time.Duration {
+	rate := a.allowance.at(a.last, "").rate
+	if rate <= 0 || requested > a.burstSize()+roundingSlack {
+		return a.withJitter(ExchangePause)
 	}
-	begin, lacking := a.promised, wants
+	begin, missing := a.retryScheduledUntil, requested
 	if !begin.After(a.last) {
-		begin, lacking = a.last, wants-a.tokens
+		begin, missing = a.last, requested-a.tokens
 	}
-	wait := begin.Sub(a.last) + time.Duration(lacking/rate*float64(time.Second))
+	wait := begin.Sub(a.last) + time.Duration(missing/rate*float64(time.Second))
 	wait = min(wait, maxRetryAfter)
-	a.promised = a.last.Add(wait)
-	return a.spread(wait)
+	a.retryScheduledUntil = a.last.Add(wait)
+	return a.withJitter(wait)
 }
 
-func (a *account) spread(d time.Duration) time.Duration {
-	d += time.Duration(a.opts.Jitter() * retrySpread * float64(d))
+func (a *account) withJitter(d time.Duration) time.Duration {
+	d += time.Duration(a.opts.Jitter() * retryJitter * float64(d))
 	return max(d, time.Millisecond)
 }
 
-// lacking reports whether anything is borrowed or to be borrowed.
-func (a *account) lacking(now time.Time) bool {
+// needsLease reports whether this entry needs leases, new or renewed, beyond its own share.
+func (a *account) needsLease(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
 	if !a.active {
 		return false
 	}
-	v := a.viewOf("")
-	return a.need.job > 0 || !v.needed.minus(v.has.minus(v.borrowed)).positive().none()
+	v := a.viewFor("")
+	return a.estimate.oversized > 0 || !v.needed.minus(v.available.minus(v.leased)).positive().negligible()
 }
 
 // view is what an entry needs and what it may use at its next exchange.
 type view struct {
-	// has contains what is borrowed, own is the part of one lender.
-	needed, has, borrowed, own amounts
+	// available includes leased, the sum of all leases from others; fromLessor is the part leased
+	// from one lessor.
+	needed, available, leased, fromLessor amounts
 }
 
-func (a *account) viewOf(lender string) view {
+func (a *account) viewFor(lessor string) view {
 	soon := a.last.Add(ExchangePause)
-	v := view{needed: a.needed(), has: a.rights.at(soon, "")}
-	v.has.flight = a.rights.least(soon, soon.Add(a.hold), "").flight
-	for _, l := range a.rights.borrowed {
-		part := l.usable(soon, a.hold)
-		v.borrowed = v.borrowed.plus(part)
-		if l.peer == lender {
-			v.own = part
+	v := view{needed: a.needed(), available: a.allowance.at(soon, "")}
+	v.available.inFlight = a.allowance.minBetween(soon, soon.Add(a.answerTime), "").inFlight
+	for _, l := range a.allowance.leased {
+		amount := l.usableAt(soon, a.answerTime)
+		v.leased = v.leased.plus(amount)
+		if l.peer == lessor {
+			v.fromLessor = amount
 		}
 	}
 	return v
 }
 
-// lack is what this entry would borrow from one lender.
+// shortfall returns what this entry requests from one lessor.
 //
-// All are asked at the same time. What is missing is asked of each; what is there
-// is renewed by each in proportion. If each were asked for the need less what the
-// others lend, a surplus would be taken off every loan at once, and with a surplus
-// as large as a loan none would be renewed: the rate would swing between the base
-// share and the whole, a few seconds each.
-func (v view) lack() amounts {
-	wanted := v.needed.minus(v.has.minus(v.borrowed)).positive()
-	missing := v.needed.minus(v.has)
+// All lessors are asked at the same time. What is missing is requested from each of them; what is
+// already leased is renewed by each in proportion. If each were asked for the demand less what the
+// others grant, a surplus would be deducted from every lease at once, and with a surplus as large
+// as a lease none would be renewed: the rate would oscillate between the base share and the whole,
+// with a period of a few seconds.
+func (v view) shortfall() amounts {
+	toLease := v.needed.minus(v.available.minus(v.leased)).positive()
+	missing := v.needed.minus(v.available)
 	return amounts{
-		renewal(v.own.rate, v.borrowed.rate, wanted.rate, missing.rate),
-		renewal(v.own.burst, v.borrowed.burst, wanted.burst, missing.burst),
-		renewal(v.own.flight, v.borrowed.flight, wanted.flight, missing.flight),
+		renewal(v.fromLessor.rate, v.leased.rate, toLease.rate, missing.rate),
+		renewal(v.fromLessor.burst, v.leased.burst, toLease.burst, missing.burst),
+		renewal(v.fromLessor.inFlight, v.leased.inFlight, toLease.inFlight, missing.inFlight),
 	}
 }
 
-// settled: nothing lent exceeds the base, and what was admitted on a larger one
-// has ended.
+// settled reports whether the leases granted fit into the base share and the tasks admitted on a
+// larger one have ended.
 func (a *account) settled(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	far := a.last.Add(2*a.opts.Span + 2*a.hold)
-	low := a.rights.least(a.last, far, "")
+	far := a.last.Add(2*a.opts.Span + 2*a.answerTime)
+	low := a.allowance.minBetween(a.last, far, "")
 	if low.positive() != low {
 		return false
 	}
-	return float64(a.used) <= a.usable() || a.last.Sub(a.shrunk) > a.hold
+	return float64(a.used) <= a.maxInFlight() || a.last.Sub(a.shrunkAt) > a.answerTime
 }
 
 func (a *account) idle(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	return a.used == 0 && len(a.rights.lent) == 0
+	return a.used == 0 && len(a.allowance.granted) == 0
 }
 
 func (a *account) status(now time.Time) Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	has := a.rights.at(a.last, "")
-	s := Status{Rate: max(has.rate, 0), Burst: max(has.burst, 0), InFlight: max(has.flight, 0),
+	available := a.allowance.at(a.last, "")
+	s := Status{Rate: max(available.rate, 0), Burst: max(available.burst, 0), InFlight: max(available.inFlight, 0),
 		Tokens: a.tokens, Used: a.used}
-	for _, l := range a.rights.borrowed {
+	for _, l := range a.allowance.leased {
 		s.BorrowedRate += l.at(a.last).rate
-		s.BorrowedInFlight += l.at(a.last).flight
+		s.BorrowedInFlight += l.at(a.last).inFlight
 	}
-	lent := a.rights.base.minus(has)
-	s.LentRate = lent.rate + s.BorrowedRate
-	s.LentInFlight = lent.flight + s.BorrowedInFlight
+	granted := a.allowance.base.minus(available)
+	s.LentRate = granted.rate + s.BorrowedRate
+	s.LentInFlight = granted.inFlight + s.BorrowedInFlight
 	return s
 }
--- a/entry/quota/gather.go
+++ b/entry/quota/gather.go
@@ -9,62 +9,62 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// gatherTurn is how long one entry may gather the shares for jobs that no single
-// share can hold. Loans take a few seconds to come back, so that short turns would
-// waste most of the limit; callers that are refused meet the gathering entry when
-// they come back through the balancer.
-const gatherTurn = 10 * time.Second
+// collectorTerm is how long the same entries collect shares for jobs that no single share can
+// hold. Leases take a few seconds to be returned, so shorter terms would waste most of the limit;
+// rejected callers reach a collecting entry when they retry through the load balancer.
+const collectorTerm = 10 * time.Second
 
-// turns is who may gather the shares now. Entries that all get jobs larger than a
-// share would each keep their own part and none could ever admit one. They agree
-// without a message, by a hash over the names; clocks that differ only make one
-// more gather for a moment, in which none may have enough.
-type turns struct {
-	// claims are the ranks of the entries that get such jobs, the highest first;
-	// the first of them, as many as places, gather.
-	claims []uint64
-	places int
-	// own is this entry's claim, 0 for none.
+// collectors determines which entries collect shares at present. If every entry received jobs
+// larger than its share and kept its own part, none could ever admit one. The entries agree on the
+// collectors without a message, by rendezvous hashing of their names in each term. Clock
+// differences only cause one more entry to collect for a moment, during which possibly none has
+// enough.
+type collectors struct {
+	// ranks are the hash values of the entries that receive such jobs, highest first; the first
+	// slots of them collect.
+	ranks []uint64
+	slots int
+	// own is this entry's rank, 0 if it receives no such job.
 	own uint64
 }
 
-// turns lists the claims of this entry and of the peers that asked lately. There
-// are as many places as the contract has room for two of the largest of the jobs: a
-// bucket that holds just one loses what comes in while it is full.
-func (a *account) turns() turns {
-	var t turns
-	job := a.need.job
-	if job > 0 {
-		t.own = a.rank(a.opts.Self)
-		t.claims = append(t.claims, t.own)
+// collectors ranks this entry and the peers that requested lately. The number of slots is how
+// often the contract can hold two of the largest of the jobs: a token bucket that holds just one
+// loses the tokens that arrive while it is full.
+func (a *account) collectors() collectors {
+	var c collectors
+	jobSize := a.estimate.oversized
+	if jobSize > 0 {
+		c.own = a.rank(a.opts.Self)
+		c.ranks = append(c.ranks, c.own)
 	}
-	for peer, w := range a.wants {
-		if w.job > 0 && a.last.Sub(w.at) <= 2*ExchangePause {
-			t.claims = append(t.claims, a.rank(peer))
-			job = max(job, w.job)
+	for peer, w := range a.peerDemands {
+		if w.oversized > 0 && a.last.Sub(w.at) <= 2*ExchangePause {
+			c.ranks = append(c.ranks, a.rank(peer))
+			jobSize = max(jobSize, w.oversized)
 		}
 	}
-	slices.SortFunc(t.claims, func(x, y uint64) int { return cmp.Compare(y, x) })
-	if job > 0 {
-		t.places = int(min(a.limit.burst, a.limit.flight) / (2 * job))
+	slices.SortFunc(c.ranks, func(x, y uint64) int { return cmp.Compare(y, x) })
+	if jobSize > 0 {
+		c.slots = int(min(a.limit.burst, a.limit.inFlight) / (2 * jobSize))
 	}
-	t.places = min(max(t.places, 1), len(t.claims))
-	return t
+	c.slots = min(max(c.slots, 1), len(c.ranks))
+	return c
 }
 
-// has reports whether an entry of that rank gathers.
-func (t turns) has(rank uint64) bool { return slices.Contains(t.claims[:t.places], rank) }
+// includes reports whether the entry with the given rank collects.
+func (c collectors) includes(rank uint64) bool { return slices.Contains(c.ranks[:c.slots], rank) }
 
-// gathers reports whether a peer gathers and this entry does not.
-func (a *account) gathers(peer string) bool {
-	t := a.turns()
-	return t.has(a.rank(peer)) && !t.has(t.own)
+// collects reports whether a peer collects and this entry does not.
+func (a *account) collects(peer string) bool {
+	c := a.collectors()
+	return c.includes(a.rank(peer)) && !c.includes(c.own)
 }
 
 func (a *account) rank(entry string) uint64 {
-	turn := binary.LittleEndian.AppendUint64(nil, uint64(a.last.UnixNano()/int64(gatherTurn)))
+	term := binary.LittleEndian.AppendUint64(nil, uint64(a.last.UnixNano()/int64(collectorTerm)))
 	h := xxhash.New()
-	_, _ = h.Write(turn)
+	_, _ = h.Write(term)
 	_, _ = h.WriteString(a.name)
 	_, _ = h.WriteString("\x00")
 	_, _ = h.WriteString(entry)
--- a/entry/quota/giveback.go
+++ b/entry/quota/giveback.go
@@ -10,16 +10,16 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// demand asks one lender and gives back what is no longer needed of its loan.
+// demand requests leases from one lessor and returns what is no longer needed of its earlier ones.
 //
-// Loans of tasks in flight last for the customer's answer time, and the entry that
-// needs them next may be another. Each demand names what is still held of the
-// lender's earlier loans, and is numbered:
-//   - the borrower has given up the rest before the demand leaves, and takes no
-//     answer to an earlier one after it. So the lender may use the rest at once;
-//   - a demand that is lost gives nothing back: the loan lapses as without it;
-//   - one that comes late or twice bounds only the loans of calls before it, and
-//     the borrower holds no more than that of them ever after.
+// Leases of tasks in flight last for the client's answer time, and another entry may need them in
+// the meantime. Each demand therefore states how much is kept of the lessor's earlier leases, and
+// is numbered:
+//   - The lessee has given up the rest before the demand is sent, and ignores later replies to
+//     earlier calls. So the lessor may use the rest at once.
+//   - A lost demand returns nothing: the lease expires as it would without the demand.
+//   - A late or duplicated demand limits only the leases of calls before it, and the lessee never
+//     again holds more than that of them.
 func (a *account) demand(now time.Time, to string, closed bool) *wirev1.Demand {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -27,64 +27,64 @@
 	if !a.active {
 		return nil
 	}
-	v, job := a.viewOf(to), a.need.job
+	v, oversized := a.viewFor(to), a.estimate.oversized
 	if closed {
-		v.needed, job = amounts{flight: float64(a.used)}, 0
+		v.needed, oversized = amounts{inFlight: float64(a.used)}, 0
 	}
-	lack := v.lack()
-	kept, given := a.giveBack(to, lack, v)
-	if lack.none() && job == 0 && !given {
+	shortfall := v.shortfall()
+	kept, returned := a.returnUnused(to, shortfall, v)
+	if shortfall.negligible() && oversized == 0 && !returned {
 		return nil
 	}
-	a.call++
-	a.calls[to] = a.call
+	a.callCount++
+	a.lastCalls[to] = a.callCount
 	return &wirev1.Demand{
-		Customer: a.name, RateMilli: units(lack.rate), BurstMilli: units(lack.burst), InFlightMilli: units(lack.flight),
-		JobMilli: units(job), Call: a.call,
-		KeptRateMilli: units(kept.rate), KeptBurstMilli: units(kept.burst), KeptInFlightMilli: units(kept.flight),
+		Customer: a.name, RateMilli: units(shortfall.rate), BurstMilli: units(shortfall.burst), InFlightMilli: units(shortfall.inFlight),
+		JobMilli: units(oversized), Call: a.callCount,
+		KeptRateMilli: units(kept.rate), KeptBurstMilli: units(kept.burst), KeptInFlightMilli: units(kept.inFlight),
 	}
 }
 
-// lenderKey names the lender in the first demand of a call. A call may reach another process than it
-// was meant for, at the same address; that one must not take back its own loans
-// for what is kept of the other's.
-func lenderKey(name string) uint64 { return xxhash.Sum64String(name) }
+// lessorKey identifies the lessor in the first demand of a call. A call may reach a different
+// process at the same address; that process must not reclaim its own leases according to what is
+// kept of the other's.
+func lessorKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// giveBack cuts the loan of one lender down to what it is asked for, as far as
-// nothing in use or lent on depends on it. It returns a bound of what is left.
+// returnUnused reduces the lease from one lessor to the requested amounts, except for what is in
+// use or leased out. It returns an upper bound of what is kept.
 //
-// Where more is in use or lent on than the loans of now allow, it depends on former
-// ones that were larger: they were replaced, or dropped, and last at the lender.
-// Bounded by the newest, the lender would use them a second time. So no bound is
-// given until that is over.
-func (a *account) giveBack(lender string, asked amounts, v view) (kept amounts, given bool) {
-	i := slices.IndexFunc(a.rights.borrowed, func(l loan) bool { return l.peer == lender })
+// If more is in use or leased out than the present leases allow, it depends on former, larger
+// leases that were replaced or dropped and have not expired at the lessor. With a bound taken from
+// the newest lease, the lessor would use that part a second time. So no bound is given until the
+// excess has ended.
+func (a *account) returnUnused(lessor string, requested amounts, v view) (kept amounts, returned bool) {
+	i := slices.IndexFunc(a.allowance.leased, func(l quotaLease) bool { return l.peer == lessor })
 	if i < 0 {
-		span := a.last.Add(a.opts.Span + lendMargin)
-		return amounts{}.unless(a.free(span, span.Add(a.hold)), unbounded), false
+		span := a.last.Add(a.opts.Span + leaseMargin)
+		return amounts{}.replaceWhereNegative(a.unused(span, span.Add(a.answerTime)), unbounded), false
 	}
-	l := &a.rights.borrowed[i]
-	free := a.free(l.until.Add(-1), l.flightUntil.Add(-1))
-	give := l.minus(asked).min(free).positive().rounded()
-	give = give.unless(v.has.minus(v.needed), amounts{})
-	l.amounts = l.minus(give).rounded()
-	a.clip()
-	return l.unless(free, unbounded), !give.none()
+	l := &a.allowance.leased[i]
+	unused := a.unused(l.expires.Add(-1), l.inFlightExpires.Add(-1))
+	amount := l.minus(requested).min(unused).positive().rounded()
+	amount = amount.replaceWhereNegative(v.available.minus(v.needed), amounts{})
+	l.amounts = l.minus(amount).rounded()
+	a.clampTokens()
+	return l.replaceWhereNegative(unused, unbounded), !amount.negligible()
 }
 
-// unbounded is no bound: more than any contract allows.
+// unbounded is a bound without effect: more than any contract allows.
 var unbounded = amounts{contract.MaxRate, contract.MaxBurst, contract.MaxInFlight}
 
-// free is what is neither in use nor lent on until two times, those of rate and
-// burst and of tasks in flight; negative when more is than the rights allow.
-func (a *account) free(until, flightUntil time.Time) amounts {
-	free := a.rights.least(a.last, until, "")
-	free.flight = a.rights.least(a.last, flightUntil, "").flight - float64(a.used)
-	return free
+// unused returns what is neither in use nor leased out up to two times: until for rate and burst,
+// inFlightUntil for tasks in flight. It is negative if more is in use than the allowance.
+func (a *account) unused(until, inFlightUntil time.Time) amounts {
+	unused := a.allowance.minBetween(a.last, until, "")
+	unused.inFlight = a.allowance.minBetween(a.last, inFlightUntil, "").inFlight - float64(a.used)
+	return unused
 }
 
-// unless replaces each amount by the other where the third is negative.
-func (a amounts) unless(negative, other amounts) amounts {
+// replaceWhereNegative replaces each amount by that of other where that of negative is below zero.
+func (a amounts) replaceWhereNegative(negative, other amounts) amounts {
 	pick := func(v, negative, other float64) float64 {
 		if negative < 0 {
 			return other
@@ -92,26 +92,25 @@
 		return v
 	}
 	return amounts{pick(a.rate, negative.rate, other.rate), pick(a.burst, negative.burst, other.burst),
-		pick(a.flight, negative.flight, other.flight)}
+		pick(a.inFlight, negative.inFlight, other.inFlight)}
 }
 
-// takeBack bounds the loans of a borrower's earlier calls by what it still holds
-// of them.
-func (a *account) takeBack(now time.Time, from string, d *wirev1.Demand) {
+// reclaim limits the leases granted in a lessee's earlier calls to what it still keeps of them.
+func (a *account) reclaim(now time.Time, from string, d *wirev1.Demand) {
 	if d.GetCall() == 0 {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	kept := granted(&wirev1.Loan{
+	kept := leaseAmounts(&wirev1.Loan{
 		RateMilli: d.GetKeptRateMilli(), BurstMilli: d.GetKeptBurstMilli(), InFlightMilli: d.GetKeptInFlightMilli(),
 	})
-	a.rights.bound(from, d.GetCall(), kept)
+	a.allowance.capGranted(from, d.GetCall(), kept)
 }
 
-// awaited reports whether a loan answers the last call to its lender. Those before
-// count as given back.
-func (a *account) awaited(lender string, call uint64) bool {
-	return call == 0 || call == a.calls[lender]
+// answersLastCall reports whether a lease answers the last call to its lessor. Leases of earlier
+// calls count as returned.
+func (a *account) answersLastCall(lessor string, call uint64) bool {
+	return call == 0 || call == a.lastCalls[lessor]
 }
--- a/entry/quota/giveback_test.go
+++ b/entry/quota/giveback_test.go
@@ -9,53 +9,52 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// A borrower's sixth call is held up and arrives after the seventh, and then the
-// seventh arrives once more. The larger loan of the sixth, which nobody holds, does
-// not stand for that of the seventh: it counts as given back, the other is in use.
-func TestLoanOfALateCallStandsForNoOther(t *testing.T) {
-	lender := newNamed("a", 2)
+// A lessee's sixth call is delayed and arrives after the seventh, and then the seventh is
+// delivered again. The larger lease of the sixth call, which nobody holds, must not be counted in
+// place of the seventh's: it counts as returned, while the other is in use.
+func TestLateCallDoesNotReplaceNewerLease(t *testing.T) {
+	lessor := newNamedTable("a", 2)
 	call := func(number, rate uint64) []*wirev1.Demand {
-		return []*wirev1.Demand{{Customer: customer, Call: number, RateMilli: rate * milli, Lender: lenderKey("a")}}
+		return []*wirev1.Demand{{Customer: client, Call: number, RateMilli: rate * milliPerTask, Lender: lessorKey("a")}}
 	}
-	lender.Lend(start, "b", call(7, 30))
-	lender.Lend(start.Add(time.Second), "b", call(6, 40))
-	lender.StopLending()
-	lender.Lend(start.Add(time.Second), "b", call(7, 30))
-	assert.Equal(t, lender.Statuses(start.Add(time.Second))[0].Rate, 20.0)
+	lessor.Lend(start, "b", call(7, 30))
+	lessor.Lend(start.Add(time.Second), "b", call(6, 40))
+	lessor.StopLending()
+	lessor.Lend(start.Add(time.Second), "b", call(7, 30))
+	assert.Equal(t, lessor.Statuses(start.Add(time.Second))[0].Rate, 20.0)
 }
 
-// An entry drops the loan of a lender that seemed to be gone, while tasks that it
-// admitted on it are in flight, and then hears it again. It does not tell the
-// lender that nothing is held: that would be used a second time.
-func TestDroppedLoanInUseIsNotGivenBack(t *testing.T) {
-	lender, borrower := newNamed("a", 2), newNamed("b", 2)
+// An entry drops the lease of a lessor that seemed to be gone, while tasks admitted on it are in
+// flight, and then reaches the lessor again. It must not report that it keeps nothing: the lessor
+// would use that part a second time.
+func TestDroppedLeaseInUseIsNotReturned(t *testing.T) {
+	lessor, lessee := newNamedTable("a", 2), newNamedTable("b", 2)
 	exchange := func(now time.Time) {
-		borrower.Borrow(now, "a", lender.Lend(now, "b", borrower.Demand(now, "a")), now)
+		lessee.Borrow(now, "a", lessor.Lend(now, "b", lessee.Demand(now, "a")), now)
 	}
 	for range 2 {
-		borrower.Admit(start, customer, 15)
+		lessee.Admit(start, client, 15)
 	}
 	exchange(start)
-	assert.Assert(t, borrower.Admit(start.Add(100*time.Millisecond), customer, 10).OK, "on what was borrowed")
-	borrower.Drop(start.Add(200*time.Millisecond), "a")
-	lender.StopLending()
+	assert.Assert(t, lessee.Admit(start.Add(100*time.Millisecond), client, 10).OK, "admitted on the lease")
+	lessee.Drop(start.Add(200*time.Millisecond), "a")
+	lessor.StopLending()
 	exchange(start.Add(300 * time.Millisecond))
-	assert.Assert(t, lender.Statuses(start.Add(300 * time.Millisecond))[0].InFlight <= 5)
+	assert.Assert(t, lessor.Statuses(start.Add(300 * time.Millisecond))[0].InFlight <= 5)
 }
 
-// An entry leaves that had borrowed all of a contract. Its lenders have their parts
-// back at its last call, and not only when the loans of tasks in flight lapse, a
-// whole answer time later.
-func TestClosedTableGivesBack(t *testing.T) {
-	lender, borrower := newNamed("a", 2), newNamed("b", 2)
+// An entry that had leased the whole contract leaves. Its lessors get their parts back with its
+// last call, rather than a whole answer time later when the leases of tasks in flight expire.
+func TestClosedTableReturnsLeases(t *testing.T) {
+	lessor, lessee := newNamedTable("a", 2), newNamedTable("b", 2)
 	for range 2 {
-		borrower.Admit(start, customer, 15)
+		lessee.Admit(start, client, 15)
 	}
-	borrower.Borrow(start, "a", lender.Lend(start, "b", borrower.Demand(start, "a")), start)
-	assert.Assert(t, lender.Statuses(start)[0].InFlight < 15)
-	borrower.Close()
+	lessee.Borrow(start, "a", lessor.Lend(start, "b", lessee.Demand(start, "a")), start)
+	assert.Assert(t, lessor.Statuses(start)[0].InFlight < 15)
+	lessee.Close()
 	later := start.Add(time.Second)
-	lender.Lend(later, "b", borrower.Demand(later, "a"))
-	assert.Equal(t, lender.Statuses(later)[0].InFlight, 15.0)
-	assert.Equal(t, len(borrower.Demand(later, "a")), 0)
+	lessor.Lend(later, "b", lessee.Demand(later, "a"))
+	assert.Equal(t, lessor.Statuses(later)[0].InFlight, 15.0)
+	assert.Equal(t, len(lessee.Demand(later, "a")), 0)
 }
--- a/entry/quota/holder.go
+++ b/entry/quota/holder.go
@@ -7,82 +7,81 @@
 	"time"
 )
 
-// DefaultIsolation is how long an entry goes on when it hears neither the store
+// DefaultIsolation is how long an entry keeps using its share when it reaches neither the store
 // nor a peer.
 const DefaultIsolation = 5 * time.Second
 
-// coldSettle is how long an entry that hears no holder waits before it takes a
-// share: holders that lost their registrations in an outage of the store register
-// again within it.
-const coldSettle = 1500 * time.Millisecond
+// bootstrapDelay is how long an entry that finds no holder waits before it takes a share. Holders
+// whose registrations expired during a store outage register again within this time.
+const bootstrapDelay = 1500 * time.Millisecond
 
-// PeerID is one process of a peer.
+// PeerID identifies one process of a peer.
 type PeerID struct {
 	ID          string
 	Incarnation uint64
 }
 
-// String is the name under which loans and demands are kept: loans of an entry's
-// former process are not those of the present one.
+// String returns the name under which leases and demands are stored. It includes the incarnation,
+// because leases from an entry's former process are not those of its present one.
 func (p PeerID) String() string { return p.ID + "#" + strconv.FormatUint(p.Incarnation, 10) }
 
-// Confirmation is what a peer's reply says of this entry's share.
+// Confirmation is the part of a peer's reply that concerns this entry's share.
 type Confirmation struct {
 	// AskedAt is when the call began.
 	AskedAt time.Time
-	// Counted: the peer counts this entry among those that share the limits.
+	// Counted means that the peer counts this entry among those that share the limits.
 	Counted bool
-	// CountedFor is for how long it has, without a break.
+	// CountedFor is for how long the peer has counted this entry without interruption.
 	CountedFor time.Duration
-	// Unsettled names customers of whose limits the peer still holds more than its
-	// share.
+	// Unsettled names clients of whose limits the peer still holds more than its share.
 	Unsettled []string
-	// Rooted: the peer knows every entry that may hold a share.
+	// Rooted means that the peer knows every entry that may hold a share.
 	Rooted bool
-	// Holding: the peer holds a share itself.
+	// Holding means that the peer itself holds a share.
 	Holding bool
 }
 
-// Surroundings is what the Holder decides by.
+// Surroundings is the membership information on which the Holder decides.
 type Surroundings struct {
-	// Peers are the other entries that are not gone; Live marks those that answer.
+	// Peers are the other entries that have not left; Live marks those that respond.
 	Peers []PeerID
 	Live  map[PeerID]bool
-	// Rooted: a list of the store showed this entry's present registration.
+	// Rooted means that a listing of the store contained this entry's present registration.
 	Rooted bool
-	// Alone: no peer can be found besides those in Peers.
+	// Alone means that no peer can be found besides those in Peers.
 	Alone bool
-	// Contact is the beginning of the last call that the store or a peer answered.
+	// Contact is the start of the last call that the store or a peer answered.
 	Contact time.Time
 }
 
-// Holder decides whether this entry may hold base shares. It takes one only when
-// every entry that may hold one counts it, and when it counts them all:
-//   - it knows them all once it is rooted: it has listed the store after it
-//     registered, or has heard a peer that is rooted. Whoever joins later needs
-//     the confirmation of an entry that knows this one, and so learns of it;
-//   - each of them has confirmed, in a reply, that it counts this entry.
+// Holder decides whether this entry may hold base shares. It takes a share only when every entry
+// that may hold one counts it, and when it counts all of them:
+//   - Its membership is complete once it has listed the store after its own registration, or has
+//     received a reply from a peer whose membership is complete. An entry that joins later needs
+//     the confirmation of an entry that knows this one, and so learns of it.
+//   - Each of them has confirmed, in a reply, that it counts this entry.
 //
-// So any two holders count each other, each share is at most one part in as many
-// as there are holders, and the shares add up to no more than the whole. An entry
-// that was cut off from everyone gives its share up before the others may find it
-// gone, and takes it back only when those it hears never counted it out.
+// So any two holders count each other, each share is at most one part in as many as there are
+// holders, and the shares add up to no more than the whole. An entry that is cut off from all
+// others gives up its share before they may consider it gone, and takes it back only if none of
+// the entries it reaches has stopped counting it.
 type Holder struct {
 	isolation time.Duration
 	logger    *slog.Logger
 
-	rooted bool
-	// rootedAt is when it became so.
-	rootedAt  time.Time
-	holding   bool
-	suspended bool
-	// lastContact is the contact before the isolation.
-	lastContact time.Time
-	settled     bool
-	replies     map[PeerID]Confirmation
+	// membershipComplete is true once every entry that may hold a share is known.
+	membershipComplete bool
+	// membershipCompleteAt is when membershipComplete was set.
+	membershipCompleteAt time.Time
+	holding              bool
+	suspended            bool
+	// lastContact is the last contact before an isolation.
+	lastContact  time.Time
+	peersSettled bool
+	replies      map[PeerID]Confirmation
 }
 
-// NewHolder returns a holder of nothing.
+// NewHolder returns a Holder without a share.
 func NewHolder(isolation time.Duration, logger *slog.Logger) *Holder {
 	if isolation <= 0 {
 		isolation = DefaultIsolation
@@ -93,33 +92,33 @@
 	return &Holder{isolation: isolation, logger: logger, replies: map[PeerID]Confirmation{}}
 }
 
-// Confirm takes a peer's reply; an older one than that held is ignored.
+// Confirm stores a peer's reply, unless a newer one is stored already.
 func (h *Holder) Confirm(p PeerID, c Confirmation) {
 	if old, known := h.replies[p]; known && !c.AskedAt.After(old.AskedAt) {
 		return
 	}
 	h.replies[p] = c
-	h.root(c.Rooted, c.AskedAt)
+	h.markMembershipComplete(c.Rooted, c.AskedAt)
 }
 
-func (h *Holder) root(rooted bool, at time.Time) {
-	if rooted && !h.rooted {
-		h.rooted, h.rootedAt = true, at
+func (h *Holder) markMembershipComplete(complete bool, at time.Time) {
+	if complete && !h.membershipComplete {
+		h.membershipComplete, h.membershipCompleteAt = true, at
 	}
 }
 
 // Holding reports whether this entry holds a share and may use it.
 func (h *Holder) Holding() bool { return h.holding && !h.suspended }
 
-// Suspended reports whether this entry holds a share that it may not use until its peers
-// have confirmed it anew.
+// Suspended reports whether this entry holds a share that it may not use until its peers confirm
+// it again.
 func (h *Holder) Suspended() bool { return h.holding && h.suspended }
 
-// Cold reports whether this entry has no share and knows of no entry that has one
-// to lend.
-func (h *Holder) Cold() bool { return !h.Holding() && !h.hearsHolder() }
+// Cold reports whether this entry has no usable share and knows no holder that could grant it a
+// lease.
+func (h *Holder) Cold() bool { return !h.Holding() && !h.peerHoldsShare() }
 
-func (h *Holder) hearsHolder() bool {
+func (h *Holder) peerHoldsShare() bool {
 	for _, c := range h.replies {
 		if c.Holding {
 			return true
@@ -129,26 +128,26 @@
 }
 
 // Rooted reports whether this entry knows every entry that may hold a share.
-func (h *Holder) Rooted() bool { return h.rooted }
+func (h *Holder) Rooted() bool { return h.membershipComplete }
 
-// Joined reports whether nothing is left to confirm.
-func (h *Holder) Joined() bool { return h.holding && h.settled && !h.suspended }
+// Joined reports whether this entry holds its share and no confirmation is outstanding.
+func (h *Holder) Joined() bool { return h.holding && h.peersSettled && !h.suspended }
 
 // Decide returns the share that this entry may use now.
 func (h *Holder) Decide(now time.Time, s Surroundings) Share {
-	h.root(s.Rooted, now)
-	h.forget(s.Peers)
-	h.watchIsolation(now, s)
+	h.markMembershipComplete(s.Rooted, now)
+	h.removeStaleReplies(s.Peers)
+	h.checkIsolation(now, s)
 	h.join(now, s)
 	share := Share{Entries: 1 + len(s.Peers), Holding: h.Holding()}
-	if share.Holding && !h.settled {
-		share.Waiting = h.waiting(s.Peers)
-		h.settled = len(share.Waiting) == 0
+	if share.Holding && !h.peersSettled {
+		share.Waiting = h.waitingClients(s.Peers)
+		h.peersSettled = len(share.Waiting) == 0
 	}
 	return share
 }
 
-func (h *Holder) forget(peers []PeerID) {
+func (h *Holder) removeStaleReplies(peers []PeerID) {
 	present := make(map[PeerID]bool, len(peers))
 	for _, p := range peers {
 		present[p] = true
@@ -161,7 +160,7 @@
 }
 
 func (h *Holder) join(now time.Time, s Surroundings) {
-	if h.holding || !h.rooted {
+	if h.holding || !h.membershipComplete {
 		return
 	}
 	if len(s.Peers) == 0 && !s.Alone {
@@ -173,26 +172,26 @@
 			return
 		}
 	}
-	if !h.hearsHolder() && now.Sub(h.rootedAt) < coldSettle {
+	if !h.peerHoldsShare() && now.Sub(h.membershipCompleteAt) < bootstrapDelay {
 		return
 	}
 	h.holding = true
-	h.settled = false
+	h.peersSettled = false
 }
 
-func (h *Holder) waiting(peers []PeerID) map[string]bool {
-	waiting := map[string]bool{}
+func (h *Holder) waitingClients(peers []PeerID) map[string]bool {
+	waitingClients := map[string]bool{}
 	for _, p := range peers {
 		for _, customer := range h.replies[p].Unsettled {
-			waiting[customer] = true
+			waitingClients[customer] = true
 		}
 	}
-	return waiting
+	return waitingClients
 }
 
-// watchIsolation suspends the share of an entry that hears nobody, and judges the
-// replies that come after.
-func (h *Holder) watchIsolation(now time.Time, s Surroundings) {
+// checkIsolation suspends the share of an entry that reaches nobody, and evaluates the replies
+// after contact is restored.
+func (h *Holder) checkIsolation(now time.Time, s Surroundings) {
 	if !h.holding {
 		return
 	}
@@ -205,8 +204,8 @@
 		h.lastContact = s.Contact
 		return
 	}
-	// Either the share was suspended, or this entry was paused through the whole of
-	// its isolation and only now looks again.
+	// Either the share was suspended, or this process was paused for the whole isolation and
+	// runs only now again.
 	h.suspend(h.lastContact)
 	h.resume(now, s)
 }
@@ -217,40 +216,40 @@
 	}
 	h.suspended = true
 	h.lastContact = contact
-	eventSuspended.Log(context.Background(), h.logger)
+	shareSuspended.Log(context.Background(), h.logger)
 }
 
-// confirmedSince reports whether the peer has replied to a question that was asked since
-// the last contact, and a short while ago: one that lay in a socket while this entry was
-// paused does not count, as the peer may have counted it out since.
+// confirmedSince reports whether the peer has replied to a recent request sent after the last
+// contact. A reply that waited in a socket buffer while this entry was paused does not count,
+// because the peer may have stopped counting this entry since.
 func (h *Holder) confirmedSince(now time.Time, p PeerID) bool {
 	c, known := h.replies[p]
 	return known && c.AskedAt.After(h.lastContact) && now.Sub(c.AskedAt) <= h.isolation
 }
 
-// resume waits for a reply of every peer that answers, begun after the last contact;
-// where none does, for a list of the store: an entry that was alone may have been
-// joined by others meanwhile.
+// resume ends the suspension once every responding peer has replied to a request sent after the
+// last contact. If no peer responds it waits for a listing of the store, because other entries may
+// have joined in the meantime.
 func (h *Holder) resume(now time.Time, s Surroundings) {
-	heard := 0
+	confirmations := 0
 	for _, p := range s.Peers {
-		fresh := h.confirmedSince(now, p)
-		if !fresh && s.Live[p] {
+		confirmed := h.confirmedSince(now, p)
+		if !confirmed && s.Live[p] {
 			return
 		}
-		if !fresh {
+		if !confirmed {
 			continue
 		}
-		heard++
+		confirmations++
 		if c := h.replies[p]; !c.Counted || c.AskedAt.Add(-c.CountedFor).After(h.lastContact) {
 			h.rejoin(now, s)
 			return
 		}
 	}
-	if heard == 0 && !s.Rooted {
+	if confirmations == 0 && !s.Rooted {
 		return
 	}
-	if heard == 0 && len(s.Peers) > 0 {
+	if confirmations == 0 && len(s.Peers) > 0 {
 		h.rejoin(now, s)
 		return
 	}
@@ -259,18 +258,18 @@
 
 func (h *Holder) rejoin(now time.Time, s Surroundings) {
 	h.holding = false
-	h.settled = false
-	h.rooted = false
-	h.root(s.Rooted, s.Contact)
+	h.peersSettled = false
+	h.membershipComplete = false
+	h.markMembershipComplete(s.Rooted, s.Contact)
 	for p, c := range h.replies {
 		if !h.confirmedSince(now, p) {
 			delete(h.replies, p)
 			continue
 		}
-		h.root(c.Rooted, c.AskedAt)
+		h.markMembershipComplete(c.Rooted, c.AskedAt)
 	}
 	h.endIsolation(s)
-	eventRejoining.Log(context.Background(), h.logger)
+	shareRejoining.Log(context.Background(), h.logger)
 }
 
 func (h *Holder) endIsolation(s Surroundings) {
--- a/entry/quota/holder_test.go
+++ b/entry/quota/holder_test.go
@@ -12,8 +12,9 @@
 	peerB = PeerID{ID: "b", Incarnation: 1}
 )
 
-// around is what a holder sees at a time, in touch since then.
-func around(contact time.Time, peers ...PeerID) Surroundings {
+// surroundings returns the view of a holder whose last contact with its peers was at the given
+// time.
+func surroundings(contact time.Time, peers ...PeerID) Surroundings {
 	s := Surroundings{Peers: peers, Live: map[PeerID]bool{}, Rooted: true, Contact: contact}
 	for _, p := range peers {
 		s.Live[p] = true
@@ -21,115 +22,116 @@
 	return s
 }
 
-func counted(asked time.Time, since time.Duration) Confirmation {
-	return Confirmation{AskedAt: asked, Counted: true, CountedFor: since, Rooted: true, Holding: true}
+func countedSince(askedAt time.Time, since time.Duration) Confirmation {
+	return Confirmation{AskedAt: askedAt, Counted: true, CountedFor: since, Rooted: true, Holding: true}
 }
 
-// A newcomer finds two entries. It holds nothing until both count it; a customer
-// of whose limits one of them still holds more waits until that is over.
-func TestNewcomerWaitsForEveryPeer(t *testing.T) {
+// A new entry finds two others. It holds no share until both count it. A client of whose limits
+// one of them still holds more than its share waits until that has ended.
+func TestNewEntryWaitsForEveryPeer(t *testing.T) {
 	h := NewHolder(0, nil)
-	h.Confirm(peerA, counted(start, 0))
-	assert.Assert(t, !h.Decide(start, around(start, peerA, peerB)).Holding)
-	c := counted(start, 0)
-	c.Unsettled = []string{customer}
+	h.Confirm(peerA, countedSince(start, 0))
+	assert.Assert(t, !h.Decide(start, surroundings(start, peerA, peerB)).Holding)
+	c := countedSince(start, 0)
+	c.Unsettled = []string{client}
 	h.Confirm(peerB, c)
-	s := h.Decide(start, around(start, peerA, peerB))
-	assert.Assert(t, s.Holding && s.Waiting[customer] && s.Entries == 3)
+	s := h.Decide(start, surroundings(start, peerA, peerB))
+	assert.Assert(t, s.Holding && s.Waiting[client] && s.Entries == 3)
 	later := start.Add(time.Second)
-	h.Confirm(peerB, counted(later, time.Second))
-	s = h.Decide(later, around(later, peerA, peerB))
-	assert.Assert(t, s.Holding && !s.Waiting[customer])
+	h.Confirm(peerB, countedSince(later, time.Second))
+	s = h.Decide(later, surroundings(later, peerA, peerB))
+	assert.Assert(t, s.Holding && !s.Waiting[client])
 	assert.Assert(t, h.Joined())
 }
 
-// An entry is frozen for 30 s. The others find it gone and share its part. When it
-// thaws it gives its share up before it may use it, and, since they count it anew
-// only since now, it joins again like a newcomer.
-func TestFrozenEntryJoinsAgain(t *testing.T) {
+// An entry is paused for 30 s; the others consider it gone and divide its share among them. When
+// it resumes it must suspend its share before using it. The others count it only from then on, so
+// it joins again like a new entry.
+func TestPausedEntryRejoins(t *testing.T) {
 	h := NewHolder(0, nil)
-	h.Confirm(peerA, counted(start, time.Minute))
-	assert.Assert(t, h.Decide(start, around(start, peerA)).Holding)
-	thaw := start.Add(30 * time.Second)
-	assert.Assert(t, !h.Decide(thaw, around(start, peerA)).Holding, "no contact since")
-	assert.Assert(t, !h.Decide(thaw, around(thaw, peerA)).Holding, "contact, but no reply yet")
-	c := counted(thaw, 0)
-	c.Unsettled = []string{customer}
+	h.Confirm(peerA, countedSince(start, time.Minute))
+	assert.Assert(t, h.Decide(start, surroundings(start, peerA)).Holding)
+	resumeAt := start.Add(30 * time.Second)
+	assert.Assert(t, !h.Decide(resumeAt, surroundings(start, peerA)).Holding, "no contact since")
+	assert.Assert(t, !h.Decide(resumeAt, surroundings(resumeAt, peerA)).Holding, "contact, but no reply yet")
+	c := countedSince(resumeAt, 0)
+	c.Unsettled = []string{client}
 	h.Confirm(peerA, c)
-	s := h.Decide(thaw, around(thaw, peerA))
-	assert.Assert(t, !s.Holding || s.Waiting[customer], "counted anew, and not settled")
+	s := h.Decide(resumeAt, surroundings(resumeAt, peerA))
+	assert.Assert(t, !s.Holding || s.Waiting[client], "counted again, but not settled")
 }
 
-// The same freeze, but the other entry had no contact with the store and never
-// counted the frozen one out. It goes on with its share at the first reply.
-func TestFrozenEntryThatWasKept(t *testing.T) {
+// The same pause, but the other entry had no contact with the store and never stopped counting the
+// paused one, which resumes its share at the first reply.
+func TestPausedEntryStillCountedResumes(t *testing.T) {
 	h := NewHolder(0, nil)
-	h.Confirm(peerA, counted(start, time.Minute))
-	assert.Assert(t, h.Decide(start, around(start, peerA, peerB)).Holding == false)
-	h.Confirm(peerB, counted(start, time.Minute))
-	assert.Assert(t, h.Decide(start, around(start, peerA, peerB)).Holding)
-	thaw := start.Add(30 * time.Second)
-	h.Confirm(peerA, counted(thaw, 90*time.Second))
-	s := around(thaw, peerA, peerB)
+	h.Confirm(peerA, countedSince(start, time.Minute))
+	assert.Assert(t, h.Decide(start, surroundings(start, peerA, peerB)).Holding == false)
+	h.Confirm(peerB, countedSince(start, time.Minute))
+	assert.Assert(t, h.Decide(start, surroundings(start, peerA, peerB)).Holding)
+	resumeAt := start.Add(30 * time.Second)
+	h.Confirm(peerA, countedSince(resumeAt, 90*time.Second))
+	s := surroundings(resumeAt, peerA, peerB)
 	s.Live[peerB] = false
-	assert.Assert(t, h.Decide(thaw, s).Holding)
+	assert.Assert(t, h.Decide(resumeAt, s).Holding)
 }
 
-// isolatedHolder is one with two peers that has suspended its share at the time returned.
+// isolatedHolder returns a Holder with two peers whose share is suspended, and the time of the
+// suspension.
 func isolatedHolder(t *testing.T) (*Holder, time.Time) {
 	t.Helper()
 	h := NewHolder(0, nil)
-	h.Confirm(peerA, counted(start, time.Minute))
-	h.Confirm(peerB, counted(start, time.Minute))
-	assert.Assert(t, h.Decide(start, around(start, peerA, peerB)).Holding)
+	h.Confirm(peerA, countedSince(start, time.Minute))
+	h.Confirm(peerB, countedSince(start, time.Minute))
+	assert.Assert(t, h.Decide(start, surroundings(start, peerA, peerB)).Holding)
 	now := start.Add(DefaultIsolation + time.Second)
-	assert.Assert(t, !h.Decide(now, around(start, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(now, surroundings(start, peerA, peerB)).Holding)
 	return h, now
 }
 
-// Guards against a suspended share that is never resumed because the replies of several
-// peers don't begin in the same instant.
+// Guards against a suspended share that never resumes because the replies of several peers do not
+// start at the same instant.
 func TestSuspendedShareResumesWithRepliesOfAllPeers(t *testing.T) {
 	h, now := isolatedHolder(t)
 	first, second := now.Add(time.Millisecond), now.Add(2*time.Millisecond)
-	h.Confirm(peerA, counted(first, 2*time.Minute))
-	assert.Assert(t, !h.Decide(first, around(first, peerA, peerB)).Holding, "one of two replies")
-	h.Confirm(peerB, counted(second, 2*time.Minute))
-	assert.Assert(t, h.Decide(second, around(second, peerA, peerB)).Holding)
+	h.Confirm(peerA, countedSince(first, 2*time.Minute))
+	assert.Assert(t, !h.Decide(first, surroundings(first, peerA, peerB)).Holding, "one of two replies")
+	h.Confirm(peerB, countedSince(second, 2*time.Minute))
+	assert.Assert(t, h.Decide(second, surroundings(second, peerA, peerB)).Holding)
 }
 
-// Guards against a share that is resumed by replies from before a second isolation.
+// Guards against resuming a share because of replies from before a second isolation.
 func TestRepliesBeforeASecondIsolationDoNotCount(t *testing.T) {
 	h, now := isolatedHolder(t)
-	h.Confirm(peerA, counted(now, 2*time.Minute))
-	assert.Assert(t, !h.Decide(now, around(now, peerA, peerB)).Holding)
+	h.Confirm(peerA, countedSince(now, 2*time.Minute))
+	assert.Assert(t, !h.Decide(now, surroundings(now, peerA, peerB)).Holding)
 	again := now.Add(DefaultIsolation + time.Second)
-	assert.Assert(t, !h.Decide(again, around(now, peerA, peerB)).Holding)
-	h.Confirm(peerB, counted(again, 2*time.Minute))
-	assert.Assert(t, !h.Decide(again, around(again, peerA, peerB)).Holding)
-	h.Confirm(peerA, counted(again, 2*time.Minute))
-	assert.Assert(t, h.Decide(again, around(again, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(again, surroundings(now, peerA, peerB)).Holding)
+	h.Confirm(peerB, countedSince(again, 2*time.Minute))
+	assert.Assert(t, !h.Decide(again, surroundings(again, peerA, peerB)).Holding)
+	h.Confirm(peerA, countedSince(again, 2*time.Minute))
+	assert.Assert(t, h.Decide(again, surroundings(again, peerA, peerB)).Holding)
 }
 
-// A lender is replaced by a new process of its id, which joins with a full share
-// and does not know what its predecessor lent. The borrower drops the loan before
-// it counts the new one.
-func TestLoansOfAReplacedLenderAreDropped(t *testing.T) {
-	lender, borrower := newTable(2), newTable(2)
+// A lessor is replaced by a new process with the same id, which joins with a full share and does
+// not know what its predecessor granted. The lessee must drop the lease before it counts the new
+// process.
+func TestLeasesOfReplacedLessorAreDropped(t *testing.T) {
+	lessor, lessee := newTable(2), newTable(2)
 	for range 3 {
-		borrower.Admit(start, customer, 15)
+		lessee.Admit(start, client, 15)
 	}
-	loans := lender.Lend(start, "b#1", borrower.Demand(start, "a#1"))
-	borrower.Borrow(start, "a#1", loans, start)
-	assert.Assert(t, borrower.Statuses(start)[0].InFlight > 15)
-	borrower.Drop(start, "a#1")
-	assert.Equal(t, borrower.Statuses(start)[0].InFlight, 15.0)
+	loans := lessor.Lend(start, "b#1", lessee.Demand(start, "a#1"))
+	lessee.Borrow(start, "a#1", loans, start)
+	assert.Assert(t, lessee.Statuses(start)[0].InFlight > 15)
+	lessee.Drop(start, "a#1")
+	assert.Equal(t, lessee.Statuses(start)[0].InFlight, 15.0)
 }
 
-// The load of one customer moves from one entry to another. Within a few seconds
-// the second one gets at least 90 % of the rate, though the first had borrowed all.
-func TestLoadThatMoves(t *testing.T) {
-	m := newMachine(4)
+// The load of one client moves from one entry to another. Within a few seconds the second entry
+// must get at least 90 % of the rate, although the first had leased all of it.
+func TestShareFollowsMovedLoad(t *testing.T) {
+	m := newCluster(4)
 	admitted := 0
 	rounds(m.tables, 40, func(now time.Time) {
 		at, since := "e0", now.Sub(start)
@@ -137,7 +139,7 @@
 			at = "e1"
 		}
 		for range 4 {
-			d := m.tables[at].Admit(now, customer, 5)
+			d := m.tables[at].Admit(now, client, 5)
 			if !d.OK {
 				continue
 			}
@@ -150,15 +152,15 @@
 	assert.Assert(t, float64(admitted) >= 0.9*100*18, "admitted %d in 18 s at 100 a second", admitted)
 }
 
-// Four entries get equal load, in sum 120 % of the contract. Together they admit
-// nearly all that was bought.
+// Four entries get equal load that adds up to 120 % of the contract. Together they must admit
+// nearly the whole contract.
 func TestEvenOverload(t *testing.T) {
-	m := newMachine(4)
+	m := newCluster(4)
 	admitted := 0
 	rounds(m.tables, 20, func(now time.Time) {
 		for _, name := range m.names {
 			for range 3 {
-				if d := m.tables[name].Admit(now, customer, 1); d.OK {
+				if d := m.tables[name].Admit(now, client, 1); d.OK {
 					d.Release()
 					admitted++
 				}
@@ -168,11 +170,11 @@
 	assert.Assert(t, admitted >= 95*20, "admitted %d in 20 s at 100 a second", admitted)
 }
 
-// A customer's jobs are as large as its burst, and the balancer brings them to all
-// four entries. No share can hold one: each entry refuses and would keep its part
-// for ever. They take turns in gathering the shares, and jobs get through.
+// A client's jobs are as large as its burst, and the load balancer spreads them over all four
+// entries. No share can hold such a job, so each entry would reject it and keep its part forever.
+// The entries take turns in collecting the shares, and jobs are admitted.
 func TestJobsLargerThanAShareAtEveryEntry(t *testing.T) {
-	m := newMachine(4)
+	m := newCluster(4)
 	c := testContract()
 	c.InFlight = c.Burst
 	for _, table := range m.tables {
@@ -181,7 +183,7 @@
 	admitted := map[string]int{}
 	rounds(m.tables, 120, func(now time.Time) {
 		for _, name := range m.names {
-			if d := m.tables[name].Admit(now, customer, c.Burst); d.OK {
+			if d := m.tables[name].Admit(now, client, c.Burst); d.OK {
 				d.Release()
 				admitted[name]++
 			}
--- a/entry/quota/lending.go
+++ b/entry/quota/lending.go
@@ -6,93 +6,93 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// renewal is what to ask of a lender that lends own of all that is borrowed.
-func renewal(own, borrowed, wanted, missing float64) float64 {
+// renewal returns what to request from a lessor that grants fromLessor of all that is leased.
+func renewal(fromLessor, leased, toLease, missing float64) float64 {
 	if missing > 0 {
-		return own + missing
+		return fromLessor + missing
 	}
-	return wanted * ratio(own, borrowed)
+	return toLease * ratio(fromLessor, leased)
 }
 
-// needed is this entry's own need with headroom, at most the whole contract. Room
-// for one more job goes on top, and the burst goes along with the rate: counts of
-// a second say little of a rate of a few jobs, and a bucket that holds just one of
-// them loses what comes in while it is full.
+// needed returns this entry's own demand with headroom, limited to the whole contract. It includes
+// one additional job, and the burst grows with the rate: at a rate of a few jobs, counts over one
+// second say little, and a token bucket that holds just one job loses the tokens that arrive while
+// it is full.
 func (a *account) needed() amounts {
-	turns, whole := a.turns(), a.limit
-	if turns.places > 0 {
-		if !turns.has(turns.own) {
-			return amounts{flight: float64(a.used)}
+	collectors, whole := a.collectors(), a.limit
+	if collectors.slots > 0 {
+		if !collectors.includes(collectors.own) {
+			return amounts{inFlight: float64(a.used)}
 		}
-		whole = whole.times(1 / float64(turns.places))
+		whole = whole.times(1 / float64(collectors.slots))
 	}
-	n := a.need.now()
-	job := a.need.largest()
-	rate := min(n.rate*headroom+job, a.limit.rate)
-	burst := max(n.burst, job, a.limit.burst*ratio(rate, a.limit.rate))
-	flight := max(n.flight*headroom, float64(a.used)) + job
-	return amounts{rate, burst, flight}.min(whole)
+	demand := a.estimate.current()
+	jobSize := a.estimate.maxJobSize()
+	rate := min(demand.rate*headroom+jobSize, a.limit.rate)
+	burst := max(demand.burst, jobSize, a.limit.burst*ratio(rate, a.limit.rate))
+	inFlight := max(demand.inFlight*headroom, float64(a.used)) + jobSize
+	return amounts{rate, burst, inFlight}.min(whole)
 }
 
-func (a *account) lend(now time.Time, to string, lacks want) *wirev1.Loan {
+func (a *account) grant(now time.Time, to string, demand peerDemand) *wirev1.Loan {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	lacks.at = a.last
-	a.wants[to] = lacks
+	demand.at = a.last
+	a.peerDemands[to] = demand
 	if !a.active {
 		return nil
 	}
-	grant := a.spare(to).scaled(a.part(to)).min(lacks.amounts).positive().rounded()
-	if grant.none() {
+	amount := a.spareFor(to).scaled(a.fractionFor(to)).min(demand.amounts).positive().rounded()
+	if amount.negligible() {
 		return nil
 	}
-	before := a.depth()
-	a.rights.lend(loan{
-		peer: to, call: lacks.call, amounts: grant,
-		until:       a.last.Add(a.opts.Span + lendMargin),
-		flightUntil: a.last.Add(a.opts.Span + a.hold + lendMargin),
+	before := a.burstSize()
+	a.allowance.addGranted(quotaLease{
+		peer: to, call: demand.call, amounts: amount,
+		expires:         a.last.Add(a.opts.Span + leaseMargin),
+		inFlightExpires: a.last.Add(a.opts.Span + a.answerTime + leaseMargin),
 	})
 	l := &wirev1.Loan{
-		RateMilli: units(grant.rate), BurstMilli: units(grant.burst), InFlightMilli: units(grant.flight),
+		RateMilli: units(amount.rate), BurstMilli: units(amount.burst), InFlightMilli: units(amount.inFlight),
 		TtlMs:         uint32(a.opts.Span / time.Millisecond),
-		InFlightTtlMs: uint32((a.opts.Span + a.hold) / time.Millisecond),
-		Call:          lacks.call,
+		InFlightTtlMs: uint32((a.opts.Span + a.answerTime) / time.Millisecond),
+		Call:          demand.call,
 	}
-	l.TokensMilli = units(a.handOver(before))
+	l.TokensMilli = units(a.transferTokens(before))
 	return l
 }
 
-// spare is what this entry can lend to a peer for the whole time of a loan. The
-// peer's present loans are left out: the new one replaces them.
-func (a *account) spare(to string) amounts {
-	end := a.last.Add(a.opts.Span + a.hold + lendMargin)
-	low := a.rights.least(a.last, end, to)
-	short := a.rights.least(a.last, a.last.Add(a.opts.Span+lendMargin), to)
+// spareFor returns what this entry can grant to a peer for the whole duration of a lease. Leases
+// already granted to that peer are left out, because the new one replaces them.
+func (a *account) spareFor(to string) amounts {
+	end := a.last.Add(a.opts.Span + a.answerTime + leaseMargin)
+	low := a.allowance.minBetween(a.last, end, to)
+	short := a.allowance.minBetween(a.last, a.last.Add(a.opts.Span+leaseMargin), to)
 	low.rate, low.burst = short.rate, short.burst
 	keep := a.needed()
-	if a.gathers(to) {
-		keep = amounts{flight: float64(a.used)}
+	if a.collects(to) {
+		keep = amounts{inFlight: float64(a.used)}
 	}
 	return low.minus(keep).positive()
 }
 
-// part is how much of what can be spared the peer gets, among those that asked
-// lately.
-func (a *account) part(to string) amounts {
-	if a.gathers(to) {
+// fractionFor returns the fraction of the spare amounts that the peer gets, in proportion to the
+// demands of all peers that asked lately.
+func (a *account) fractionFor(to string) amounts {
+	if a.collects(to) {
 		return amounts{1, 1, 1}
 	}
-	own := a.wants[to].amounts
+	requested := a.peerDemands[to].amounts
 	all := amounts{}
-	for peer, w := range a.wants {
+	for peer, w := range a.peerDemands {
 		if a.last.Sub(w.at) > 2*ExchangePause {
-			delete(a.wants, peer)
+			delete(a.peerDemands, peer)
 			continue
 		}
 		all = all.plus(w.amounts)
 	}
-	return amounts{ratio(own.rate, all.rate), ratio(own.burst, all.burst), ratio(own.flight, all.flight)}
+	return amounts{ratio(requested.rate, all.rate), ratio(requested.burst, all.burst), ratio(requested.inFlight, all.inFlight)}
 }
 
 func ratio(part, whole float64) float64 {
@@ -103,48 +103,49 @@
 }
 
 func (a amounts) scaled(f amounts) amounts {
-	return amounts{a.rate * f.rate, a.burst * f.burst, a.flight * f.flight}
+	return amounts{a.rate * f.rate, a.burst * f.burst, a.inFlight * f.inFlight}
 }
 
-// handOver gives the unused burst that no longer fits here to the borrower.
-func (a *account) handOver(before float64) float64 {
+// transferTokens returns the tokens that exceed the reduced burst here; they are given to the
+// lessee.
+func (a *account) transferTokens(before float64) float64 {
 	held := min(a.tokens, before)
-	a.clip()
+	a.clampTokens()
 	return max(held-max(a.tokens, 0), 0)
 }
 
-func (a *account) borrow(now time.Time, from string, l *wirev1.Loan, asked time.Time) {
+func (a *account) acquire(now time.Time, from string, l *wirev1.Loan, askedAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	n := loan{
-		peer: from, amounts: granted(l), asked: asked,
-		until:       asked.Add(time.Duration(l.GetTtlMs()) * time.Millisecond),
-		flightUntil: asked.Add(time.Duration(l.GetInFlightTtlMs()) * time.Millisecond),
+	next := quotaLease{
+		peer: from, amounts: leaseAmounts(l), askedAt: askedAt,
+		expires:         askedAt.Add(time.Duration(l.GetTtlMs()) * time.Millisecond),
+		inFlightExpires: askedAt.Add(time.Duration(l.GetInFlightTtlMs()) * time.Millisecond),
 	}
-	if !a.awaited(from, l.GetCall()) || n.over(a.last) || !a.replaceLoan(n) {
+	if !a.answersLastCall(from, l.GetCall()) || next.expired(a.last) || !a.replaceLease(next) {
 		return
 	}
-	if a.last.Before(n.until) {
-		a.tokens += float64(l.GetTokensMilli()) / milli
+	if a.last.Before(next.expires) {
+		a.tokens += float64(l.GetTokensMilli()) / milliPerTask
 	}
-	a.clip()
+	a.clampTokens()
 }
 
-// replaceLoan puts a lender's newest loan in place of the one before; false when n
-// is not newer: a reply that came late, or twice.
-func (a *account) replaceLoan(n loan) bool {
-	for i, l := range a.rights.borrowed {
-		if l.peer != n.peer {
+// replaceLease replaces the lease from the same lessor by next. It returns false if next is not
+// newer, that is, if the reply was late or duplicated.
+func (a *account) replaceLease(next quotaLease) bool {
+	for i, l := range a.allowance.leased {
+		if l.peer != next.peer {
 			continue
 		}
-		if !n.asked.After(l.asked) {
+		if !next.askedAt.After(l.askedAt) {
 			return false
 		}
-		a.rights.borrowed[i] = n
+		a.allowance.leased[i] = next
 		return true
 	}
-	a.rights.borrowed = append(a.rights.borrowed, n)
+	a.allowance.leased = append(a.allowance.leased, next)
 	return true
 }
 
@@ -152,13 +153,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	kept := a.rights.borrowed[:0]
-	for _, l := range a.rights.borrowed {
+	kept := a.allowance.leased[:0]
+	for _, l := range a.allowance.leased {
 		if l.peer != from {
 			kept = append(kept, l)
 		}
 	}
-	a.rights.borrowed = kept
-	delete(a.calls, from)
-	a.clip()
+	a.allowance.leased = kept
+	delete(a.lastCalls, from)
+	a.clampTokens()
 }
--- a/entry/quota/need.go
+++ b/entry/quota/need.go
@@ -3,110 +3,113 @@
 import "time"
 
 const (
-	// slotLength is the time over which offered work is counted.
-	slotLength = time.Second
-	// fade is what is left of an earlier peak after each slot.
-	fade = 0.7
-	// faded is the part of a task below which a need counts as over.
-	faded = 0.5
+	// windowLength is the interval over which requested tasks are counted.
+	windowLength = time.Second
+	// decayFactor is what remains of an earlier peak after each window.
+	decayFactor = 0.7
+	// negligibleDemand is the number of tasks below which a demand counts as zero.
+	negligibleDemand = 0.5
 )
 
-// need is what one customer's callers ask of one entry: peaks of the last
-// seconds that fade.
-type need struct {
-	began time.Time
-	// slot counts in the present slot, peak holds the faded past.
-	slot, peak amounts
-	refused    float64
-	// job is the largest job that the base share can't hold, until none has come
-	// for jobFades, or for jobKept after one as large was admitted.
-	job   float64
-	jobAt time.Time
-	// size is the largest job of late, until none has come for memory.
-	size   float64
-	sizeAt time.Time
-	memory time.Duration
+// demandEstimate estimates one client's demand at one entry: peaks of the last seconds with
+// exponential decay.
+type demandEstimate struct {
+	windowStart time.Time
+	// window counts in the current window, peak holds the decayed maximum of the past ones.
+	window, peak amounts
+	refused      float64
+	// oversized is the size of the largest job that exceeds the base share. It is kept for
+	// oversizedTTL after the last such job, or for admittedTTL after one as large was admitted.
+	oversized   float64
+	oversizedAt time.Time
+	// largestJob is the size of the largest recent job, kept for retention after the last job of
+	// at least that size.
+	largestJob   float64
+	largestJobAt time.Time
+	retention    time.Duration
 }
 
-// jobFades is how long a refused job counts after it last came: longer than
-// callers are told to wait.
-const jobFades = 5 * time.Second
+// oversizedTTL is how long an oversized job counts after it was last submitted. It is longer than
+// the retry delays given to callers.
+const oversizedTTL = 5 * time.Second
 
-// jobKept is how long a job counts after it was admitted.
-const jobKept = 2 * time.Second
+// admittedTTL is how long an oversized job counts after it was admitted.
+const admittedTTL = 2 * time.Second
 
-// advance closes the slots that have ended.
-func (n *need) advance(now time.Time) {
-	if now.Sub(n.jobAt) > jobFades {
-		n.job = 0
+// advance closes the windows that have ended.
+func (e *demandEstimate) advance(now time.Time) {
+	if now.Sub(e.oversizedAt) > oversizedTTL {
+		e.oversized = 0
 	}
-	if now.Sub(n.sizeAt) > n.memory {
-		n.size = 0
+	if now.Sub(e.largestJobAt) > e.retention {
+		e.largestJob = 0
 	}
-	for passed := 0; !now.Before(n.began.Add(slotLength)); passed++ {
+	for passed := 0; !now.Before(e.windowStart.Add(windowLength)); passed++ {
 		if passed > 60 {
-			n.slot, n.peak, n.refused, n.began = amounts{}, amounts{}, 0, now
+			e.window, e.peak, e.refused, e.windowStart = amounts{}, amounts{}, 0, now
 			return
 		}
-		n.peak = n.peak.times(fade).max(n.slot)
-		n.peak = n.peak.cutBelow(faded)
-		n.slot = amounts{}
-		n.refused = 0
-		n.began = n.began.Add(slotLength)
+		e.peak = e.peak.times(decayFactor).max(e.window)
+		e.peak = e.peak.zeroBelow(negligibleDemand)
+		e.window = amounts{}
+		e.refused = 0
+		e.windowStart = e.windowStart.Add(windowLength)
 	}
 }
 
-func (a amounts) cutBelow(least float64) amounts {
+func (a amounts) zeroBelow(threshold float64) amounts {
 	cut := func(v float64) float64 {
-		if v < least {
+		if v < threshold {
 			return 0
 		}
 		return v
 	}
-	return amounts{cut(a.rate), cut(a.burst), cut(a.flight)}
+	return amounts{cut(a.rate), cut(a.burst), cut(a.inFlight)}
 }
 
-func (n *need) now() amounts { return n.peak.max(n.slot) }
+func (e *demandEstimate) current() amounts { return e.peak.max(e.window) }
 
-// remember sets how long a need lasts without a job: some times as long as the
-// rate takes to bring one. With less, what a small contract has gathered would
-// lapse before each of its jobs.
-func (n *need) remember(tasks, rate float64) {
+// setRetention sets how long largestJob is kept without another such job: several times as long as
+// the rate takes to provide the tokens of one. With a shorter retention, the amounts that a small
+// contract has accumulated would expire before each of its jobs.
+func (e *demandEstimate) setRetention(tasks, rate float64) {
 	const times, longest = 4, time.Minute
-	n.memory = min(jobFades+time.Duration(times*tasks/rate*float64(time.Second)), longest)
+	e.retention = min(oversizedTTL+time.Duration(times*tasks/rate*float64(time.Second)), longest)
 }
 
-// largest is the size of the largest job of late.
-func (n *need) largest() float64 { return max(n.size, n.job) }
+// maxJobSize returns the size of the largest recent job.
+func (e *demandEstimate) maxJobSize() float64 { return max(e.largestJob, e.oversized) }
 
-func (n *need) offered(now time.Time, tasks float64) {
-	if tasks >= n.size {
-		n.size, n.sizeAt = tasks, now
+func (e *demandEstimate) recordOffered(now time.Time, tasks float64) {
+	if tasks >= e.largestJob {
+		e.largestJob, e.largestJobAt = tasks, now
 	}
-	n.slot.rate += tasks
-	n.slot.burst = max(n.slot.burst, tasks)
+	e.window.rate += tasks
+	e.window.burst = max(e.window.burst, tasks)
 }
 
-func (n *need) lackedBurst(depth, tasks float64) {
-	n.refused += tasks
-	n.slot.burst = max(n.slot.burst, depth+n.refused)
+func (e *demandEstimate) recordBurstShortfall(burstSize, tasks float64) {
+	e.refused += tasks
+	e.window.burst = max(e.window.burst, burstSize+e.refused)
 }
 
-func (n *need) lackedFlight(used, tasks float64) {
-	n.refused += tasks
-	n.slot.flight = max(n.slot.flight, used+n.refused)
+func (e *demandEstimate) recordInFlightShortfall(used, tasks float64) {
+	e.refused += tasks
+	e.window.inFlight = max(e.window.inFlight, used+e.refused)
 }
 
-func (n *need) inFlight(used float64) { n.slot.flight = max(n.slot.flight, used) }
+func (e *demandEstimate) recordInFlight(used float64) {
+	e.window.inFlight = max(e.window.inFlight, used)
+}
 
-func (n *need) tooLarge(now time.Time, tasks float64) {
-	n.job, n.jobAt = max(n.job, tasks), now
+func (e *demandEstimate) recordOversized(now time.Time, tasks float64) {
+	e.oversized, e.oversizedAt = max(e.oversized, tasks), now
 }
 
-// admitted lets a job that the base share can't hold count for less long, so that
-// an entry whose jobs are admitted keeps its turn while more of them come.
-func (n *need) admitted(now time.Time, tasks float64) {
-	if tasks >= n.job {
-		n.jobAt = now.Add(jobKept - jobFades)
+// recordAdmitted shortens the time for which an admitted oversized job counts, so that an entry
+// keeps collecting only while further such jobs arrive.
+func (e *demandEstimate) recordAdmitted(now time.Time, tasks float64) {
+	if tasks >= e.oversized {
+		e.oversizedAt = now.Add(admittedTTL - oversizedTTL)
 	}
 }
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -1,14 +1,14 @@
-// Package quota keeps each customer's limits across the entries. A limit is cut
-// into equal base shares, one for each entry that may hold one; what an entry does
-// not use it lends to others for a time. An entry admits from its own share only,
-// without a message.
+// Package quota enforces each client account's limits across the entries. A limit is divided into
+// equal base shares, one for each entry that may hold one. An entry leases what it does not use
+// to other entries for a limited time: the entry that grants a quota lease is its lessor, the one
+// that uses it the lessee. On the wire a lease is a Loan and a request for leases a Demand. An
+// entry admits from its own share and its leases only, so admission needs no message.
 //
-// Shares never add up to more than the contract. Base shares do not, because every
-// holder counts every other one (Holder). A loan is taken from the lender's share
-// before the borrower hears of it, and its time ends at the borrower, which counts
-// from before it asked, before it ends at the lender. What is given back leaves the
-// borrower's share before the lender hears of it. A message that is lost, late or
-// repeated can only leave a part unused until the loan lapses.
+// Shares never add up to more than the contract. Base shares do not, because every holder counts
+// every other one (Holder). A lease is deducted from the lessor's share before the lessee learns
+// of it, and it expires at the lessee, which counts from before its request, before it expires at
+// the lessor. What is returned is deducted at the lessee before the lessor learns of it. A message
+// that is lost, late or duplicated can therefore only leave a part unused until its lease expires.
 package quota
 
 import (
@@ -25,52 +25,49 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// DefaultSpan is how long a loan of rate or burst lasts. A loan of tasks in flight
-// lasts longer by the customer's answer time, so that what was admitted on it has
-// ended when it lapses.
+// DefaultSpan is the duration of a lease of rate or burst. A lease of tasks in flight lasts longer
+// by the client's answer time, so that the tasks admitted on it have ended when it expires.
 const DefaultSpan = 3 * time.Second
 
-// ExchangePause is the usual pause between two exchanges with a peer: the time a
-// customer is told to wait when only a loan could help it.
+// ExchangePause is the usual interval between two exchanges with a peer. A client that only a
+// lease could help is told to retry after this time.
 const ExchangePause = time.Second
 
-// Options of a Table. Zero values take the defaults.
+// Options configure a Table. Zero values select the defaults.
 type Options struct {
-	// Self is this entry's PeerID as a string. It takes part in the order that
-	// settles who gathers the shares for a job that no single share can hold.
+	// Self is this entry's PeerID as a string. It is hashed to decide which entries collect the
+	// shares for a job that no single share can hold.
 	Self   string
 	Span   time.Duration
 	Logger *slog.Logger
 	Scope  tally.Scope
-	// Jitter returns a number in [0,1).
+	// Jitter returns a random number in [0,1).
 	Jitter func() float64
 }
 
-// Decision is the answer to a job that asks to be admitted.
+// Decision is the result of an admission request.
 type Decision struct {
 	OK bool
-	// Permanent: the job exceeds the whole contract, or the contract is retired;
-	// it can never be admitted.
+	// Permanent means that the job can never be admitted: it exceeds the whole contract, or the
+	// contract is retired.
 	Permanent bool
-	// RetryAfter is when to come back, when neither OK nor Permanent.
+	// RetryAfter is the time after which to retry, if neither OK nor Permanent.
 	RetryAfter time.Duration
-	// Release gives the tasks in flight back; it is set when OK, and only its
-	// first call counts.
+	// Release returns the tasks in flight. It is set if OK; only its first call has an effect.
 	Release func()
-	// Undo is called instead of Release for a job that was not taken after all:
-	// it gives the rate back too. Else a customer whose jobs are refused for the
-	// backlog would use up its rate by coming back as it was told.
+	// Undo is called instead of Release for a job that was rejected after its admission. It also
+	// returns the rate tokens: otherwise a client whose jobs are rejected because the queue is
+	// full would use up its rate by retrying as it was told.
 	Undo func()
 }
 
-// Share says which part of every contract is this entry's own.
+// Share describes which part of every contract belongs to this entry.
 type Share struct {
-	// Entries is the number of entries that may hold a share, with this one.
+	// Entries is the number of entries that may hold a share, including this one.
 	Entries int
-	// Holding is false while the others may not all count this entry.
+	// Holding is false while some of the other entries may not count this one.
 	Holding bool
-	// Waiting names customers of whose limits another entry still holds more than
-	// its share.
+	// Waiting names clients of whose limits another entry still holds more than its share.
 	Waiting map[string]bool
 }
 
@@ -86,22 +83,22 @@
 	return true
 }
 
-// Table holds the customers' limits at one entry. Reads of the set of customers
-// take no lock; each customer has its own.
+// Table holds the clients' limits at one entry. Looking up a client takes no lock; each client has
+// its own.
 type Table struct {
-	opts     Options
-	accounts atomic.Pointer[map[string]*account]
-	closed   atomic.Bool
-	retained atomic.Bool // nothing more is lent
-	metrics  metrics
+	opts          Options
+	accounts      atomic.Pointer[map[string]*account]
+	closed        atomic.Bool
+	grantsStopped atomic.Bool // no further leases are granted
+	metrics       metrics
 
-	mu    sync.Mutex // serialises changes of accounts and share
+	mu    sync.Mutex // serialises changes to accounts and share
 	share Share
 }
 
 type metrics struct {
-	admitted, refused, lent, borrowed tally.Counter
-	entries, holding                  tally.Gauge
+	admitted, refused, granted, leased tally.Counter
+	entries, holding                   tally.Gauge
 }
 
 // New returns a table without contracts and without a share.
@@ -121,8 +118,8 @@
 	t := &Table{opts: opts, metrics: metrics{
 		admitted: opts.Scope.Counter("quota_tasks_admitted"),
 		refused:  opts.Scope.Counter("quota_tasks_refused"),
-		lent:     opts.Scope.Counter("quota_loans_given"),
-		borrowed: opts.Scope.Counter("quota_loans_taken"),
+		granted:  opts.Scope.Counter("quota_loans_given"),
+		leased:   opts.Scope.Counter("quota_loans_taken"),
 		entries:  opts.Scope.Gauge("quota_entries"),
 		holding:  opts.Scope.Gauge("quota_holding"),
 	}}
@@ -130,7 +127,7 @@
 	return t
 }
 
-// SetContracts puts contracts in force.
+// SetContracts adds contracts or replaces them by newer versions.
 func (t *Table) SetContracts(now time.Time, contracts ...contract.Contract) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +147,8 @@
 	t.accounts.Store(&next)
 }
 
-// SetEntries is SetShare for an entry that holds a share among live entries.
+// SetEntries calls SetShare for an entry that holds a share among the given number of live
+// entries.
 func (t *Table) SetEntries(now time.Time, live int) {
 	t.SetShare(now, Share{Entries: live, Holding: true})
 }
@@ -178,7 +176,7 @@
 	return 0
 }
 
-// Admit takes tasks from the customer's rate and tasks in flight at this entry.
+// Admit takes tasks from the client's rate and tasks in flight at this entry.
 func (t *Table) Admit(now time.Time, customer string, tasks int) Decision {
 	a, known := (*t.accounts.Load())[customer]
 	if !known || t.closed.Load() {
@@ -193,8 +191,8 @@
 	return d
 }
 
-// Demand lists what this entry lacks and would borrow from one peer, and what it
-// still holds of that peer's loans. The rest it has given back when this returns.
+// Demand returns what this entry requests from one peer, and how much it keeps of that peer's
+// earlier leases. The rest of those leases is already returned when Demand returns.
 func (t *Table) Demand(now time.Time, to string) []*wirev1.Demand {
 	var all []*wirev1.Demand
 	for _, a := range *t.accounts.Load() {
@@ -204,68 +202,68 @@
 	}
 	slices.SortFunc(all, func(x, y *wirev1.Demand) int { return compare(x.Customer, y.Customer) })
 	if len(all) > 0 {
-		all[0].Lender = lenderKey(to)
+		all[0].Lender = lessorKey(to)
 	}
 	return all
 }
 
-// Lacking reports whether this entry would borrow, or goes on borrowing.
+// Lacking reports whether this entry needs new leases or renewals.
 func (t *Table) Lacking(now time.Time) bool {
 	for _, a := range *t.accounts.Load() {
-		if a.lacking(now) {
+		if a.needsLease(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// Lend grants what this entry can spare of what a peer lacks. What is granted
-// leaves this entry's share before the reply does.
+// Lend grants leases for as much of a peer's demands as this entry can spare. The granted amounts
+// are deducted from this entry's share before the reply is sent.
 func (t *Table) Lend(now time.Time, from string, demands []*wirev1.Demand) []*wirev1.Loan {
 	accounts := *t.accounts.Load()
-	meant := len(demands) > 0 && demands[0].GetLender() == lenderKey(t.opts.Self)
+	addressed := len(demands) > 0 && demands[0].GetLender() == lessorKey(t.opts.Self)
 	var all []*wirev1.Loan
 	for _, d := range demands {
 		a, known := accounts[d.GetCustomer()]
 		if !known {
 			continue
 		}
-		if meant {
-			a.takeBack(now, from, d)
+		if addressed {
+			a.reclaim(now, from, d)
 		}
-		if t.retained.Load() {
+		if t.grantsStopped.Load() {
 			continue
 		}
-		if l := a.lend(now, from, wanted(d)); l != nil {
+		if l := a.grant(now, from, peerDemandOf(d)); l != nil {
 			l.Customer = d.GetCustomer()
 			all = append(all, l)
 		}
 	}
-	t.metrics.lent.Inc(int64(len(all)))
+	t.metrics.granted.Inc(int64(len(all)))
 	return all
 }
 
-// Borrow takes the loans of a reply to a call that began at askedAt.
+// Borrow adds the leases in the reply to a call that began at askedAt.
 func (t *Table) Borrow(now time.Time, from string, loans []*wirev1.Loan, askedAt time.Time) {
 	accounts := *t.accounts.Load()
 	for _, l := range loans {
 		if a, known := accounts[l.GetCustomer()]; known {
-			a.borrow(now, from, l, askedAt)
+			a.acquire(now, from, l, askedAt)
 		}
 	}
-	t.metrics.borrowed.Inc(int64(len(loans)))
+	t.metrics.leased.Inc(int64(len(loans)))
 }
 
-// Drop forgets the loans from a peer that has been replaced or has left: whoever
-// takes over its share does not know of them.
+// Drop discards the leases from a peer that was replaced or has left, because the entry that takes
+// over its share does not know of them.
 func (t *Table) Drop(now time.Time, from string) {
 	for _, a := range *t.accounts.Load() {
 		a.drop(now, from)
 	}
 }
 
-// Unsettled names the customers of whose limits this entry still holds, uses or
-// has lent more than its present share.
+// Unsettled names the clients of whose limits this entry still holds, uses or has leased out more
+// than its present share.
 func (t *Table) Unsettled(now time.Time) []string {
 	var all []string
 	for name, a := range *t.accounts.Load() {
@@ -277,18 +275,18 @@
 	return all
 }
 
-// StopLending ends lending for good, before the entry leaves.
-func (t *Table) StopLending() { t.retained.Store(true) }
+// StopLending stops granting leases for good, before the entry leaves.
+func (t *Table) StopLending() { t.grantsStopped.Store(true) }
 
-// Close ends admission and lending for good. What is borrowed is given back at the
-// next call to each lender.
+// Close stops admission and the granting of leases for good. Leases are returned with the next
+// call to each lessor.
 func (t *Table) Close() {
 	t.StopLending()
 	t.closed.Store(true)
 }
 
-// Idle reports whether nothing is in flight or lent, so that the entry's share is
-// free.
+// Idle reports whether nothing is in flight or leased out, so that the entry's share can be
+// released.
 func (t *Table) Idle(now time.Time) bool {
 	for _, a := range *t.accounts.Load() {
 		if !a.idle(now) {
@@ -298,7 +296,7 @@
 	return true
 }
 
-// Status is one customer's limits at this entry.
+// Status describes one client's limits at this entry.
 type Status struct {
 	Customer                       string
 	Rate, Burst, InFlight          float64
@@ -308,7 +306,7 @@
 	BorrowedInFlight, LentInFlight float64
 }
 
-// Statuses returns the customers' limits at this entry, by customer.
+// Statuses returns the clients' limits at this entry, sorted by client.
 func (t *Table) Statuses(now time.Time) []Status {
 	var all []Status
 	for name, a := range *t.accounts.Load() {
--- a/entry/quota/rights.go
+++ b/entry/quota/rights.go
@@ -5,82 +5,83 @@
 	"time"
 )
 
-// loan is a part of the limits that one entry leaves to another until a time.
-// Rate and burst end at until, tasks in flight at flightUntil.
-type loan struct {
+// quotaLease is a part of the limits that one entry leaves to another for a limited time. Rate and
+// burst expire at expires, tasks in flight at inFlightExpires.
+type quotaLease struct {
 	peer string
-	// call is the borrower's number of the call that asked for it.
+	// call is the lessee's number of the call that requested the lease.
 	call uint64
 	amounts
-	until, flightUntil time.Time
-	// asked is when the borrower began the call.
-	asked time.Time
+	expires, inFlightExpires time.Time
+	// askedAt is when the lessee began the call.
+	askedAt time.Time
 }
 
-// at is what the loan amounts to at one time.
-func (l loan) at(u time.Time) amounts {
+// at returns what the lease is worth at one time.
+func (l quotaLease) at(u time.Time) amounts {
 	var a amounts
-	if u.Before(l.until) {
+	if u.Before(l.expires) {
 		a.rate, a.burst = l.rate, l.burst
 	}
-	if u.Before(l.flightUntil) {
-		a.flight = l.flight
+	if u.Before(l.inFlightExpires) {
+		a.inFlight = l.inFlight
 	}
 	return a
 }
 
-// usable is what the loan is good for at one time: tasks in flight when they can
-// end within it.
-func (l loan) usable(u time.Time, hold time.Duration) amounts {
+// usableAt returns what can be used of the lease at one time: tasks in flight only if they end
+// before it expires.
+func (l quotaLease) usableAt(u time.Time, answerTime time.Duration) amounts {
 	a := l.at(u)
-	a.flight = l.at(u.Add(hold)).flight
+	a.inFlight = l.at(u.Add(answerTime)).inFlight
 	return a
 }
 
-func (l loan) over(now time.Time) bool {
-	return !now.Before(l.until) && !now.Before(l.flightUntil)
+func (l quotaLease) expired(now time.Time) bool {
+	return !now.Before(l.expires) && !now.Before(l.inFlightExpires)
 }
 
-// covers: while o lasts, l lasts and is no smaller, and is not given back before.
-func (l loan) covers(o loan) bool {
-	return l.peer == o.peer && l.call >= o.call && l.rate >= o.rate && l.burst >= o.burst && l.flight >= o.flight &&
-		!l.until.Before(o.until) && !l.flightUntil.Before(o.flightUntil)
+// covers reports whether l is at least as large as o for as long as o lasts and cannot be returned
+// before o.
+func (l quotaLease) covers(o quotaLease) bool {
+	return l.peer == o.peer && l.call >= o.call && l.rate >= o.rate && l.burst >= o.burst && l.inFlight >= o.inFlight &&
+		!l.expires.Before(o.expires) && !l.inFlightExpires.Before(o.inFlightExpires)
 }
 
-// rights is what an entry may use of one customer's limits, now and later.
-type rights struct {
+// allowance is what an entry may use of one client's limits, now and in the future.
+type allowance struct {
 	base amounts
-	// borrowed has at most one loan a lender, the newest: it replaced the others.
-	borrowed []loan
-	// lent may have several loans a borrower: any of the replies may have been the
-	// last to arrive, so the largest counts.
-	lent []loan
+	// leased holds the leases from others, at most one per lessor: a newer one replaces it.
+	leased []quotaLease
+	// granted holds the leases to others, possibly several per lessee: any of the replies may have
+	// been the last to arrive, so the largest counts.
+	granted []quotaLease
 }
 
-// at is what may be used at one time; negative when the base has shrunk below
-// what is lent. Loans to the peer except are left out.
-func (r *rights) at(u time.Time, except string) amounts {
-	sum := r.base
-	for _, l := range r.borrowed {
+// at returns what may be used at one time; it is negative if the base share has shrunk below what
+// is granted. Leases to the peer except are left out.
+func (a *allowance) at(u time.Time, except string) amounts {
+	sum := a.base
+	for _, l := range a.leased {
 		sum = sum.plus(l.at(u))
 	}
-	for i, l := range r.lent {
-		if l.peer == except || r.lentBefore(i) {
+	for i, l := range a.granted {
+		if l.peer == except || a.hasEarlierGrant(i) {
 			continue
 		}
-		sum = sum.minus(r.lentTo(l.peer, u))
+		sum = sum.minus(a.grantedTo(l.peer, u))
 	}
 	return sum
 }
 
-// lentBefore reports whether an earlier loan in the list has the same borrower.
-func (r *rights) lentBefore(i int) bool {
-	return slices.ContainsFunc(r.lent[:i], func(l loan) bool { return l.peer == r.lent[i].peer })
+// hasEarlierGrant reports whether an earlier lease in the list has the same lessee.
+func (a *allowance) hasEarlierGrant(i int) bool {
+	return slices.ContainsFunc(a.granted[:i], func(l quotaLease) bool { return l.peer == a.granted[i].peer })
 }
 
-func (r *rights) lentTo(peer string, u time.Time) amounts {
+func (a *allowance) grantedTo(peer string, u time.Time) amounts {
 	var most amounts
-	for _, l := range r.lent {
+	for _, l := range a.granted {
 		if l.peer == peer {
 			most = most.max(l.at(u))
 		}
@@ -88,15 +89,15 @@
 	return most
 }
 
-// least is the least that may be used at any time from now to the end. Rights
-// change only when a loan ends, so only those times are looked at.
-func (r *rights) least(now, end time.Time, except string) amounts {
-	low := r.at(now, except)
-	for _, list := range [][]loan{r.borrowed, r.lent} {
+// minBetween returns the least that may be used at any time from now to end. The allowance changes
+// only when a lease expires, so only those times are examined.
+func (a *allowance) minBetween(now, end time.Time, except string) amounts {
+	low := a.at(now, except)
+	for _, list := range [][]quotaLease{a.leased, a.granted} {
 		for _, l := range list {
-			for _, u := range []time.Time{l.until, l.flightUntil} {
+			for _, u := range []time.Time{l.expires, l.inFlightExpires} {
 				if u.After(now) && !u.After(end) {
-					low = low.min(r.at(u, except))
+					low = low.min(a.at(u, except))
 				}
 			}
 		}
@@ -104,52 +105,52 @@
 	return low
 }
 
-// nextChange returns the first time after from and not after to at which rate or
-// burst change; ok is false when there is none.
-func (r *rights) nextChange(from, to time.Time) (next time.Time, ok bool) {
-	for _, list := range [][]loan{r.borrowed, r.lent} {
+// nextChange returns the first time after from and not after to at which rate or burst changes; ok
+// is false if there is none.
+func (a *allowance) nextChange(from, to time.Time) (next time.Time, ok bool) {
+	for _, list := range [][]quotaLease{a.leased, a.granted} {
 		for _, l := range list {
-			if !l.until.After(from) || l.until.After(to) {
+			if !l.expires.After(from) || l.expires.After(to) {
 				continue
 			}
-			if !ok || l.until.Before(next) {
-				next, ok = l.until, true
+			if !ok || l.expires.Before(next) {
+				next, ok = l.expires, true
 			}
 		}
 	}
 	return next, ok
 }
 
-// prune drops loans that are over.
-func (r *rights) prune(now time.Time) {
-	isOver := func(l loan) bool { return l.over(now) }
-	r.borrowed = slices.DeleteFunc(r.borrowed, isOver)
-	r.lent = slices.DeleteFunc(r.lent, isOver)
+// prune removes expired leases.
+func (a *allowance) prune(now time.Time) {
+	isExpired := func(l quotaLease) bool { return l.expired(now) }
+	a.leased = slices.DeleteFunc(a.leased, isExpired)
+	a.granted = slices.DeleteFunc(a.granted, isExpired)
 }
 
-// lend records a loan and drops those that it covers.
-func (r *rights) lend(n loan) {
-	r.lent = slices.DeleteFunc(r.lent, func(l loan) bool { return n.covers(l) })
-	r.lent = append(r.lent, n)
+// addGranted records a granted lease and removes those that it covers.
+func (a *allowance) addGranted(granted quotaLease) {
+	a.granted = slices.DeleteFunc(a.granted, func(l quotaLease) bool { return granted.covers(l) })
+	a.granted = append(a.granted, granted)
 }
 
-// bound cuts the loans of a borrower's calls before one down to what is kept of
-// them. They are counted as one from then on, the largest of each for the longest:
-// loans of tasks in flight last long, and there is one a second.
-func (r *rights) bound(borrower string, call uint64, kept amounts) {
-	one := loan{peer: borrower}
-	r.lent = slices.DeleteFunc(r.lent, func(l loan) bool {
-		if l.peer != borrower || l.call >= call {
+// capGranted limits the leases granted in a lessee's calls before the given one to what is kept of
+// them. They are then merged into one, with the largest amounts and the latest expiry: leases of
+// tasks in flight last long, and one is granted every second.
+func (a *allowance) capGranted(lessee string, call uint64, kept amounts) {
+	merged := quotaLease{peer: lessee}
+	a.granted = slices.DeleteFunc(a.granted, func(l quotaLease) bool {
+		if l.peer != lessee || l.call >= call {
 			return false
 		}
-		one.call = max(one.call, l.call)
-		one.amounts = one.max(l.min(kept))
-		one.until = later(one.until, l.until)
-		one.flightUntil = later(one.flightUntil, l.flightUntil)
+		merged.call = max(merged.call, l.call)
+		merged.amounts = merged.max(l.min(kept))
+		merged.expires = later(merged.expires, l.expires)
+		merged.inFlightExpires = later(merged.inFlightExpires, l.inFlightExpires)
 		return true
 	})
-	if !one.none() {
-		r.lent = append(r.lent, one)
+	if !merged.negligible() {
+		a.granted = append(a.granted, merged)
 	}
 }
 
--- a/entry/quota/undo_test.go
+++ b/entry/quota/undo_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// A job is admitted and then refused by a full queue, again and again. Each time
-// its customer gets the rate back as well, and only once: it is not refused for
-// work that never ran, and gains nothing.
-func TestUndoGivesTheRateBack(t *testing.T) {
+// A job is repeatedly admitted and then rejected because the queue is full. Each time its client
+// must get the rate tokens back exactly once: it is neither charged for work that never ran, nor
+// does it gain anything.
+func TestUndoReturnsRateTokens(t *testing.T) {
 	table := newTable(1)
 	for range 10 {
-		d := table.Admit(start, customer, 20)
+		d := table.Admit(start, client, 20)
 		assert.Assert(t, d.OK)
 		d.Undo()
 		d.Undo()
@@ -20,10 +20,10 @@
 	}
 	assert.Equal(t, table.Statuses(start)[0].Used, 0)
 	for range 2 {
-		d := table.Admit(start, customer, 20)
+		d := table.Admit(start, client, 20)
 		assert.Assert(t, d.OK)
 		d.Release()
 		d.Undo()
 	}
-	assert.Assert(t, !table.Admit(start, customer, 1).OK, "the burst of 40 is spent")
+	assert.Assert(t, !table.Admit(start, client, 1).OK, "the burst of 40 is spent")
 }
