--- a/entry/engine/engine.go
+++ b/entry/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine runs jobs: it hands them to the service's scheduler, starts
-// each assignment once through a task.Starter, collects the outcomes, and
-// answers each job whole or failed, never in part.
+// Package engine runs jobs: it queues them with their service's scheduler, starts each assignment
+// once through a task.Starter, collects the outcomes, and answers each job as a whole: completed
+// or failed, never partially.
 package engine
 
 import (
@@ -17,19 +17,19 @@
 	"almondstand.dev/entry/task"
 )
 
-// Errors of Submit, wrapped in a *Refusal. Those of the scheduler
-// (scheduler.ErrNoEndpoint, ErrBacklog, ErrQueueFull) come the same way.
+// Errors of Submit, wrapped in a *Refusal. Errors of the scheduler (scheduler.ErrNoEndpoint,
+// ErrBacklog, ErrQueueFull) are wrapped in the same way.
 var (
-	// ErrDraining means that this entry takes no new jobs.
+	// ErrDraining means that this entry accepts no new jobs.
 	ErrDraining = errors.New("the entry is draining")
-	// ErrCancelled means that the job was cancelled before it was taken.
+	// ErrCancelled means that the job was cancelled before it was accepted.
 	ErrCancelled = errors.New("cancelled before it was taken")
 )
 
-// Refusal is the only error of Submit. No task of the job ran or will run.
+// Refusal is the only error type of Submit. No task of the job has run or will run.
 type Refusal struct {
 	Err error
-	// RetryAfter is when to come back.
+	// RetryAfter is the delay after which to retry.
 	RetryAfter time.Duration
 }
 
@@ -43,51 +43,53 @@
 type Task struct {
 	Kind    string
 	Payload []byte
-	// Declared is the run time the caller declared; zero when none.
+	// Declared is the run time that the caller declared; zero if none.
 	Declared time.Duration
 }
 
 // Job is a set of tasks with one answer.
 type Job struct {
-	// ID names the job; no two open jobs of an engine share one.
+	// ID identifies the job; it is unique among the open jobs of an engine.
 	ID       string
 	Customer string
 	Service  string
-	// Urgency, AnswerTime and RunLimit are those of the customer's contract.
+	// Urgency, AnswerTime and RunLimit come from the client's contract.
 	Urgency    int
 	AnswerTime time.Duration
 	RunLimit   time.Duration
-	// Idempotent may be set for a job of one task only.
+	// Idempotent marks a task that may run more than once. It takes effect only for a job of one
+	// task.
 	Idempotent bool
 	Tasks      []Task
-	// OnEnd is called once, when the job was accepted and no task of it is open
-	// any more; that can be after its answer. Nil is allowed.
+	// OnEnd is called once, when the job was accepted and none of its tasks is running any more,
+	// which can be after its answer. It may be nil.
 	OnEnd func()
 }
 
-// Answer is the final answer of an accepted job.
+// Answer is the final answer to an accepted job.
 type Answer struct {
-	// Code is empty when every task completed; else it says why the job failed.
+	// Code is empty if every task completed; otherwise it is the reason for the failure.
 	Code    task.Code
 	Message string
-	// Outcomes holds one final outcome for each task, by index.
+	// Outcomes holds the final outcome of each task, by index.
 	Outcomes []task.Outcome
 }
 
 // Complete reports whether every task completed.
 func (a *Answer) Complete() bool { return a.Code == "" }
 
-// Ran says whether any task ran: yes when one did, no when surely none did.
+// Ran reports whether any task ran: RanYes if one did, RanNo if certainly none did.
 func (a *Answer) Ran() task.Ran {
 	ran := task.RanNo
 	for _, o := range a.Outcomes {
-		ran = worse(ran, o.Ran)
+		ran = combineRan(ran, o.Ran)
 	}
 	return ran
 }
 
-// worse returns the one that promises less to a caller who would resubmit.
-func worse(a, b task.Ran) task.Ran {
+// combineRan returns the value that gives the weaker guarantee to a caller who considers
+// resubmitting.
+func combineRan(a, b task.Ran) task.Ran {
 	if a == task.RanYes || b == task.RanYes {
 		return task.RanYes
 	}
@@ -97,16 +99,16 @@
 	return task.RanNo
 }
 
-// Options of an Engine.
+// Options configure an Engine.
 type Options struct {
 	Starter task.Starter
-	// NewDecider makes the scheduler of one service.
+	// NewDecider creates the scheduler of one service.
 	NewDecider func(service string) scheduler.Decider
 	Logger     *slog.Logger
 	Scope      tally.Scope
 	// Now defaults to time.Now.
 	Now func() time.Time
-	// DrainRetry is the RetryAfter of a job refused while draining.
+	// DrainRetry is the RetryAfter of a job rejected while draining.
 	DrainRetry time.Duration
 }
 
@@ -124,7 +126,7 @@
 
 var _ task.EndpointSink = (*Engine)(nil)
 
-// New returns an engine that knows no endpoint yet.
+// New returns an engine without endpoints.
 func New(opts Options) *Engine {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -145,11 +147,11 @@
 	}
 }
 
-// Knows reports whether an endpoint of the service was ever seen.
+// Knows reports whether the service has ever had an endpoint.
 func (e *Engine) Knows(service string) bool { return e.lookup(service) != nil }
 
-// Submit runs a job and returns its answer. The error is always a *Refusal.
-// When ctx ends the job is cancelled, and the answer says so at once.
+// Submit runs a job and returns its answer. The error is always a *Refusal. When ctx ends the job
+// is cancelled and Submit returns at once with an answer that says so.
 func (e *Engine) Submit(ctx context.Context, j Job) (*Answer, error) {
 	answer, err := e.submit(ctx, j)
 	if err != nil {
@@ -179,7 +181,7 @@
 	case <-job.answered:
 	case <-ctx.Done():
 		s.cancel(job)
-		<-job.answered // closed by cancel, or by an answer just before it
+		<-job.answered // closed by cancel, or by an answer shortly before
 	}
 	e.metrics.answered(job.answer, e.opts.Now().Sub(job.accepted))
 	return job.answer, nil
@@ -218,7 +220,7 @@
 	s.update(func(d scheduler.Decider, now time.Time) { d.ApplyReport(now, id, r) })
 }
 
-// Backlogs describes the queue of each service.
+// Backlogs returns the state of each service's queue.
 func (e *Engine) Backlogs() map[string]scheduler.Backlog {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -229,7 +231,7 @@
 	return all
 }
 
-// Waiting returns the number of tasks of a service that wait.
+// Waiting returns the number of queued tasks of a service.
 func (e *Engine) Waiting(name string) int {
 	if s := e.lookup(name); s != nil {
 		return s.backlog().Waiting
@@ -239,8 +241,8 @@
 
 const metricsPeriod = time.Second
 
-// Run publishes the queues' sizes until ctx ends, then stops the timers of the
-// schedulers. Drain first: without timers no deadline is kept.
+// Run publishes the queue metrics until ctx ends, then stops the timers of the schedulers. Call
+// Drain first: without timers no deadline is enforced.
 func (e *Engine) Run(ctx context.Context) error {
 	ticker := time.NewTicker(metricsPeriod)
 	defer ticker.Stop()
@@ -257,8 +259,7 @@
 	}
 }
 
-// Drain refuses new jobs and waits until the open ones have ended, with all
-// their tasks, or ctx has.
+// Drain rejects new jobs and waits until all tasks of the open jobs have ended, or until ctx ends.
 func (e *Engine) Drain(ctx context.Context) error {
 	idle := e.open.close()
 	eventDraining.Log(ctx, e.opts.Logger, slog.Int("open_jobs", e.open.count()))
@@ -273,7 +274,7 @@
 }
 
 // Draining reports whether Drain was called.
-func (e *Engine) Draining() bool { return e.open.shut.Load() }
+func (e *Engine) Draining() bool { return e.open.closed.Load() }
 
 func (e *Engine) stopTimers() {
 	e.mu.RLock()
@@ -303,18 +304,18 @@
 	return s
 }
 
-// openJobs counts open jobs and lets no new one in once shut.
+// openJobs counts open jobs and rejects new ones once it is closed.
 type openJobs struct {
-	mu   sync.Mutex
-	n    int
-	shut atomic.Bool // written under mu
-	idle chan struct{}
+	mu     sync.Mutex
+	n      int
+	closed atomic.Bool // written under mu
+	idle   chan struct{}
 }
 
 func (o *openJobs) add() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.shut.Load() {
+	if o.closed.Load() {
 		return false
 	}
 	o.n++
@@ -325,16 +326,16 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.n--
-	if o.shut.Load() && o.n == 0 {
+	if o.closed.Load() && o.n == 0 {
 		close(o.idle)
 	}
 }
 
-// close lets no new job in. The channel it returns is closed when none is open.
+// close rejects further jobs. The channel it returns is closed when no job is open.
 func (o *openJobs) close() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.shut.Swap(true) {
+	if o.closed.Swap(true) {
 		return o.idle
 	}
 	o.idle = make(chan struct{})
--- a/entry/engine/engine_test.go
+++ b/entry/engine/engine_test.go
@@ -20,7 +20,7 @@
 	"almondstand.dev/entry/task"
 )
 
-// TestMain fixes the seed of the property tests unless one is given.
+// TestMain fixes the seed of the property tests unless the command line sets one.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20262")
 	flag.Parse()
@@ -29,48 +29,48 @@
 
 const serviceName = "teardown"
 
-// start is one call of the fake starter, open until the test replies.
-type start struct {
+// openStart is one call of the fake starter that is open until the test replies.
+type openStart struct {
 	call  task.Call
 	ctx   context.Context
 	reply chan task.Outcome
 }
 
-// fakeStarter leaves every start open until the test ends it, also when its
-// context has ended: cancels take their time.
+// fakeStarter keeps every start open until the test ends it, even after its context has ended,
+// because cancellation takes time.
 type fakeStarter struct {
 	mu   sync.Mutex
-	open []*start
-	// ran holds for each task how its earlier starts ended.
-	ran        map[scheduler.TaskRef][]task.Ran
+	open []*openStart
+	// ranBefore holds, for each task, how its earlier starts ended.
+	ranBefore  map[scheduler.TaskRef][]task.Ran
 	idempotent map[string]bool
-	doubles    []scheduler.TaskRef
+	duplicates []scheduler.TaskRef
 }
 
 func newFakeStarter() *fakeStarter {
-	return &fakeStarter{ran: map[scheduler.TaskRef][]task.Ran{}, idempotent: map[string]bool{}}
+	return &fakeStarter{ranBefore: map[scheduler.TaskRef][]task.Ran{}, idempotent: map[string]bool{}}
 }
 
 func (f *fakeStarter) Start(ctx context.Context, c task.Call) task.Outcome {
-	s := &start{call: c, ctx: ctx, reply: make(chan task.Outcome, 1)}
+	s := &openStart{call: c, ctx: ctx, reply: make(chan task.Outcome, 1)}
 	f.mu.Lock()
 	if !f.mayStart(c) {
-		f.doubles = append(f.doubles, c.Assignment.Task)
+		f.duplicates = append(f.duplicates, c.Assignment.Task)
 	}
 	f.open = append(f.open, s)
 	f.mu.Unlock()
 	return <-s.reply
 }
 
-// mayStart is the promise: a task starts again only when it surely did not
-// start before, or is idempotent; and never twice at once.
+// mayStart checks the start guarantee: a task is started again only if it certainly did not start
+// before or is idempotent, and never twice at the same time.
 func (f *fakeStarter) mayStart(c task.Call) bool {
 	for _, s := range f.open {
 		if s.call.Assignment.Task == c.Assignment.Task {
 			return false
 		}
 	}
-	for _, ran := range f.ran[c.Assignment.Task] {
+	for _, ran := range f.ranBefore[c.Assignment.Task] {
 		if ran != task.RanNo && !f.idempotent[c.Submission] {
 			return false
 		}
@@ -78,24 +78,24 @@
 	return true
 }
 
-func (f *fakeStarter) end(i int, o task.Outcome) {
+func (f *fakeStarter) finish(i int, o task.Outcome) {
 	f.mu.Lock()
 	s := f.open[i]
 	f.open = append(f.open[:i], f.open[i+1:]...)
 	ref := s.call.Assignment.Task
-	f.ran[ref] = append(f.ran[ref], o.Ran)
+	f.ranBefore[ref] = append(f.ranBefore[ref], o.Ran)
 	f.mu.Unlock()
 	s.reply <- o
 }
 
-// endAll cancels every job and ends every start.
-func (f *fakeStarter) endAll(jobs []*submitted) {
+// finishAll cancels every job and ends every start.
+func (f *fakeStarter) finishAll(jobs []*submittedJob) {
 	for _, s := range jobs {
 		s.cancel()
 	}
 	synctest.Wait()
 	for len(f.open) > 0 {
-		f.end(0, task.Outcome{Code: task.CodeLost, Ran: task.RanUnknown})
+		f.finish(0, task.Outcome{Code: task.CodeLost, Ran: task.RanUnknown})
 		synctest.Wait()
 	}
 }
@@ -107,18 +107,18 @@
 
 func payload(id string, index int) []byte { return fmt.Appendf(nil, "%s/%d", id, index) }
 
-// submitted is a job as its caller sees it.
-type submitted struct {
-	job    Job
-	cancel context.CancelFunc
-	done   chan struct{}
-	answer *Answer
-	err    error
-	ends   int
-	due    time.Time
+// submittedJob is a job from its caller's point of view.
+type submittedJob struct {
+	job      Job
+	cancel   context.CancelFunc
+	done     chan struct{}
+	answer   *Answer
+	err      error
+	endCalls int
+	deadline time.Time
 }
 
-func (s *submitted) answered() bool {
+func (s *submittedJob) answered() bool {
 	select {
 	case <-s.done:
 		return true
@@ -127,11 +127,11 @@
 	}
 }
 
-func submit(e *Engine, f *fakeStarter, id string, tasks int, idempotent bool) *submitted {
+func submit(e *Engine, f *fakeStarter, id string, tasks int, idempotent bool) *submittedJob {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &submitted{cancel: cancel, done: make(chan struct{}), due: time.Now().Add(time.Second)}
+	s := &submittedJob{cancel: cancel, done: make(chan struct{}), deadline: time.Now().Add(time.Second)}
 	s.job = Job{ID: id, Customer: "shop", Service: serviceName, Urgency: 1, AnswerTime: time.Second, RunLimit: time.Second,
-		Idempotent: idempotent, OnEnd: func() { s.ends++ }}
+		Idempotent: idempotent, OnEnd: func() { s.endCalls++ }}
 	for i := range tasks {
 		s.job.Tasks = append(s.job.Tasks, Task{Kind: "lookup", Payload: payload(id, i), Declared: time.Millisecond})
 	}
@@ -151,15 +151,15 @@
 	}})
 }
 
-// check holds a job to the promises: its answer is there at once when it can
-// be, it is whole or failed, and what it says of each task is true.
-func (f *fakeStarter) check(t *rapid.T, s *submitted, failed bool) {
+// check verifies the guarantees of a job: it is answered as soon as it can be, its answer is
+// complete or failed, and what the answer says about each task is true.
+func (f *fakeStarter) check(t *rapid.T, s *submittedJob, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	assert.Equal(t, len(f.doubles), 0, "%v", f.doubles)
+	assert.Equal(t, len(f.duplicates), 0, "%v", f.duplicates)
 	if !s.answered() {
 		assert.Assert(t, !failed, "failed and not answered")
-		assert.Assert(t, time.Now().Before(s.due), "due and not answered")
+		assert.Assert(t, time.Now().Before(s.deadline), "due and not answered")
 		return
 	}
 	open := map[int]bool{}
@@ -173,13 +173,13 @@
 		assert.Assert(t, errors.As(s.err, &r))
 		assert.Equal(t, len(open), 0)
 		for i := range s.job.Tasks {
-			assert.Equal(t, len(f.ran[scheduler.TaskRef{Job: scheduler.JobID(s.job.ID), Index: i}]), 0)
+			assert.Equal(t, len(f.ranBefore[scheduler.TaskRef{Job: scheduler.JobID(s.job.ID), Index: i}]), 0)
 		}
-		assert.Equal(t, s.ends, 0)
+		assert.Equal(t, s.endCalls, 0)
 		return
 	}
 	for i, o := range s.answer.Outcomes {
-		ran := f.ran[scheduler.TaskRef{Job: scheduler.JobID(s.job.ID), Index: i}]
+		ran := f.ranBefore[scheduler.TaskRef{Job: scheduler.JobID(s.job.ID), Index: i}]
 		if s.answer.Complete() {
 			assert.DeepEqual(t, o.Payload, payload(s.job.ID, i))
 			assert.Equal(t, ran[len(ran)-1], task.RanYes)
@@ -195,19 +195,19 @@
 	if len(open) == 0 {
 		want = 1
 	}
-	assert.Equal(t, s.ends, want)
+	assert.Equal(t, s.endCalls, want)
 }
 
-// hidden keeps rapid from asking for the test's deadline, which a synctest
-// bubble does not allow.
-type hidden struct{ rapid.TB }
+// rapidTB prevents rapid from reading the test's deadline, which is not allowed in a synctest
+// bubble.
+type rapidTB struct{ rapid.TB }
 
-// TestEngineAgainstOracle drives the engine and the real scheduler with random
-// outcomes, cancels, passing deadlines and endpoints that come and go, and
-// checks each job's answer against what the fake endpoints saw.
+// TestEngineAgainstOracle drives the engine and the real scheduler with random outcomes,
+// cancellations, expired deadlines, and endpoints that are added and removed. It compares each
+// job's answer with what the fake endpoints saw.
 func TestEngineAgainstOracle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(hidden{t}, checkEngine)
+		rapid.Check(rapidTB{t}, checkEngine)
 	})
 }
 
@@ -215,8 +215,8 @@
 	f := newFakeStarter()
 	e := newEngine(f)
 	defer e.stopTimers()
-	var jobs []*submitted
-	defer func() { f.endAll(jobs) }() // also when rapid breaks off in the middle
+	var jobs []*submittedJob
+	defer func() { f.finishAll(jobs) }() // also when rapid aborts the run
 	failed := map[string]bool{}
 	outcomes := map[string]func(c task.Call) task.Outcome{
 		"ok":       completed,
@@ -228,14 +228,14 @@
 		"deadline": func(task.Call) task.Outcome { return task.Outcome{Code: task.CodeDeadline, Ran: task.RanNo} },
 	}
 	names := []string{"ok", "ok", "ok", "cut", "refused", "failed", "lost", "unsaid", "deadline"}
-	endOne := func(i int, name string) {
+	finishOne := func(i int, name string) {
 		c := f.open[i].call
 		o := outcomes[name](c)
 		mayRepeat := name == "refused" || f.idempotent[c.Submission]
 		if !o.OK() && !mayRepeat || name == "cut" && !f.idempotent[c.Submission] {
 			failed[c.Submission] = true
 		}
-		f.end(i, o)
+		f.finish(i, o)
 	}
 	ids := 0
 	t.Repeat(map[string]func(*rapid.T){
@@ -253,7 +253,7 @@
 			if len(f.open) == 0 {
 				t.Skip("nothing open")
 			}
-			endOne(rapid.IntRange(0, len(f.open)-1).Draw(t, "which"), rapid.SampledFrom(names).Draw(t, "outcome"))
+			finishOne(rapid.IntRange(0, len(f.open)-1).Draw(t, "which"), rapid.SampledFrom(names).Draw(t, "outcome"))
 		},
 		"cancel": func(t *rapid.T) {
 			if len(jobs) == 0 {
@@ -271,7 +271,7 @@
 			}
 		},
 	})
-	f.endAll(jobs)
+	f.finishAll(jobs)
 	assert.NilError(t, e.Drain(context.Background()))
 	for _, s := range jobs {
 		assert.Assert(t, s.answered())
@@ -284,10 +284,9 @@
 	assert.Assert(t, errors.Is(err, ErrDraining) || errors.Is(err, scheduler.ErrNoEndpoint), "%v", err)
 }
 
-// TestFailureIsAnsweredAtOnce: one task of a job fails while a second runs and
-// a third waits. The caller is answered before the second has stopped: failed,
-// with "yes", "unknown" and "no". The second is cancelled, and the job counts
-// as open until it has ended.
+// One task of a job fails while a second is running and a third is pending. The caller must be
+// answered before the second has stopped, with "yes", "unknown" and "no". The second is cancelled,
+// and the job counts as open until it has ended.
 func TestFailureIsAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStarter()
@@ -298,7 +297,7 @@
 		synctest.Wait()
 		assert.Equal(t, len(f.open), 2)
 		index := f.open[0].call.Assignment.Task.Index
-		f.end(0, task.Outcome{Code: task.CodeFailed, Ran: task.RanYes})
+		f.finish(0, task.Outcome{Code: task.CodeFailed, Ran: task.RanYes})
 		synctest.Wait()
 		assert.Assert(t, s.answered())
 		assert.NilError(t, s.err)
@@ -311,16 +310,16 @@
 		assert.Equal(t, s.answer.Outcomes[index].Ran, task.RanYes)
 		assert.Equal(t, s.answer.Ran(), task.RanYes)
 		assert.Assert(t, f.open[0].ctx.Err() != nil, "not cancelled")
-		assert.Equal(t, s.ends, 0)
-		f.end(0, completed(f.open[0].call))
+		assert.Equal(t, s.endCalls, 0)
+		f.finish(0, completed(f.open[0].call))
 		synctest.Wait()
-		assert.Equal(t, s.ends, 1)
+		assert.Equal(t, s.endCalls, 1)
 		assert.Equal(t, len(f.open), 0)
 	})
 }
 
-// TestAnswerTimePasses: the answer time passes while a task runs and another
-// waits. The caller is answered at that moment, not when the task ends.
+// The answer time passes while one task is running and another is pending. The caller must be
+// answered at that time, not when the task ends.
 func TestAnswerTimePasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStarter()
@@ -331,16 +330,15 @@
 		<-s.done
 		answered := time.Now()
 		synctest.Wait()
-		assert.Assert(t, answered.Sub(s.due) < 10*time.Millisecond)
+		assert.Assert(t, answered.Sub(s.deadline) < 10*time.Millisecond)
 		assert.Equal(t, s.answer.Code, task.CodeDeadline)
 		assert.Equal(t, s.answer.Outcomes[0].Ran, task.RanUnknown)
 		assert.Equal(t, s.answer.Outcomes[1].Ran, task.RanNo)
-		f.end(0, completed(f.open[0].call))
+		f.finish(0, completed(f.open[0].call))
 	})
 }
 
-// TestDrainFinishesOpenJobs: while an entry drains it refuses new jobs as not
-// run, and it has drained when the open one is answered.
+// A draining entry rejects new jobs as not run. The drain ends when the open job is answered.
 func TestDrainFinishesOpenJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStarter()
@@ -357,20 +355,20 @@
 		<-late.done
 		assert.Assert(t, errors.Is(late.err, ErrDraining))
 		assert.Equal(t, len(drained), 0)
-		f.end(0, completed(f.open[0].call))
+		f.finish(0, completed(f.open[0].call))
 		assert.NilError(t, <-drained)
 		<-s.done
 		assert.Assert(t, s.answer.Complete())
 	})
 }
 
-// carelessDecider names every task twice and puts every one back.
-type carelessDecider struct {
+// faultyDecider assigns every task twice and requeues each one.
+type faultyDecider struct {
 	scheduler.Decider
 	queue []scheduler.TaskRef
 }
 
-func (d *carelessDecider) Admit(_ time.Time, j scheduler.Job) error {
+func (d *faultyDecider) Admit(_ time.Time, j scheduler.Job) error {
 	for i := range j.Tasks {
 		ref := scheduler.TaskRef{Job: j.ID, Index: i}
 		d.queue = append(d.queue, ref, ref)
@@ -378,7 +376,7 @@
 	return nil
 }
 
-func (d *carelessDecider) Next(now time.Time) (scheduler.Assignment, bool) {
+func (d *faultyDecider) Next(now time.Time) (scheduler.Assignment, bool) {
 	if len(d.queue) == 0 {
 		return scheduler.Assignment{}, false
 	}
@@ -387,34 +385,33 @@
 	return scheduler.Assignment{Task: ref, Endpoint: "a#1", At: now}, true
 }
 
-func (d *carelessDecider) Done(_ time.Time, a scheduler.Assignment, r scheduler.Result) bool {
+func (d *faultyDecider) Done(_ time.Time, a scheduler.Assignment, r scheduler.Result) bool {
 	if r.Verdict != scheduler.Cancelled {
 		d.queue = append(d.queue, a.Task)
 	}
 	return true
 }
 
-func (d *carelessDecider) SetEndpoint(time.Time, scheduler.Endpoint)  {}
-func (d *carelessDecider) Drop(scheduler.JobID) []scheduler.TaskRef   { return nil }
-func (d *carelessDecider) Wake(time.Time) (none time.Time)            { return none }
-func (d *carelessDecider) Expired(time.Time) (none []scheduler.JobID) { return none }
+func (d *faultyDecider) SetEndpoint(time.Time, scheduler.Endpoint)  {}
+func (d *faultyDecider) Drop(scheduler.JobID) []scheduler.TaskRef   { return nil }
+func (d *faultyDecider) Wake(time.Time) (none time.Time)            { return none }
+func (d *faultyDecider) Expired(time.Time) (none []scheduler.JobID) { return none }
 
-// TestCarelessDecider: a scheduler that errs must not make a task run twice. It
-// names each task twice and puts each back after it may have run; the engine
-// starts each once, and fails the job.
-func TestCarelessDecider(t *testing.T) {
+// A scheduler error must not make a task run twice. The decider assigns each task twice and
+// requeues each after it may have run; the engine must start each once and fail the job.
+func TestFaultyDeciderDoesNotRunTaskTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStarter()
-		e := New(Options{Starter: f, NewDecider: func(string) scheduler.Decider { return &carelessDecider{} }})
+		e := New(Options{Starter: f, NewDecider: func(string) scheduler.Decider { return &faultyDecider{} }})
 		e.SetEndpoint(serviceName, scheduler.Endpoint{ID: "a#1"})
 		s := submit(e, f, "j", 2, true)
 		synctest.Wait()
 		assert.Equal(t, len(f.open), 2)
-		f.end(0, task.Outcome{Code: task.CodeLost, Ran: task.RanUnknown})
+		f.finish(0, task.Outcome{Code: task.CodeLost, Ran: task.RanUnknown})
 		<-s.done
-		f.end(0, completed(f.open[0].call))
+		f.finish(0, completed(f.open[0].call))
 		synctest.Wait()
-		assert.Equal(t, len(f.doubles), 0)
+		assert.Equal(t, len(f.duplicates), 0)
 		assert.Equal(t, len(f.open), 0)
 		assert.Equal(t, s.answer.Code, task.CodeLost)
 	})
--- a/entry/engine/job.go
+++ b/entry/engine/job.go
@@ -11,29 +11,29 @@
 type taskState uint8
 
 const (
-	waiting taskState = iota
+	pending taskState = iota
 	running
 	ended
 )
 
-// job is an accepted job. Its service's lock guards it, but for the fields set
-// by newJob, and for answer once answered is closed.
+// job is an accepted job. It is guarded by the lock of its service, except for the fields set by
+// newJob, and for answer once answered is closed.
 type job struct {
 	Job
 	id       scheduler.JobID
 	accepted time.Time
 	deadline time.Time
-	// ctx ends when the job is given up; every start of it runs under ctx.
+	// ctx ends when the job is cancelled or has failed; every start of its tasks uses it.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	states []taskState
-	// earlier says of each task whether a start before the present one ran.
-	earlier  []task.Ran
+	// priorRan says for each task whether an earlier start of it ran.
+	priorRan []task.Ran
 	outcomes []task.Outcome
-	// open counts the tasks that run, left those that have not ended.
-	open int
-	left int
+	// inFlight counts the tasks that are running, remaining those that have not ended.
+	inFlight  int
+	remaining int
 
 	answered chan struct{}
 	answer   *Answer
@@ -44,21 +44,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	j.Idempotent = j.Idempotent && n == 1
 	return &job{
-		Job:      j,
-		id:       scheduler.JobID(j.ID),
-		accepted: now,
-		deadline: now.Add(j.AnswerTime),
-		ctx:      ctx,
-		cancel:   cancel,
-		states:   make([]taskState, n),
-		earlier:  make([]task.Ran, n),
-		outcomes: make([]task.Outcome, n),
-		left:     n,
-		answered: make(chan struct{}),
+		Job:       j,
+		id:        scheduler.JobID(j.ID),
+		accepted:  now,
+		deadline:  now.Add(j.AnswerTime),
+		ctx:       ctx,
+		cancel:    cancel,
+		states:    make([]taskState, n),
+		priorRan:  make([]task.Ran, n),
+		outcomes:  make([]task.Outcome, n),
+		remaining: n,
+		answered:  make(chan struct{}),
 	}
 }
 
-func (j *job) forScheduler() scheduler.Job {
+func (j *job) schedulerJob() scheduler.Job {
 	tasks := make([]scheduler.Task, len(j.Tasks))
 	var size int64
 	for i, t := range j.Tasks {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (j *job) call(a scheduler.Assignment) task.Call {
+func (j *job) newCall(a scheduler.Assignment) task.Call {
 	t := j.Tasks[a.Task.Index]
 	return task.Call{
 		Assignment: a,
@@ -93,51 +93,51 @@
 	}
 }
 
-// start marks a waiting task as running; false when it does not wait.
+// start marks a pending task as running. It returns false if the task is not pending.
 func (j *job) start(index int) bool {
-	if index < 0 || index >= len(j.states) || j.states[index] != waiting {
+	if index < 0 || index >= len(j.states) || j.states[index] != pending {
 		return false
 	}
 	j.states[index] = running
-	j.open++
+	j.inFlight++
 	return true
 }
 
-// requeue marks a running task as waiting again. Only a task that surely did
-// not start may start again, or one whose caller declared it idempotent; for
-// any other it returns false and the task ends, whatever the scheduler said.
+// requeue marks a running task as pending again. It returns false, and the task ends, unless the
+// task certainly did not start or its caller declared it idempotent. The scheduler's decision does
+// not override this.
 func (j *job) requeue(index int, ran task.Ran) bool {
 	if j.answer != nil || (ran != task.RanNo && !j.Idempotent) {
 		return false
 	}
-	j.states[index] = waiting
-	j.earlier[index] = worse(j.earlier[index], ran)
-	j.open--
+	j.states[index] = pending
+	j.priorRan[index] = combineRan(j.priorRan[index], ran)
+	j.inFlight--
 	return true
 }
 
-// finish ends a running task. Once the job is answered its outcomes stand.
+// finish ends a running task. The outcomes of an answered job do not change any more.
 func (j *job) finish(index int, o task.Outcome) {
 	j.states[index] = ended
-	j.open--
+	j.inFlight--
 	if j.answer != nil {
 		return
 	}
-	j.left--
-	o.Ran = worse(o.Ran, j.earlier[index])
+	j.remaining--
+	o.Ran = combineRan(o.Ran, j.priorRan[index])
 	j.outcomes[index] = o
 }
 
-// abandon gives every task that has not ended its outcome.
-func (j *job) abandon(code task.Code) {
+// resolveUnfinished sets the outcome of every task that has not ended.
+func (j *job) resolveUnfinished(code task.Code) {
 	for i, state := range j.states {
 		switch state {
-		case waiting:
-			j.outcomes[i] = task.Outcome{Code: code, Ran: worse(task.RanNo, j.earlier[i])}
+		case pending:
+			j.outcomes[i] = task.Outcome{Code: code, Ran: combineRan(task.RanNo, j.priorRan[i])}
 			j.states[i] = ended
 		case running:
-			j.outcomes[i] = task.Outcome{Code: code, Ran: worse(task.RanUnknown, j.earlier[i])}
+			j.outcomes[i] = task.Outcome{Code: code, Ran: combineRan(task.RanUnknown, j.priorRan[i])}
 		}
 	}
-	j.left = 0
+	j.remaining = 0
 }
--- a/entry/engine/metrics.go
+++ b/entry/engine/metrics.go
@@ -9,16 +9,16 @@
 	"almondstand.dev/entry/task"
 )
 
-// metrics holds the instruments of an engine. They are made once: looking one
-// up by name for each task would cost more than the count itself.
+// metrics holds the instruments of an engine. They are created once, because looking one up by
+// name for each task would cost more than counting.
 type metrics struct {
 	scope    tally.Scope
 	refused  tally.Counter
 	complete tally.Counter
 	failed   tally.Counter
 	tasks    map[task.Code]tally.Counter
-	// latency is from acceptance to answer; wait from acceptance to the start of
-	// a task; run the time at the runner; overhead the rest of a start's time.
+	// latency is the time from acceptance to the answer, wait from acceptance to the start of a
+	// task, run the time at the runner, overhead the rest of a start's duration.
 	latency  tally.Histogram
 	wait     tally.Histogram
 	run      tally.Histogram
@@ -63,8 +63,8 @@
 	return string(code)
 }
 
-// started counts one start of a task, at its end.
-func (m *metrics) started(o task.Outcome, wait, took time.Duration) {
+// startEnded records one start of a task after it ended.
+func (m *metrics) startEnded(o task.Outcome, wait, took time.Duration) {
 	if c := m.tasks[o.Code]; c != nil {
 		c.Inc(1)
 	}
--- a/entry/engine/rejection.go
+++ b/entry/engine/rejection.go
@@ -9,19 +9,20 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// rejectionInterval is the shortest time between two records of rejected jobs of a service.
+// rejectionInterval is the shortest time between two log records of rejected jobs of a service.
 const rejectionInterval = time.Second
 
-// rejections bounds the records of a service's rejected jobs. Its owner locks.
+// rejections rate-limits the log records of a service's rejected jobs. It is guarded by the
+// service's lock.
 type rejections struct {
 	loggedAt time.Time
-	// count is the number of jobs rejected since then.
+	// count is the number of jobs rejected since loggedAt.
 	count int
 }
 
-// note counts a rejection; record is true when it is to be logged, with the number of
-// rejections that the record stands for.
-func (r *rejections) note(now time.Time) (count int, record bool) {
+// observe counts a rejection. If it is to be logged, shouldLog is true and count is the number of
+// rejections that the record represents.
+func (r *rejections) observe(now time.Time) (count int, shouldLog bool) {
 	r.count++
 	if !r.loggedAt.IsZero() && now.Sub(r.loggedAt) < rejectionInterval {
 		return 0, false
@@ -30,15 +31,15 @@
 	return count, true
 }
 
-// logRejection tells what the rejection of a job for the backlog rests on. Called with the
-// lock held.
+// logRejection logs the assessment that led to the rejection of a job because of the backlog. The
+// caller holds the lock.
 func (s *service) logRejection(j *job, err error) {
 	var r *scheduler.Refusal
 	if !errors.As(err, &r) || r.Assessment == nil {
 		return
 	}
-	count, record := s.rejections.note(j.accepted)
-	if !record {
+	count, shouldLog := s.rejections.observe(j.accepted)
+	if !shouldLog {
 		return
 	}
 	a := r.Assessment
--- a/entry/engine/rejection_test.go
+++ b/entry/engine/rejection_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a log that grows with the callers who are rejected.
+// Guards against a log volume that grows with the number of rejected jobs.
 func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
 	var r rejections
-	began := time.Now()
+	start := time.Now()
 	var records, jobs int
 	for i := range 301 {
-		if count, record := r.note(began.Add(time.Duration(i) * 10 * time.Millisecond)); record {
+		if count, shouldLog := r.observe(start.Add(time.Duration(i) * 10 * time.Millisecond)); shouldLog {
 			records++
 			jobs += count
 		}
--- a/entry/engine/service.go
+++ b/entry/engine/service.go
@@ -12,8 +12,8 @@
 	"almondstand.dev/entry/task"
 )
 
-// service runs the jobs of one service. Its lock guards the decider and every
-// job in it; nothing that blocks happens under it.
+// service runs the jobs of one service. Its lock guards the decider and every job; no blocking
+// call is made while it is held.
 type service struct {
 	engine *Engine
 	name   string
@@ -22,12 +22,12 @@
 	decider scheduler.Decider
 	jobs    map[scheduler.JobID]*job
 	timer   *time.Timer
-	// armed is when the timer fires; zero when it is not set.
-	armed      time.Time
+	// timerAt is when the timer fires; zero if it is not set.
+	timerAt    time.Time
 	stopped    bool
 	rejections rejections
-	// ended holds jobs whose end is reported once the lock is released.
-	ended []*job
+	// endedJobs holds jobs whose OnEnd is called once the lock is released.
+	endedJobs []*job
 }
 
 func newService(e *Engine, name string) *service {
@@ -39,27 +39,27 @@
 	}
 }
 
-// unlock releases the lock and reports the jobs that ended under it: their
-// owners' code may call back.
+// unlock releases the lock and then reports the jobs that ended while it was held, because OnEnd
+// may call back into the engine.
 func (s *service) unlock() {
-	ended := s.ended
-	s.ended = nil
+	ended := s.endedJobs
+	s.endedJobs = nil
 	s.mu.Unlock()
 	for _, j := range ended {
-		s.engine.end(j)
+		s.engine.jobEnded(j)
 	}
 }
 
 func (s *service) now() time.Time { return s.engine.opts.Now() }
 
-// admit queues a job, or refuses it whole.
+// admit queues a job, or rejects it as a whole.
 func (s *service) admit(j *job) error {
 	s.mu.Lock()
 	defer s.unlock()
 	if s.jobs[j.id] != nil {
 		return &scheduler.Refusal{Err: scheduler.ErrDuplicateJob, RetryAfter: s.engine.opts.DrainRetry}
 	}
-	if err := s.decider.Admit(j.accepted, j.forScheduler()); err != nil {
+	if err := s.decider.Admit(j.accepted, j.schedulerJob()); err != nil {
 		s.logRejection(j, err)
 		return err
 	}
@@ -68,15 +68,15 @@
 	return nil
 }
 
-// cancel answers a job as cancelled, unless it was answered before.
+// cancel answers a job as cancelled, unless it is already answered.
 func (s *service) cancel(j *job) {
 	s.mu.Lock()
 	defer s.unlock()
-	s.fail(j, task.CodeCancelled, "cancelled by the caller")
+	s.failJob(j, task.CodeCancelled, "cancelled by the caller")
 	s.dispatch(s.now())
 }
 
-// update changes the decider and starts what can start since.
+// update changes the decider and starts the tasks that can start as a result.
 func (s *service) update(change func(scheduler.Decider, time.Time)) {
 	s.mu.Lock()
 	defer s.unlock()
@@ -98,17 +98,17 @@
 	if s.stopped {
 		return
 	}
-	s.armed = time.Time{}
+	s.timerAt = time.Time{}
 	now := s.now()
 	for _, id := range s.decider.Expired(now) {
 		if j := s.jobs[id]; j != nil {
-			s.fail(j, task.CodeDeadline, "the answer time of the contract passed")
+			s.failJob(j, task.CodeDeadline, "the answer time of the contract passed")
 		}
 	}
 	s.dispatch(now)
 }
 
-// dispatch starts every task that can start now. Called with the lock held.
+// dispatch starts every task that can start now. The caller holds the lock.
 func (s *service) dispatch(now time.Time) {
 	for {
 		a, ok := s.decider.Next(now)
@@ -117,8 +117,8 @@
 		}
 		j := s.jobs[a.Task.Job]
 		if j == nil || !j.start(a.Task.Index) {
-			// The decider named a task that does not wait. Starting it could run
-			// a task twice, so the assignment ends here.
+			// The decider assigned a task that is not pending. Starting it could run
+			// the task twice, so the assignment ends here.
 			s.decider.Done(now, a, scheduler.Result{Verdict: scheduler.Cancelled})
 			eventBadAssignment.Log(context.Background(), s.engine.opts.Logger,
 				slog.String("service", s.name), slog.String("job", string(a.Task.Job)), slog.Int("task", a.Task.Index))
@@ -126,21 +126,22 @@
 		}
 		go s.run(j, a)
 	}
-	s.arm(now)
+	s.armTimer(now)
 }
 
-// arm sets the timer for the next moment at which time alone matters. A timer
-// that fires too early only looks again, so it is moved forward but never back.
-func (s *service) arm(now time.Time) {
-	wake := s.decider.Wake(now)
-	if s.stopped || wake.IsZero() {
+// armTimer sets the timer for the next time at which the decider must run without an event. A
+// timer that fires too early only causes an extra check, so the timer is moved to an earlier time
+// but never to a later one.
+func (s *service) armTimer(now time.Time) {
+	nextWake := s.decider.Wake(now)
+	if s.stopped || nextWake.IsZero() {
 		return
 	}
-	if !s.armed.IsZero() && !wake.Before(s.armed) {
+	if !s.timerAt.IsZero() && !nextWake.Before(s.timerAt) {
 		return
 	}
-	s.armed = wake
-	wait := max(wake.Sub(now), minWake)
+	s.timerAt = nextWake
+	wait := max(nextWake.Sub(now), minTimerDelay)
 	if s.timer == nil {
 		s.timer = time.AfterFunc(wait, s.tick)
 		return
@@ -148,8 +149,8 @@
 	s.timer.Reset(wait)
 }
 
-// minWake keeps a decider that always asks for "now" from a busy loop.
-const minWake = time.Millisecond
+// minTimerDelay prevents a busy loop with a decider that always requests the current time.
+const minTimerDelay = time.Millisecond
 
 func (s *service) stop() {
 	s.mu.Lock()
@@ -160,23 +161,23 @@
 	}
 }
 
-// run starts one assignment and takes its outcome.
+// run starts one assignment and processes its outcome.
 func (s *service) run(j *job, a scheduler.Assignment) {
-	if j.ctx.Err() != nil { // given up since the decision
-		s.take(j, a, task.Outcome{Code: task.CodeCancelled, Ran: task.RanNo})
+	if j.ctx.Err() != nil { // cancelled or failed since the decision
+		s.handleOutcome(j, a, task.Outcome{Code: task.CodeCancelled, Ran: task.RanNo})
 		return
 	}
-	began := s.now()
-	outcome := s.check(j, a, s.engine.opts.Starter.Start(j.ctx, j.call(a)))
-	took := s.now().Sub(began)
-	s.engine.metrics.started(outcome, a.At.Sub(j.accepted), took)
-	s.take(j, a, outcome)
+	startedAt := s.now()
+	outcome := s.validate(j, a, s.engine.opts.Starter.Start(j.ctx, j.newCall(a)))
+	took := s.now().Sub(startedAt)
+	s.engine.metrics.startEnded(outcome, a.At.Sub(j.accepted), took)
+	s.handleOutcome(j, a, outcome)
 }
 
-// check holds an outcome to its promises: a payload that does not match its
-// digest was cut or mixed up on the way and must not reach the caller as an
-// answer; an outcome that does not say whether it ran counts as unknown.
-func (s *service) check(j *job, a scheduler.Assignment, o task.Outcome) task.Outcome {
+// validate enforces the guarantees of an outcome: a payload that does not match its digest was
+// truncated or corrupted in transit and must not reach the caller as an answer; an outcome that
+// does not say whether the task ran counts as unknown.
+func (s *service) validate(j *job, a scheduler.Assignment, o task.Outcome) task.Outcome {
 	if !o.OK() {
 		if o.Ran != task.RanNo && o.Ran != task.RanYes {
 			o.Ran = task.RanUnknown
@@ -199,75 +200,74 @@
 	}
 }
 
-// take records an outcome, and starts what can start since.
-func (s *service) take(j *job, a scheduler.Assignment, o task.Outcome) {
+// handleOutcome records an outcome and starts the tasks that can start as a result.
+func (s *service) handleOutcome(j *job, a scheduler.Assignment, o task.Outcome) {
 	s.mu.Lock()
 	defer s.unlock()
 	now := s.now()
-	requeued := s.decider.Done(now, a, scheduler.Result{Verdict: verdict(j, o), RunTime: o.RunTime})
-	s.record(j, a.Task.Index, o, requeued)
+	requeued := s.decider.Done(now, a, scheduler.Result{Verdict: verdictOf(j, o), RunTime: o.RunTime})
+	s.recordOutcome(j, a.Task.Index, o, requeued)
 	s.dispatch(now)
 }
 
-func (s *service) record(j *job, index int, o task.Outcome, requeued bool) {
+func (s *service) recordOutcome(j *job, index int, o task.Outcome, requeued bool) {
 	if requeued && j.requeue(index, o.Ran) {
 		return
 	}
 	j.finish(index, o)
 	if j.answer != nil {
-		s.settle(j)
+		s.reportEnd(j)
 		return
 	}
 	if !o.OK() {
-		s.fail(j, o.Code, o.Message)
+		s.failJob(j, o.Code, o.Message)
 		return
 	}
-	if j.left == 0 {
-		s.answer(j, "", "")
+	if j.remaining == 0 {
+		s.answerJob(j, "", "")
 	}
 }
 
-// fail answers a job at once: its waiting tasks are dropped and did not run,
-// its running ones are cancelled in the background and may have run. Waiting
-// for the cancels would tell the caller more, and later. Called with the lock
-// held.
-func (s *service) fail(j *job, code task.Code, message string) {
+// failJob answers a job at once: its pending tasks are dropped and did not run; its running tasks
+// are cancelled in the background and may have run. Waiting for the cancellations would give the
+// caller a more precise answer, but later. The caller holds the lock.
+func (s *service) failJob(j *job, code task.Code, message string) {
 	if j.answer != nil {
 		return
 	}
 	s.decider.Drop(j.id)
-	j.abandon(code)
-	s.answer(j, code, message)
+	j.resolveUnfinished(code)
+	s.answerJob(j, code, message)
 	j.cancel()
 }
 
-func (s *service) answer(j *job, code task.Code, message string) {
+func (s *service) answerJob(j *job, code task.Code, message string) {
 	delete(s.jobs, j.id)
 	j.answer = &Answer{Code: code, Message: message, Outcomes: j.outcomes}
 	close(j.answered)
-	s.settle(j)
+	s.reportEnd(j)
 }
 
-// settle reports the end of an answered job once nothing of it is open.
-func (s *service) settle(j *job) {
-	if j.open > 0 {
+// reportEnd schedules the OnEnd call of an answered job once none of its tasks is running.
+func (s *service) reportEnd(j *job) {
+	if j.inFlight > 0 {
 		return
 	}
-	j.cancel() // frees the context
-	s.ended = append(s.ended, j)
+	j.cancel() // releases the context's resources
+	s.endedJobs = append(s.endedJobs, j)
 }
 
-// end is called once for each accepted job, when nothing of it is open.
-func (e *Engine) end(j *job) {
+// jobEnded is called once for each accepted job, when none of its tasks is running any more.
+func (e *Engine) jobEnded(j *job) {
 	if j.OnEnd != nil {
 		j.OnEnd()
 	}
 	e.open.done()
 }
 
-// verdict translates an outcome for the scheduler. A task that its job gave up
-// on tells nothing about the endpoint.
-func verdict(j *job, o task.Outcome) scheduler.Verdict {
+// verdictOf translates an outcome for the scheduler. A task of a cancelled or failed job says
+// nothing about the endpoint.
+func verdictOf(j *job, o task.Outcome) scheduler.Verdict {
 	switch {
 	case o.OK():
 		return scheduler.Completed
@@ -276,8 +276,8 @@
 	case o.Ran == task.RanNo:
 		return scheduler.Refused
 	case o.Ran == task.RanYes, o.Code == task.CodeRunLimit:
-		// A task past its run limit would mostly pass it anywhere: it is not repeated
-		// as often as one whose endpoint was lost.
+		// A task that exceeded its run limit would mostly exceed it on any endpoint, so it is
+		// retried less often than one whose endpoint was lost.
 		return scheduler.Failed
 	}
 	return scheduler.Lost
