--- a/entry/member/known.go
+++ b/entry/member/known.go
@@ -11,7 +11,8 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Live returns the live entries with this one, by id. Draining ones are marked.
+// Live returns the live entries including this one, sorted by id. Draining entries are marked as
+// such.
 func (t *Table) Live() []*wirev1.EntryInfo {
 	v := t.view.Load()
 	now := t.opts.Now()
@@ -32,20 +33,20 @@
 type Peer struct {
 	Info     Info
 	Standing Standing
-	// Counted is since when, without a break, this entry has counted the peer
-	// among those that may hold a share of the limits.
+	// Counted is the time since when this entry has counted the peer, without interruption, among
+	// those that may hold a share of the limits.
 	Counted time.Time
 }
 
-// Peers returns the other entries that are not gone, by id. All of them may hold
-// a share of the limits.
+// Peers returns the other entries that are not gone, sorted by id. All of them may hold a share of
+// the limits.
 func (t *Table) Peers() []Peer {
 	v := t.view.Load()
 	now := t.opts.Now()
 	all := make([]Peer, 0, len(v.entries))
 	for _, r := range v.entries {
-		if r.gone.IsZero() {
-			all = append(all, Peer{Info: r.info, Standing: t.standing(v, r, now), Counted: r.counted})
+		if r.goneAt.IsZero() {
+			all = append(all, Peer{Info: r.info, Standing: t.standing(v, r, now), Counted: r.countedSince})
 		}
 	}
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(a.Info.ID, b.Info.ID) })
@@ -56,26 +57,26 @@
 func (t *Table) Peer(id string) (Peer, bool) {
 	v := t.view.Load()
 	r, known := v.entries[id]
-	if !known || !r.gone.IsZero() {
+	if !known || !r.goneAt.IsZero() {
 		return Peer{}, false
 	}
-	return Peer{Info: r.info, Standing: t.standing(v, r, t.opts.Now()), Counted: r.counted}, true
+	return Peer{Info: r.info, Standing: t.standing(v, r, t.opts.Now()), Counted: r.countedSince}, true
 }
 
-// Known returns what is passed on in an exchange: when all is set every entry
-// that is not gone, else only those whose state others may not know: absent from
-// the store while counted, or left.
+// Known returns the entries to send in an exchange: if all is set, every entry that is not gone;
+// otherwise only those whose state others may not know, that is, entries that are counted but
+// absent from the store, and entries that have left.
 func (t *Table) Known(all bool) []*wirev1.EntryInfo {
 	v := t.view.Load()
 	now := t.opts.Now()
 	var known []*wirev1.EntryInfo
 	for _, r := range v.entries {
-		if !r.passedOn(all, now, t.opts.Grace) {
+		if !r.shouldShare(all, now, t.opts.Grace) {
 			continue
 		}
 		e := r.info.Wire()
-		if !r.evidence.IsZero() {
-			e.HeardMs = uint64(max(now.Sub(r.evidence), 0)/time.Millisecond) + 1
+		if !r.lastEvidence.IsZero() {
+			e.HeardMs = uint64(max(now.Sub(r.lastEvidence), 0)/time.Millisecond) + 1
 		}
 		known = append(known, e)
 	}
@@ -83,17 +84,17 @@
 	return known
 }
 
-func (r record) passedOn(all bool, now time.Time, grace time.Duration) bool {
+func (r record) shouldShare(all bool, now time.Time, grace time.Duration) bool {
 	if r.info.Left {
-		return now.Sub(r.gone) < grace
+		return now.Sub(r.goneAt) < grace
 	}
-	if !r.gone.IsZero() {
+	if !r.goneAt.IsZero() {
 		return false
 	}
 	return all || !r.absentSince.IsZero()
 }
 
-// Digest is equal at two entries that count the same incarnations.
+// Digest returns a hash that is equal on two entries that count the same incarnations.
 func (t *Table) Digest() uint64 {
 	v := t.view.Load()
 	var sum uint64
@@ -101,7 +102,7 @@
 		sum = v.self.digest()
 	}
 	for _, r := range v.entries {
-		if r.gone.IsZero() {
+		if r.goneAt.IsZero() {
 			sum ^= r.info.digest()
 		}
 	}
--- a/entry/member/member.go
+++ b/entry/member/member.go
@@ -1,6 +1,6 @@
-// Package member knows the entries: which are live, which are silent and which
-// are gone. Entries register under a lease in the platform's store, hear each
-// other in the exchange, and remember each other while the store is down.
+// Package member tracks the membership of the entries: which are live, silent or gone. Entries
+// register with a lease in the platform's store, learn about each other in peer exchanges, and
+// keep what they know of each other while the store is down.
 package member
 
 import (
@@ -12,27 +12,30 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Prefix of the keys under which entries register; the id follows.
+// Prefix is the prefix of the keys under which entries register; the id follows.
 const Prefix = "entries/"
 
-// ErrSuperseded means that a newer incarnation of this entry's id is known: this
-// process must end.
+// ErrSuperseded means that a newer incarnation of this entry's id is known and that this process
+// must exit.
 var ErrSuperseded = eris.New("member: a newer incarnation of this entry is registered")
 
-// ErrBadInfo means that a registration could not be read.
+// ErrBadInfo means that a registration could not be decoded.
 var ErrBadInfo = eris.New("member: unreadable registration")
 
-// Standing is what this entry knows of the process that minted an id.
+// Standing is the state of one incarnation of an entry as far as this entry knows.
 type Standing int
 
 // Values of Standing.
 const (
-	// Silent: not reachable now and not known to be gone; its jobs may be running.
+	// Silent means that the entry is unreachable now and not known to be gone; its jobs may be
+	// running.
 	Silent Standing = iota
-	// Live: heard of recently.
+	// Live means that the entry responded recently, or that it is registered in the store and no
+	// call to it has failed since.
 	Live
-	// Gone: replaced by a newer incarnation, left, or its lease lapsed long ago
-	// and nobody has heard it since. Jobs it held are lost with an unknown outcome.
+	// Gone means that the entry was replaced by a newer incarnation, has left, or that its lease
+	// expired long ago and no entry has had contact with it since. Its jobs are lost with an
+	// unknown outcome.
 	Gone
 )
 
@@ -48,25 +51,25 @@
 	}
 }
 
-// Info is an entry as it registers itself, JSON in the store.
+// Info is an entry's registration, stored as JSON.
 type Info struct {
 	ID string `json:"id"`
-	// Incarnation is the start of the process, wall clock in nanoseconds.
+	// Incarnation is the start time of the process, wall clock in nanoseconds.
 	Incarnation uint64 `json:"incarnation"`
-	// Address is IP and port of the internal interface.
+	// Address is the IP address and port of the internal interface.
 	Address string `json:"address"`
-	// Operators is IP and port of the operators' interface; empty when unknown.
+	// Operators is the IP address and port of the operators' interface; empty if unknown.
 	Operators string `json:"operators,omitempty"`
 	Zone      string `json:"zone"`
 	Draining  bool   `json:"draining,omitempty"`
-	// Left is the entry's last word: it has ended every job and holds no share.
+	// Left is set in the entry's last update: it has ended every job and holds no share.
 	Left bool `json:"left,omitempty"`
 }
 
-// Encode returns the value stored.
+// Encode returns the value to store.
 func (i Info) Encode() ([]byte, error) { return json.Marshal(i) }
 
-// Decode reads a registration.
+// Decode reads a stored registration.
 func Decode(value []byte) (Info, error) {
 	var i Info
 	if err := json.Unmarshal(value, &i); err != nil {
@@ -78,7 +81,7 @@
 	return i, nil
 }
 
-// Wire returns the form that entries exchange.
+// Wire returns the message form used in peer exchanges.
 func (i Info) Wire() *wirev1.EntryInfo {
 	return &wirev1.EntryInfo{
 		Id: i.ID, Incarnation: i.Incarnation, Address: i.Address, Zone: i.Zone,
@@ -86,7 +89,7 @@
 	}
 }
 
-// FromWire reads the form that entries exchange; ok is false when it names no
+// FromWire converts the message form used in peer exchanges. ok is false if it does not identify a
 // process that could be called.
 func FromWire(e *wirev1.EntryInfo) (Info, bool) {
 	i := Info{
@@ -96,10 +99,9 @@
 	return i, i.ID != "" && i.Incarnation != 0 && i.Address != ""
 }
 
-// Elapsed is the time from then to now by the clock that moved more. The
-// monotonic clock stands still while a virtual machine is suspended: a lease
-// would seem valid after a pause of hours. The wall clock shows the pause; a
-// step of it only makes this entry renew early.
+// Elapsed returns the time from then to now by whichever clock advanced more. The monotonic clock
+// stops while a virtual machine is suspended, so a lease would seem valid after a pause of hours.
+// The wall clock includes the pause; a step of the wall clock only makes this entry renew early.
 func Elapsed(then, now time.Time) time.Duration {
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -12,22 +12,22 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// clock is the time of a test; every entry and the store share it.
+// clock is the time of a test, shared by all entries and the store.
 type clock struct{ now time.Time }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *clock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// fakeStore is the platform's store with leases, for one test's thread.
+// fakeStore implements the platform's store with leases. It is not safe for concurrent use.
 type fakeStore struct {
 	clock    *clock
 	revision int64
 	keys     map[string]platform.KeyValue
 	leases   map[platform.LeaseID]time.Time
-	// err answers every call; unknown loses the answer of the next swap after it
-	// took effect.
-	err     error
-	unknown bool
-	calls   int
+	// err is returned by every call if set. loseAnswer loses the reply to the next swap after the
+	// swap took effect.
+	err        error
+	loseAnswer bool
+	calls      int
 }
 
 func newFakeStore() *fakeStore {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (s *fakeStore) enter() error {
+func (s *fakeStore) beginCall() error {
 	s.calls++
 	for key, kv := range s.keys {
 		if !s.clock.now.Before(s.leases[kv.Lease]) {
@@ -48,7 +48,7 @@
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (*platform.KeyValue, int64, error) {
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return nil, 0, err
 	}
 	if kv, held := s.keys[key]; held {
@@ -58,7 +58,7 @@
 }
 
 func (s *fakeStore) List(context.Context, string) ([]platform.KeyValue, int64, error) {
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return nil, 0, err
 	}
 	var all []platform.KeyValue
@@ -69,7 +69,7 @@
 }
 
 func (s *fakeStore) CompareAndSwap(_ context.Context, key string, mod int64, value []byte, lease platform.LeaseID) (platform.SwapResult, error) {
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return platform.SwapResult{}, err
 	}
 	if s.keys[key].ModRevision != mod {
@@ -77,15 +77,15 @@
 	}
 	s.revision++
 	s.keys[key] = platform.KeyValue{Key: key, Value: value, ModRevision: s.revision, Lease: lease}
-	if s.unknown {
-		s.unknown = false
+	if s.loseAnswer {
+		s.loseAnswer = false
 		return platform.SwapResult{}, platform.ErrUnknown
 	}
 	return platform.SwapResult{Swapped: true, Revision: s.revision}, nil
 }
 
 func (s *fakeStore) Grant(_ context.Context, ttl time.Duration) (platform.LeaseID, error) {
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return 0, err
 	}
 	id := platform.LeaseID(len(s.leases) + 1)
@@ -94,7 +94,7 @@
 }
 
 func (s *fakeStore) KeepAlive(_ context.Context, id platform.LeaseID) error {
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return err
 	}
 	if !s.clock.now.Before(s.leases[id]) {
@@ -108,7 +108,7 @@
 	return platform.ErrUnavailable
 }
 
-// entry is one entry's table and registrar.
+// entry combines the table and the registrar of one entry.
 type entry struct {
 	*Table
 	*Registrar
@@ -130,10 +130,11 @@
 	assert.NilError(t, err)
 }
 
-// turns lets seconds pass, in each of which the entries renew and list.
-func (s *fakeStore) turns(seconds int, entries ...entry) {
+// runSeconds advances the clock by the given number of seconds; in each second the entries renew
+// and list.
+func (s *fakeStore) runSeconds(seconds int, entries ...entry) {
 	for range seconds {
-		s.clock.pass(time.Second)
+		s.clock.advance(time.Second)
 		for _, e := range entries {
 			_ = e.Step(context.Background())
 			_, _ = e.List(context.Background())
@@ -141,100 +142,100 @@
 	}
 }
 
-func (e entry) of(o entry) Standing { return e.Standing(o.Info().ID, o.Info().Incarnation) }
+func (e entry) standingOf(o entry) Standing { return e.Standing(o.Info().ID, o.Info().Incarnation) }
 
-// An entry is frozen with jobs open. While its lease runs it is silent at most;
-// only a grace after the lease lapsed is it gone. It thaws: by its own clock the
-// lease has lapsed, so it admits nothing until it has registered again, and then
-// the others know it as live.
-func TestFrozenEntry(t *testing.T) {
+// An entry is paused while it has open jobs. While its lease is valid it is at most silent; it is
+// gone only after the grace period that follows the lease's expiry. When it resumes, its lease has
+// expired by its own clock, so it must admit nothing until it has registered again; then the
+// others consider it live.
+func TestPausedEntry(t *testing.T) {
 	s := newFakeStore()
 	a, b := s.entry("a"), s.entry("b")
 	step(t, a)
 	step(t, b)
 	step(t, a)
-	assert.Equal(t, a.of(b), Live)
+	assert.Equal(t, a.standingOf(b), Live)
 	assert.Assert(t, b.Admissible(s.clock.now))
 
 	for second := 1; second <= 30; second++ {
-		s.turns(1, a)
+		s.runSeconds(1, a)
 		a.Missed("b", b.Info().Incarnation)
-		standing := a.of(b)
+		standing := a.standingOf(b)
 		if second < int((DefaultTTL+DefaultGrace)/time.Second) {
 			assert.Equal(t, standing, Silent, "after %d s", second)
 		}
 	}
-	assert.Equal(t, a.of(b), Gone)
+	assert.Equal(t, a.standingOf(b), Gone)
 	assert.Equal(t, len(a.Peers()), 0)
 
 	assert.Assert(t, !b.Admissible(s.clock.now))
 	step(t, b)
 	assert.Assert(t, b.Admissible(s.clock.now))
 	step(t, a)
-	assert.Equal(t, a.of(b), Live)
+	assert.Equal(t, a.standingOf(b), Live)
 }
 
-// The store is down for ten minutes. Every lease lapses, and nobody becomes gone
-// by that, not even when the store answers again before the others have registered
-// anew. The entries go on admitting.
+// The store is down for ten minutes and every lease expires. No entry may be considered gone
+// because of that, not even when the store answers again before the others have registered again.
+// The entries continue to admit work.
 func TestStoreOutage(t *testing.T) {
 	s := newFakeStore()
 	a, b := s.entry("a"), s.entry("b")
 	step(t, a)
 	step(t, b)
-	s.turns(20, a, b)
+	s.runSeconds(20, a, b)
 	s.err = platform.ErrUnavailable
-	s.turns(600, a, b)
-	assert.Equal(t, a.of(b), Silent)
+	s.runSeconds(600, a, b)
+	assert.Equal(t, a.standingOf(b), Silent)
 	assert.Equal(t, len(a.Peers()), 1)
 	assert.Assert(t, a.Admissible(s.clock.now))
 	a.Heard(b.Self(), s.clock.now)
-	assert.Equal(t, a.of(b), Live)
+	assert.Equal(t, a.standingOf(b), Live)
 
 	s.err = nil
-	s.turns(5, a)
-	assert.Assert(t, a.of(b) != Gone)
-	s.turns(2, a, b)
-	assert.Equal(t, a.of(b), Live)
+	s.runSeconds(5, a)
+	assert.Assert(t, a.standingOf(b) != Gone)
+	s.runSeconds(2, a, b)
+	assert.Equal(t, a.standingOf(b), Live)
 }
 
-// One entry is cut off from the store, and its lease lapses there. Another one
-// hears it, or hears of it from a third: it is not gone.
-func TestEntryCutOffFromTheStoreAlone(t *testing.T) {
+// One entry is cut off from the store, and its lease expires there. Another entry has contact with
+// it, or learns of such contact from a third: it is not gone.
+func TestEntryIsolatedFromStoreOnly(t *testing.T) {
 	s := newFakeStore()
 	a, b := s.entry("a"), s.entry("b")
 	step(t, a)
 	step(t, b)
 	for range 60 {
-		s.turns(1, a)
+		s.runSeconds(1, a)
 		heard := b.Self()
 		heard.HeardMs = 1500
 		a.Learn([]*wirev1.EntryInfo{heard})
-		assert.Assert(t, a.of(b) != Gone)
+		assert.Assert(t, a.standingOf(b) != Gone)
 	}
-	s.turns(10, a)
-	assert.Equal(t, a.of(b), Gone)
+	s.runSeconds(10, a)
+	assert.Equal(t, a.standingOf(b), Gone)
 	a.Heard(b.Self(), s.clock.now)
-	assert.Equal(t, a.of(b), Live, "a sign of life overturns it")
+	assert.Equal(t, a.standingOf(b), Live, "direct contact restores it")
 }
 
-// A crashed entry is replaced under its id. The replacement takes the key over
-// while the old lease still runs, and the old incarnation is gone at once. The old
-// process was only frozen: it finds itself replaced and ends.
+// A crashed entry is replaced by a process with the same id. The replacement takes over the key
+// while the old lease is still valid, and the old incarnation is gone at once. If the old process
+// was only paused, it finds that it was superseded and ends.
 func TestReplacement(t *testing.T) {
 	s := newFakeStore()
 	a, old := s.entry("a"), s.entry("b")
 	step(t, a)
 	step(t, old)
-	s.clock.pass(time.Second)
+	s.clock.advance(time.Second)
 	replacement := s.entry("b")
 	step(t, replacement)
 	step(t, a)
-	assert.Equal(t, a.of(old), Gone)
-	assert.Equal(t, a.of(replacement), Live)
-	assert.Equal(t, replacement.of(old), Gone)
+	assert.Equal(t, a.standingOf(old), Gone)
+	assert.Equal(t, a.standingOf(replacement), Live)
+	assert.Equal(t, replacement.standingOf(old), Gone)
 
-	s.clock.pass(DefaultTTL)
+	s.clock.advance(DefaultTTL)
 	step(t, a)
 	step(t, replacement)
 	assert.Assert(t, errors.Is(old.Step(context.Background()), ErrSuperseded))
@@ -242,35 +243,35 @@
 	assert.Assert(t, old.Superseded())
 }
 
-// The answer to the swap that registers an entry is lost after it took effect. The
-// entry reads its own key back and doesn't write again.
+// The reply to the swap that registers an entry is lost after the swap took effect. The entry
+// reads its own key back and does not write again.
 func TestLostAnswerToRegistration(t *testing.T) {
 	s := newFakeStore()
 	a := s.entry("a")
-	s.unknown = true
+	s.loseAnswer = true
 	step(t, a)
 	assert.Equal(t, s.revision, int64(1))
 	assert.Assert(t, a.Registered(s.clock.now))
 }
 
-// An entry never heard of: a caller asks for a submission that it minted. Whoever
-// has just started can't tell whether it exists; later, with a view of the store
-// that lacks it, it is gone, unless it may have started within that time.
-func TestStranger(t *testing.T) {
+// A caller asks for a submission of an entry that is not in the table. An entry that has just
+// started cannot tell whether that entry exists; later, with a view of the store that lacks it, it
+// is gone, unless it may have started within that time.
+func TestUnknownEntry(t *testing.T) {
 	s := newFakeStore()
 	past := uint64(s.clock.now.Add(-time.Hour).UnixNano())
 	a := s.entry("a")
 	step(t, a)
 	assert.Equal(t, a.Standing("x", past), Silent)
-	s.turns(15, a)
+	s.runSeconds(15, a)
 	assert.Equal(t, a.Standing("x", past), Gone)
 	assert.Equal(t, a.Standing("x", uint64(s.clock.now.UnixNano())), Silent)
 	s.err = platform.ErrUnavailable
-	s.turns(30, a)
+	s.runSeconds(30, a)
 	assert.Equal(t, a.Standing("x", past), Silent)
 }
 
-// Draining and leaving are written to the store and known at once.
+// Draining and leaving are written to the store and known to others at once.
 func TestDrainingAndLeft(t *testing.T) {
 	s := newFakeStore()
 	a, b := s.entry("a"), s.entry("b")
@@ -284,11 +285,11 @@
 	b.SetLeft()
 	step(t, b)
 	step(t, a)
-	assert.Equal(t, a.of(b), Gone)
+	assert.Equal(t, a.standingOf(b), Gone)
 	assert.Equal(t, len(a.Peers()), 0)
 }
 
-// A registered entry calls the store once for each renewal and nothing else.
+// A registered entry makes exactly one store call per renewal.
 func TestCallsToTheStore(t *testing.T) {
 	s := newFakeStore()
 	a := s.entry("a")
@@ -296,13 +297,13 @@
 	assert.Equal(t, s.calls, 4, "grant, get, swap, list")
 	s.calls = 0
 	for range 100 {
-		s.clock.pass(DefaultTTL / 3)
+		s.clock.advance(DefaultTTL / 3)
 		assert.NilError(t, a.Step(context.Background()))
 	}
 	assert.Equal(t, s.calls, 100)
 }
 
-// A suspended machine's monotonic clock stands still; the wall clock shows it.
+// The monotonic clock stops while a machine is suspended; the wall clock includes the suspension.
 func TestElapsedCountsASuspension(t *testing.T) {
 	then := time.Now()
 	resumed := then.Round(0).Add(time.Hour)
--- a/entry/member/registrar.go
+++ b/entry/member/registrar.go
@@ -25,59 +25,60 @@
 )
 
 const (
-	// renewals is the number of renewals within a lease's time to live.
-	renewals = 3
-	// Pauses after failed calls double from retryMin to retryMax. They are jittered,
-	// so that entries do not call at once when the store returns.
+	// renewalsPerTTL is the number of renewals within a lease's time to live.
+	renewalsPerTTL = 3
+	// Delays after failed calls double from retryMin to retryMax. They are jittered so that
+	// entries do not all call at once when the store recovers.
 	retryMin = 250 * time.Millisecond
 	retryMax = time.Second
-	// awakeWithin is how recent a failed attempt must be to count as proof that
-	// this entry runs and the store does not answer.
-	awakeWithin = 6 * time.Second
-	// listJitter spreads the lists that entries ask for after the same loss.
+	// processAliveWindow is how recent a failed attempt must be to prove that this process is
+	// running and the store is not responding.
+	processAliveWindow = 6 * time.Second
+	// listJitter spreads the lists that several entries request after the same loss.
 	listJitter = 2 * time.Second
-	// listPoll is how often the need for a list is looked at.
-	listPoll = time.Second
-	// keyAttempts bounds the compare-and-swaps of one registration.
-	keyAttempts = 4
+	// listCheckInterval is the interval between checks whether a list is needed.
+	listCheckInterval = time.Second
+	// maxSwapAttempts bounds the compare-and-swap attempts of one registration.
+	maxSwapAttempts = 4
 )
 
-// RegistrarOptions configure a Registrar. Zero durations take the defaults.
+// RegistrarOptions configure a Registrar. Zero durations select the defaults.
 type RegistrarOptions struct {
 	Store platform.Store
 	Table *Table
-	// TTL is the lease's time to live, CallTimeout bounds one call, Resync is the
-	// pause between lists that repair a view whose watch lost something.
+	// TTL is the lease's time to live, CallTimeout bounds one call, and Resync is the average
+	// interval between lists that repair a view after lost watch events.
 	TTL, CallTimeout, Resync time.Duration
 	Logger                   *slog.Logger
 	Scope                    tally.Scope
 	Now                      func() time.Time
-	// Jitter returns a number in [0,1).
+	// Jitter returns a random number in [0,1).
 	Jitter func() float64
 }
 
-// Registrar keeps this entry registered and the table up to date.
+// Registrar keeps this entry registered and its table up to date.
 type Registrar struct {
 	opts   RegistrarOptions
 	calls  tally.Counter
 	errors tally.Counter
-	// changed wakes the lease loop: the entry's own record changed, or the store
-	// reported the lease or the key gone.
+	// changed wakes the lease loop after this entry's own record changed, or after the store
+	// reported that the lease or the key is gone.
 	changed chan struct{}
 
 	mu    sync.Mutex
 	lease platform.LeaseID
-	// renewed is when the last successful renewal began; the lease is counted from
-	// there, since the answer may have been slow.
-	renewed time.Time
-	// written is what stands in the store under the lease.
-	written  Info
-	revision int64
-	// failed is when the last attempt that failed began.
-	failed time.Time
+	// lastRenewal is when the last successful renewal was started. The lease is counted from that
+	// time, because the reply may have been slow.
+	lastRenewal time.Time
+	// writtenInfo is the registration stored under the lease, and revision its modification
+	// revision.
+	writtenInfo Info
+	revision    int64
+	// lastFailure is when the last failed attempt was started.
+	lastFailure time.Time
 }
 
-// NewRegistrar returns a registrar; Run does the work.
+// NewRegistrar returns a registrar that is inactive until Run is called.
 func NewRegistrar(opts RegistrarOptions) *Registrar {
 	opts.TTL = cmp.Or(opts.TTL, DefaultTTL)
 	opts.CallTimeout = cmp.Or(opts.CallTimeout, DefaultCallTimeout)
@@ -102,8 +103,8 @@
 	}
 }
 
-// Run registers, renews, lists and watches until ctx ends; it returns
-// ErrSuperseded when this process must end.
+// Run registers the entry, renews its lease, lists and watches until ctx ends. It returns
+// ErrSuperseded if this process must exit.
 func (r *Registrar) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +120,7 @@
 	return g.Run()
 }
 
-// Touch has the registration rewritten after the table's own entry changed.
+// Touch requests that the registration be rewritten after the table's own entry changed.
 func (r *Registrar) Touch() {
 	select {
 	case r.changed <- struct{}{}:
@@ -127,33 +128,32 @@
 	}
 }
 
-// Admissible reports whether this entry may admit new work as far as its lease
-// goes. A lease that lapsed by this entry's own clock may mean that it was paused
-// and that others hold it to be gone: it registers again first. While the store
-// does not answer, the attempts that fail show that this entry is awake, and it
-// goes on.
+// Admissible reports whether the state of its lease allows this entry to admit new work. If the
+// lease has expired by this entry's own clock, the process may have been paused and the others may
+// consider it gone, so it must register again first. While the store is not responding, recent
+// failed attempts prove that this process is running, and it continues to admit work.
 func (r *Registrar) Admissible(now time.Time) bool {
 	if r.opts.Table.Superseded() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.valid(now) || !r.failed.IsZero() && Elapsed(r.failed, now) <= awakeWithin
+	return r.leaseValid(now) || !r.lastFailure.IsZero() && Elapsed(r.lastFailure, now) <= processAliveWindow
 }
 
 // Registered reports whether the lease is valid by this entry's own clock.
 func (r *Registrar) Registered(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.valid(now)
+	return r.leaseValid(now)
 }
 
-func (r *Registrar) valid(now time.Time) bool {
-	return r.lease != 0 && Elapsed(r.renewed, now) < r.opts.TTL
+func (r *Registrar) leaseValid(now time.Time) bool {
+	return r.lease != 0 && Elapsed(r.lastRenewal, now) < r.opts.TTL
 }
 
-// leaseLoop keeps the lease; it closes registered after the first registration,
-// or after the first failure, so that the watch does not wait for an outage's end.
+// leaseLoop keeps the lease alive. It closes registered after the first registration, or after the
+// first failure, so that the watch does not wait for the end of an outage.
 func (r *Registrar) leaseLoop(ctx context.Context, registered chan struct{}) error {
 	var once sync.Once
 	retry := backoff{jitter: r.opts.Jitter}
@@ -163,44 +163,44 @@
 		if errors.Is(err, ErrSuperseded) || r.opts.Table.Superseded() {
 			return ErrSuperseded
 		}
-		pause := r.renewPause()
+		delay := r.renewDelay()
 		if err != nil {
-			pause = retry.next()
+			delay = retry.next()
 		} else {
 			retry.reset()
 		}
-		if !uptime.SleepUnless(ctx, pause, r.changed) {
+		if !uptime.SleepUnless(ctx, delay, r.changed) {
 			return ctx.Err()
 		}
 	}
 }
 
-func (r *Registrar) renewPause() time.Duration {
-	base := r.opts.TTL / renewals
+func (r *Registrar) renewDelay() time.Duration {
+	base := r.opts.TTL / renewalsPerTTL
 	return base - time.Duration(r.opts.Jitter()*float64(base)/4)
 }
 
-// Step renews the lease or registers anew: one turn of Run.
+// Step renews the lease or registers again: one iteration of the lease loop.
 func (r *Registrar) Step(ctx context.Context) error {
-	began := r.opts.Now()
-	err := r.step(ctx, began)
+	start := r.opts.Now()
+	err := r.step(ctx, start)
 	if err == nil || errors.Is(err, ErrSuperseded) || ctx.Err() != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.failed = began
+	r.lastFailure = start
 	r.mu.Unlock()
 	eventStoreFailed.Log(ctx, r.opts.Logger, slog.String("error", err.Error()))
 	return err
 }
 
-func (r *Registrar) step(ctx context.Context, began time.Time) error {
-	if !r.Registered(began) {
+func (r *Registrar) step(ctx context.Context, start time.Time) error {
+	if !r.Registered(start) {
 		return r.register(ctx)
 	}
-	err := r.renew(ctx, began)
+	err := r.renew(ctx, start)
 	if errors.Is(err, platform.ErrLeaseNotFound) {
-		r.lapse(ctx)
+		r.dropLease(ctx)
 		return r.register(ctx)
 	}
 	if err != nil {
@@ -209,20 +209,20 @@
 	return r.rewrite(ctx)
 }
 
-func (r *Registrar) renew(ctx context.Context, began time.Time) error {
+func (r *Registrar) renew(ctx context.Context, start time.Time) error {
 	lease := r.currentLease()
-	err := r.call(ctx, func(ctx context.Context) error { return r.opts.Store.KeepAlive(ctx, lease) })
+	err := r.callStore(ctx, func(ctx context.Context) error { return r.opts.Store.KeepAlive(ctx, lease) })
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.renewed = began
+	r.lastRenewal = start
 	r.mu.Unlock()
-	r.opts.Table.Contact(began)
+	r.opts.Table.Contact(start)
 	return nil
 }
 
-func (r *Registrar) lapse(ctx context.Context) {
+func (r *Registrar) dropLease(ctx context.Context) {
 	r.mu.Lock()
 	r.lease = 0
 	r.mu.Unlock()
@@ -235,13 +235,12 @@
 	return r.lease
 }
 
-// register takes a lease, writes the key under it, and lists what others have
-// registered.
+// register obtains a lease, writes the key with it, and lists the other registrations.
 func (r *Registrar) register(ctx context.Context) error {
-	began := r.opts.Now()
-	r.opts.Table.unroot()
+	start := r.opts.Now()
+	r.opts.Table.clearSelfListed()
 	var lease platform.LeaseID
-	err := r.call(ctx, func(ctx context.Context) (err error) {
+	err := r.callStore(ctx, func(ctx context.Context) (err error) {
 		lease, err = r.opts.Store.Grant(ctx, r.opts.TTL)
 		return err
 	})
@@ -252,18 +251,18 @@
 		return err
 	}
 	r.mu.Lock()
-	r.lease, r.renewed = lease, began
+	r.lease, r.lastRenewal = lease, start
 	r.mu.Unlock()
-	r.opts.Table.Contact(began)
+	r.opts.Table.Contact(start)
 	eventRegistered.Log(ctx, r.opts.Logger, slog.Int64("lease", int64(lease)))
 	_, err = r.List(ctx)
 	return err
 }
 
-// rewrite writes the key again when this entry's record has changed.
+// rewrite writes the key again if this entry's record has changed.
 func (r *Registrar) rewrite(ctx context.Context) error {
 	r.mu.Lock()
-	lease, same := r.lease, r.written == r.opts.Table.Info()
+	lease, same := r.lease, r.writtenInfo == r.opts.Table.Info()
 	r.mu.Unlock()
 	if same {
 		return nil
@@ -271,9 +270,9 @@
 	return r.writeKey(ctx, lease)
 }
 
-// writeKey swaps the key to this incarnation under the lease. It takes over the
-// key of an older incarnation of the id, and of an earlier lease of this one, and
-// never that of a newer one.
+// writeKey sets the key to this incarnation with the given lease. It replaces the key of an older
+// incarnation of the id, or of an earlier lease of this one, but never that of a newer
+// incarnation.
 func (r *Registrar) writeKey(ctx context.Context, lease platform.LeaseID) error {
 	info := r.opts.Table.Info()
 	value, err := info.Encode()
@@ -281,18 +280,18 @@
 		return eris.Wrap(err, "member: encode registration")
 	}
 	key := Prefix + info.ID
-	for range keyAttempts {
+	for range maxSwapAttempts {
 		current, err := r.get(ctx, key)
 		if err != nil {
 			return err
 		}
-		revision, err := r.takeable(current, info)
+		revision, err := r.swapRevision(current, info)
 		if err != nil {
 			return err
 		}
 		if current != nil && current.Lease == lease && string(current.Value) == string(value) {
-			// An earlier swap of ours took effect and its answer was lost.
-			r.noteWritten(info, revision)
+			// An earlier swap by this process took effect, but its reply was lost.
+			r.recordWritten(info, revision)
 			return nil
 		}
 		swapped, err := r.swap(ctx, key, revision, value, lease)
@@ -303,15 +302,16 @@
 			return err
 		}
 		if swapped.Swapped {
-			r.noteWritten(info, swapped.Revision)
+			r.recordWritten(info, swapped.Revision)
 			return nil
 		}
 	}
-	return eris.Wrap(platform.ErrUnknown, "member: registration did not settle")
+	return eris.Wrap(platform.ErrUnknown, "member: the outcome of the registration is unknown")
 }
 
-// takeable returns the revision to swap at.
-func (r *Registrar) takeable(current *platform.KeyValue, info Info) (int64, error) {
+// swapRevision returns the revision that the compare-and-swap expects, or ErrSuperseded if the key
+// belongs to a newer incarnation.
+func (r *Registrar) swapRevision(current *platform.KeyValue, info Info) (int64, error) {
 	if current == nil {
 		return 0, nil
 	}
@@ -323,14 +323,14 @@
 	return current.ModRevision, nil
 }
 
-func (r *Registrar) noteWritten(info Info, revision int64) {
+func (r *Registrar) recordWritten(info Info, revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.written, r.revision = info, revision
+	r.writtenInfo, r.revision = info, revision
 }
 
 func (r *Registrar) get(ctx context.Context, key string) (kv *platform.KeyValue, err error) {
-	err = r.call(ctx, func(ctx context.Context) (err error) {
+	err = r.callStore(ctx, func(ctx context.Context) (err error) {
 		kv, _, err = r.opts.Store.Get(ctx, key)
 		return err
 	})
@@ -338,15 +338,15 @@
 }
 
 func (r *Registrar) swap(ctx context.Context, key string, revision int64, value []byte, lease platform.LeaseID) (res platform.SwapResult, err error) {
-	err = r.call(ctx, func(ctx context.Context) (err error) {
+	err = r.callStore(ctx, func(ctx context.Context) (err error) {
 		res, err = r.opts.Store.CompareAndSwap(ctx, key, revision, value, lease)
 		return err
 	})
 	return res, err
 }
 
-// call bounds and counts one call to the store.
-func (r *Registrar) call(ctx context.Context, do func(context.Context) error) error {
+// callStore makes one call to the store with a timeout, and counts it.
+func (r *Registrar) callStore(ctx context.Context, do func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.CallTimeout)
 	defer cancel()
 	r.calls.Inc(1)
@@ -357,16 +357,16 @@
 	return err
 }
 
-// backoff grows from retryMin to retryMax, each pause at random between half of
-// it and the whole.
+// backoff is an exponential delay from retryMin to retryMax with jitter: each delay is random
+// between half of the current value and all of it.
 type backoff struct {
 	jitter func() float64
-	pause  time.Duration
+	delay  time.Duration
 }
 
 func (b *backoff) next() time.Duration {
-	b.pause = min(max(2*b.pause, retryMin), retryMax)
-	return b.pause/2 + time.Duration(b.jitter()*float64(b.pause)/2)
+	b.delay = min(max(2*b.delay, retryMin), retryMax)
+	return b.delay/2 + time.Duration(b.jitter()*float64(b.delay)/2)
 }
 
-func (b *backoff) reset() { b.pause = 0 }
+func (b *backoff) reset() { b.delay = 0 }
--- a/entry/member/storeview.go
+++ b/entry/member/storeview.go
@@ -9,20 +9,20 @@
 	"almondstand.dev/platform"
 )
 
-// Contact records that the store answered a call begun at the time at. A pause
-// longer than ContactGap breaks the view: absences are counted anew, because an
-// entry could not renew in an outage, and this entry may have been paused.
+// Contact records that the store answered a call started at the given time. A gap of more than
+// ContactGap breaks the view and restarts the measurement of absences, because an entry could not
+// renew its lease during an outage, and this process may have been paused.
 func (t *Table) Contact(at time.Time) {
 	t.change(func(v *view, now time.Time) {
-		t.contact(v, at, now)
-		v.asked = later(v.asked, at)
+		t.recordContact(v, at, now)
+		v.lastCall = later(v.lastCall, at)
 	})
 }
 
-func (t *Table) contact(v *view, at, now time.Time) {
+func (t *Table) recordContact(v *view, at, now time.Time) {
 	if !t.inContact(v, at) {
-		v.since = now
-		v.listed = time.Time{}
+		v.contactSince = now
+		v.lastList = time.Time{}
 		for id, r := range v.entries {
 			if !r.absentSince.IsZero() {
 				r.absentSince = now
@@ -30,35 +30,35 @@
 			}
 		}
 	}
-	v.contact = later(v.contact, at)
+	v.lastContact = later(v.lastContact, at)
 }
 
-// ApplyList takes a full list of the registrations, asked for at the time at.
+// ApplyList applies a full list of the registrations, requested at the given time.
 func (t *Table) ApplyList(keys []platform.KeyValue, at time.Time) {
 	t.change(func(v *view, now time.Time) {
-		t.contact(v, at, now)
-		v.asked = later(v.asked, at)
-		v.listed = at
+		t.recordContact(v, at, now)
+		v.lastCall = later(v.lastCall, at)
+		v.lastList = at
 		present := map[string]bool{}
 		for _, kv := range keys {
-			if info, ok := t.read(kv); ok {
+			if info, ok := t.decode(kv); ok {
 				present[info.ID] = true
-				t.register(v, info, now)
-				v.rooted = v.rooted || info.ID == v.self.ID && info.Incarnation == v.self.Incarnation
+				t.applyRegistration(v, info, now)
+				v.selfListed = v.selfListed || info.ID == v.self.ID && info.Incarnation == v.self.Incarnation
 			}
 		}
 		for id, r := range v.entries {
 			if !present[id] {
-				v.entries[id] = t.missFromList(r, at, now)
+				v.entries[id] = t.markAbsent(r, at, now)
 			}
 		}
 	})
 }
 
-// ApplyBatch takes what a watch delivered.
+// ApplyBatch applies the events of a watch.
 func (t *Table) ApplyBatch(b platform.WatchBatch) {
 	t.change(func(v *view, now time.Time) {
-		t.contact(v, now, now)
+		t.recordContact(v, now, now)
 		for _, e := range b.Events {
 			t.applyEvent(v, e, now)
 		}
@@ -67,8 +67,8 @@
 
 func (t *Table) applyEvent(v *view, e platform.Event, now time.Time) {
 	if !e.Deleted {
-		if info, ok := t.read(e.KeyValue); ok {
-			t.register(v, info, now)
+		if info, ok := t.decode(e.KeyValue); ok {
+			t.applyRegistration(v, info, now)
 		}
 		return
 	}
@@ -84,7 +84,7 @@
 	v.entries[id] = r
 }
 
-func (t *Table) read(kv platform.KeyValue) (Info, bool) {
+func (t *Table) decode(kv platform.KeyValue) (Info, bool) {
 	info, err := Decode(kv.Value)
 	if err != nil || Prefix+info.ID != kv.Key {
 		eventUnreadable.Log(context.Background(), t.opts.Logger, slog.String("key", kv.Key))
@@ -93,55 +93,56 @@
 	return info, true
 }
 
-func (t *Table) register(v *view, info Info, now time.Time) {
+func (t *Table) applyRegistration(v *view, info Info, now time.Time) {
 	r, current := t.merge(v, info, now)
 	if !current {
 		return
 	}
 	r.registered = true
 	r.absentSince = time.Time{}
-	if !r.gone.IsZero() && !r.info.Left {
-		t.comeBack(&r, now)
+	if !r.goneAt.IsZero() && !r.info.Left {
+		t.markReturned(&r, now)
 	}
 	v.entries[info.ID] = r
 }
 
-// missFromList notes that a list lacked the entry. It is found gone only here:
-// its key was missing for a grace, a fresh list still lacks it (an event of a
-// broken watch may have been lost), and nobody has heard it for a grace.
-func (t *Table) missFromList(r record, at, now time.Time) record {
+// markAbsent records that a list did not contain the entry. Only here is an entry considered gone:
+// its key must have been missing for the grace period, a new list must still lack it (an event of
+// a broken watch may have been lost), and no entry may have had contact with it for the grace
+// period.
+func (t *Table) markAbsent(r record, at, now time.Time) record {
 	r.registered = false
 	if r.absentSince.IsZero() {
 		r.absentSince = now
 		return r
 	}
-	if !r.gone.IsZero() {
+	if !r.goneAt.IsZero() {
 		return r
 	}
-	if at.Sub(r.absentSince) < t.opts.Grace || now.Sub(r.evidence) < t.opts.Grace {
+	if at.Sub(r.absentSince) < t.opts.Grace || now.Sub(r.lastEvidence) < t.opts.Grace {
 		return r
 	}
-	r.gone = now
+	r.goneAt = now
 	t.log(eventGone, r.info)
 	return r
 }
 
-// NextList returns when a list is needed to settle whether an entry is gone or
-// to complete the view; zero when none is.
+// NextList returns when a list is needed to decide whether an entry is gone or to complete the
+// view; zero if none is needed.
 func (t *Table) NextList() time.Time {
 	v := t.view.Load()
 	var next time.Time
 	if !t.inContact(v, t.opts.Now()) {
 		return next
 	}
-	if !v.since.IsZero() && v.listed.Sub(v.since) < t.opts.Grace {
-		next = v.since.Add(t.opts.Grace)
+	if !v.contactSince.IsZero() && v.lastList.Sub(v.contactSince) < t.opts.Grace {
+		next = v.contactSince.Add(t.opts.Grace)
 	}
 	for _, r := range v.entries {
-		if r.absentSince.IsZero() || !r.gone.IsZero() {
+		if r.absentSince.IsZero() || !r.goneAt.IsZero() {
 			continue
 		}
-		due := later(r.absentSince, r.evidence).Add(t.opts.Grace)
+		due := later(r.absentSince, r.lastEvidence).Add(t.opts.Grace)
 		if next.IsZero() || due.Before(next) {
 			next = due
 		}
--- a/entry/member/table.go
+++ b/entry/member/table.go
@@ -17,29 +17,29 @@
 	DefaultSilentAfter = 3 * time.Second
 	DefaultContactGap  = 15 * time.Second
 	DefaultFanout      = 4
-	// forgetAfter is how long an entry that is gone or has left is remembered.
-	forgetAfter = 10 * time.Minute
+	// goneRetention is how long the record of an entry that is gone or has left is kept.
+	goneRetention = 10 * time.Minute
 )
 
-// Options of a Table. Zero durations take the defaults.
+// Options configure a Table. Zero durations select the defaults.
 type Options struct {
 	Self Info
-	// Grace is how long a lapsed lease and everyone's silence must last, as seen
-	// from a store in contact, before an entry is Gone.
+	// Grace is how long an entry's registration must be missing, as observed with the store in
+	// contact, and how long no entry must have had contact with it, before it is Gone.
 	Grace time.Duration
-	// SilentAfter is how long an entry stays Live after it was last heard while
-	// calls to it fail, and without a registration in a store in contact.
+	// SilentAfter is how long an entry stays Live after the last contact with it while calls to it
+	// fail, or while it has no registration in a store in contact.
 	SilentAfter time.Duration
-	// ContactGap is the longest pause between contacts with the store over which
-	// its view counts as unbroken; longer than the registrar's renewals.
+	// ContactGap is the longest gap between contacts with the store over which its view counts as
+	// unbroken. It must be longer than the registrar's renewal interval.
 	ContactGap time.Duration
-	// Fanout is the number of peers each entry exchanges with in a second.
+	// Fanout is the number of peers with which each entry exchanges per second.
 	Fanout int
 	Logger *slog.Logger
 	Now    func() time.Time
 }
 
-// Table is the set of entries known. Reading it takes no lock.
+// Table is the set of known entries. Reading it takes no lock.
 type Table struct {
 	opts Options
 	mu   sync.Mutex // serialises changes
@@ -51,37 +51,37 @@
 	self       Info
 	superseded bool
 	entries    map[string]record
-	// contact is the last contact with the store, unbroken since since; both zero
-	// before the first.
-	contact, since time.Time
-	// listed is the time of the last full list.
-	listed time.Time
-	// asked is the beginning of the last call that the store answered.
-	asked time.Time
-	// rooted: a list showed this entry's present registration.
-	rooted bool
+	// lastContact is the last contact with the store, and contactSince the start of the unbroken
+	// contact; both are zero before the first contact.
+	lastContact, contactSince time.Time
+	// lastList is the time of the last full list.
+	lastList time.Time
+	// lastCall is the start of the last call that the store answered.
+	lastCall time.Time
+	// selfListed is true if a list contained this entry's present registration.
+	selfListed bool
 }
 
-// record is what is known of the newest incarnation of one id.
+// record holds what is known of the newest incarnation of one id.
 type record struct {
 	info Info
-	// registered: its key was in the store at the last view of it.
+	// registered is true if the key was present when the store was last observed.
 	registered bool
-	// absentSince is when its key was first missed in the present unbroken view
-	// of the store; zero when it was not.
+	// absentSince is when the key was first missing in the present unbroken view of the store;
+	// zero if it was not.
 	absentSince time.Time
-	// heard is when it last proved itself to this entry; evidence also counts
-	// what others reported.
-	heard, evidence time.Time
-	// missed is the last failed call to it.
-	missed time.Time
-	// counted is since when it has counted among those that may hold a share.
-	counted time.Time
-	// gone is when it was found gone or left; zero when it was not.
-	gone time.Time
+	// lastHeard is the last direct contact with the entry; lastEvidence also includes contacts
+	// that other entries reported.
+	lastHeard, lastEvidence time.Time
+	// lastFailure is when a call to the entry last failed.
+	lastFailure time.Time
+	// countedSince is the time since when the entry has counted among those that may hold a share.
+	countedSince time.Time
+	// goneAt is when the entry was considered gone or left; zero if neither.
+	goneAt time.Time
 }
 
-// New returns a table that knows only its own entry.
+// New returns a table that contains only its own entry.
 func New(opts Options) *Table {
 	opts.Grace = cmp.Or(opts.Grace, DefaultGrace)
 	opts.SilentAfter = cmp.Or(opts.SilentAfter, DefaultSilentAfter)
@@ -98,35 +98,35 @@
 	return t
 }
 
-// Self returns this entry.
+// Self returns this entry in message form.
 func (t *Table) Self() *wirev1.EntryInfo { return t.view.Load().self.Wire() }
 
-// Info returns this entry as it registers itself.
+// Info returns this entry's registration.
 func (t *Table) Info() Info { return t.view.Load().self }
 
 // Superseded reports whether a newer incarnation of this entry's id is known.
 func (t *Table) Superseded() bool { return t.view.Load().superseded }
 
-// Rooted reports whether a list of the store showed this entry's present
-// registration: every entry that registered before is known then, and every one
-// that registers later finds this one.
-func (t *Table) Rooted() bool { return t.view.Load().rooted }
+// Rooted reports whether a list of the store contained this entry's present registration. In that
+// case every entry that registered before is known here, and every entry that registers later
+// finds this one.
+func (t *Table) Rooted() bool { return t.view.Load().selfListed }
 
-// unroot is called before a registration: the one before has lapsed, and entries
-// may have come that did not find it.
-func (t *Table) unroot() { t.change(func(v *view, _ time.Time) { v.rooted = false }) }
+// clearSelfListed is called before a registration, because the previous one has expired and other
+// entries may have joined without finding it.
+func (t *Table) clearSelfListed() { t.change(func(v *view, _ time.Time) { v.selfListed = false }) }
 
-// StoreAsked returns the beginning of the last renewal or list that the store
-// answered. What a watch delivers does not count: after a pause it may be old.
-func (t *Table) StoreAsked() time.Time { return t.view.Load().asked }
+// StoreAsked returns the start of the last renewal or list that the store answered. Watch events
+// do not count, because they may be old after a pause.
+func (t *Table) StoreAsked() time.Time { return t.view.Load().lastCall }
 
 // InContact reports whether the store answered within ContactGap.
 func (t *Table) InContact() bool { return t.inContact(t.view.Load(), t.opts.Now()) }
 
-// SetDraining shows this entry as draining from now on.
+// SetDraining marks this entry as draining.
 func (t *Table) SetDraining() { t.change(func(v *view, _ time.Time) { v.self.Draining = true }) }
 
-// SetLeft shows this entry as ended: every job answered, no share held.
+// SetLeft marks this entry as ended: every job is answered and no share is held.
 func (t *Table) SetLeft() {
 	t.change(func(v *view, _ time.Time) {
 		v.self.Draining = true
@@ -134,7 +134,7 @@
 	})
 }
 
-// Standing says what is known of one incarnation of an entry.
+// Standing returns the state of one incarnation of an entry.
 func (t *Table) Standing(entry string, incarnation uint64) Standing {
 	v := t.view.Load()
 	if entry == v.self.ID {
@@ -143,7 +143,7 @@
 	now := t.opts.Now()
 	r, known := v.entries[entry]
 	if !known {
-		return t.strangerStanding(v, incarnation, now)
+		return t.unknownEntryStanding(v, incarnation, now)
 	}
 	if incarnation < r.info.Incarnation {
 		return Gone
@@ -165,12 +165,12 @@
 	}
 }
 
-// strangerStanding judges an entry never heard of. It may have died long ago, or
-// have started just now. It is Gone only when this entry has had an unbroken view
-// of the store for a grace, a list at the end of it lacked the entry, and the
-// entry did not start within that time.
-func (t *Table) strangerStanding(v *view, incarnation uint64, now time.Time) Standing {
-	if !t.inContact(v, now) || v.listed.Sub(v.since) < t.opts.Grace {
+// unknownEntryStanding returns the state of an entry that is not in the table. It may have ended
+// long ago, or have started just now. It is Gone only if this entry has had an unbroken view of
+// the store for the grace period, a list at the end of that period did not contain the entry, and
+// the entry did not start within that time.
+func (t *Table) unknownEntryStanding(v *view, incarnation uint64, now time.Time) Standing {
+	if !t.inContact(v, now) || v.lastList.Sub(v.contactSince) < t.opts.Grace {
 		return Silent
 	}
 	if now.UnixNano()-int64(incarnation) < int64(2*t.opts.Grace) {
@@ -180,37 +180,37 @@
 }
 
 func (t *Table) inContact(v *view, now time.Time) bool {
-	return !v.contact.IsZero() && Elapsed(v.contact, now) <= t.opts.ContactGap
+	return !v.lastContact.IsZero() && Elapsed(v.lastContact, now) <= t.opts.ContactGap
 }
 
 func (t *Table) standing(v *view, r record, now time.Time) Standing {
-	if !r.gone.IsZero() {
+	if !r.goneAt.IsZero() {
 		return Gone
 	}
-	sinceHeard := now.Sub(r.heard)
-	if r.missed.After(r.heard) {
-		return liveIf(!r.heard.IsZero() && sinceHeard <= t.opts.SilentAfter)
+	sinceHeard := now.Sub(r.lastHeard)
+	if r.lastFailure.After(r.lastHeard) {
+		return liveOrSilent(!r.lastHeard.IsZero() && sinceHeard <= t.opts.SilentAfter)
 	}
 	if r.registered && t.inContact(v, now) {
 		return Live
 	}
-	return liveIf(!r.heard.IsZero() && sinceHeard <= t.opts.SilentAfter*t.stretch(v))
+	return liveOrSilent(!r.lastHeard.IsZero() && sinceHeard <= t.opts.SilentAfter*t.exchangeRounds(v))
 }
 
-// stretch is how many seconds may pass between two exchanges with one peer.
-func (t *Table) stretch(v *view) time.Duration {
+// exchangeRounds returns the number of seconds that may pass between two exchanges with one peer.
+func (t *Table) exchangeRounds(v *view) time.Duration {
 	return time.Duration(1 + len(v.entries)/t.opts.Fanout)
 }
 
-func liveIf(live bool) Standing {
+func liveOrSilent(live bool) Standing {
 	if live {
 		return Live
 	}
 	return Silent
 }
 
-// Heard records that an entry proved itself alive at the time at: it answered a
-// call begun then, or called.
+// Heard records direct contact with an entry at the given time: it answered a call started then,
+// or called this entry.
 func (t *Table) Heard(e *wirev1.EntryInfo, at time.Time) {
 	info, ok := FromWire(e)
 	if !ok {
@@ -221,13 +221,13 @@
 		if !current {
 			return
 		}
-		r.heard = later(r.heard, at)
+		r.lastHeard = later(r.lastHeard, at)
 		t.addEvidence(&r, at, now)
 		v.entries[info.ID] = r
 	})
 }
 
-// Learn takes what another entry passed on.
+// Learn merges what another entry sent in an exchange.
 func (t *Table) Learn(known []*wirev1.EntryInfo) {
 	if len(known) == 0 {
 		return
@@ -248,7 +248,7 @@
 	if !current {
 		return
 	}
-	if ms := e.GetHeardMs(); ms > 0 && ms < uint64(forgetAfter/time.Millisecond) {
+	if ms := e.GetHeardMs(); ms > 0 && ms < uint64(goneRetention/time.Millisecond) {
 		t.addEvidence(&r, now.Add(-time.Duration(ms)*time.Millisecond), now)
 	}
 	v.entries[info.ID] = r
@@ -261,13 +261,13 @@
 		if !known || r.info.Incarnation != incarnation {
 			return
 		}
-		r.missed = now
+		r.lastFailure = now
 		v.entries[id] = r
 	})
 }
 
-// merge returns the record to update for info; current is false when info is of
-// an older incarnation or of this entry's own id.
+// merge returns the record to update for info; the second result is false if info is of an older
+// incarnation or has this entry's own id.
 func (t *Table) merge(v *view, info Info, now time.Time) (record, bool) {
 	if info.ID == v.self.ID {
 		t.checkSuperseded(v, info)
@@ -278,23 +278,23 @@
 		return record{}, false
 	}
 	if !known || info.Incarnation > r.info.Incarnation {
-		r = record{info: info, counted: now}
+		r = record{info: info, countedSince: now}
 		t.log(eventJoined, info)
-		t.noteLeft(&r, info, now)
+		t.recordLeft(&r, info, now)
 		return r, true
 	}
-	// Neither flag is ever taken back within one incarnation.
+	// Neither flag is ever cleared within one incarnation.
 	r.info.Draining = r.info.Draining || info.Draining
-	t.noteLeft(&r, info, now)
+	t.recordLeft(&r, info, now)
 	return r, true
 }
 
-func (t *Table) noteLeft(r *record, info Info, now time.Time) {
-	if !info.Left || !r.gone.IsZero() && r.info.Left {
+func (t *Table) recordLeft(r *record, info Info, now time.Time) {
+	if !info.Left || !r.goneAt.IsZero() && r.info.Left {
 		return
 	}
 	r.info.Left = true
-	r.gone = now
+	r.goneAt = now
 	t.log(eventLeft, info)
 }
 
@@ -306,21 +306,21 @@
 	t.log(eventSuperseded, info)
 }
 
-// addEvidence notes a sign of life. A sign newer than the finding that the entry
-// was gone overturns it: the entry was paused or cut off.
+// addEvidence records that the entry was alive at the given time. If that is later than the time
+// at which it was considered gone, the entry was only paused or partitioned and is restored.
 func (t *Table) addEvidence(r *record, at, now time.Time) {
-	r.evidence = later(r.evidence, at)
-	if r.gone.IsZero() || r.info.Left || !r.evidence.After(r.gone) {
+	r.lastEvidence = later(r.lastEvidence, at)
+	if r.goneAt.IsZero() || r.info.Left || !r.lastEvidence.After(r.goneAt) {
 		return
 	}
-	t.comeBack(r, now)
+	t.markReturned(r, now)
 }
 
-func (t *Table) comeBack(r *record, now time.Time) {
-	r.gone = time.Time{}
+func (t *Table) markReturned(r *record, now time.Time) {
+	r.goneAt = time.Time{}
 	r.absentSince = time.Time{}
-	r.missed = time.Time{}
-	r.counted = now
+	r.lastFailure = time.Time{}
+	r.countedSince = now
 	t.log(eventReturned, r.info)
 }
 
@@ -331,7 +331,7 @@
 	return a
 }
 
-// change applies one change to a copy of the view and publishes it.
+// change applies one change to a copy of the view and publishes the copy.
 func (t *Table) change(apply func(v *view, now time.Time)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -340,7 +340,7 @@
 	next := *old
 	next.entries = make(map[string]record, len(old.entries)+1)
 	for id, r := range old.entries {
-		if !r.gone.IsZero() && now.Sub(r.gone) > forgetAfter {
+		if !r.goneAt.IsZero() && now.Sub(r.goneAt) > goneRetention {
 			continue
 		}
 		next.entries[id] = r
--- a/entry/member/watch.go
+++ b/entry/member/watch.go
@@ -13,8 +13,8 @@
 
 type wireInfo = wirev1.EntryInfo
 
-// watchLoop lists and then watches. It begins after the first registration, so
-// that of two entries that start together one at least sees the other.
+// watchLoop lists and then watches. It starts after the first registration, so that of two entries
+// that start at the same time at least one sees the other.
 func (r *Registrar) watchLoop(ctx context.Context, registered <-chan struct{}) error {
 	select {
 	case <-registered:
@@ -24,8 +24,8 @@
 	retry := backoff{jitter: r.opts.Jitter}
 	revision := int64(-1)
 	for ctx.Err() == nil {
-		began := r.opts.Now()
-		next, err := r.follow(ctx, revision)
+		start := r.opts.Now()
+		next, err := r.listAndWatch(ctx, revision)
 		if ctx.Err() != nil {
 			break
 		}
@@ -33,7 +33,7 @@
 		if errors.Is(err, platform.ErrCompacted) || errors.Is(err, platform.ErrReverted) {
 			revision = -1
 		}
-		if r.opts.Now().Sub(began) > retryMax {
+		if r.opts.Now().Sub(start) > retryMax {
 			retry.reset()
 		}
 		if err != nil {
@@ -46,9 +46,9 @@
 	return ctx.Err()
 }
 
-// follow watches from the revision, after a list when it is negative, and returns
-// the revision reached when the watch broke.
-func (r *Registrar) follow(ctx context.Context, revision int64) (int64, error) {
+// listAndWatch watches from the given revision, after a list if it is negative, and returns the
+// revision reached when the watch ended.
+func (r *Registrar) listAndWatch(ctx context.Context, revision int64) (int64, error) {
 	if revision < 0 {
 		listed, err := r.List(ctx)
 		if err != nil {
@@ -65,8 +65,8 @@
 	return revision, err
 }
 
-// checkOwnKey registers again at once when the store dropped this entry's key: its
-// lease lapsed there although this entry's clock says otherwise.
+// checkOwnKey triggers a new registration at once if the store deleted this entry's key, that is,
+// if its lease expired there although it is valid by this entry's clock.
 func (r *Registrar) checkOwnKey(ctx context.Context, b platform.WatchBatch) {
 	own := Prefix + r.opts.Table.Info().ID
 	for _, e := range b.Events {
@@ -77,7 +77,7 @@
 		stale := e.KeyValue.ModRevision <= r.revision
 		r.mu.Unlock()
 		if !stale {
-			r.lapse(ctx)
+			r.dropLease(ctx)
 			r.Touch()
 		}
 	}
@@ -85,46 +85,46 @@
 
 // List refreshes the table from the store once.
 func (r *Registrar) List(ctx context.Context) (int64, error) {
-	began := r.opts.Now()
+	start := r.opts.Now()
 	var keys []platform.KeyValue
 	var revision int64
-	err := r.call(ctx, func(ctx context.Context) (err error) {
+	err := r.callStore(ctx, func(ctx context.Context) (err error) {
 		keys, revision, err = r.opts.Store.List(ctx, Prefix)
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	r.opts.Table.ApplyList(keys, began)
+	r.opts.Table.ApplyList(keys, start)
 	return revision, nil
 }
 
-// listLoop lists when the table needs it to settle an absence, and now and then
-// to repair a view whose watch has gone silent.
+// listLoop lists whenever the table needs it to decide about an absent entry, and periodically to
+// repair a view whose watch has stopped delivering events.
 func (r *Registrar) listLoop(ctx context.Context) error {
-	resync := r.resyncPause()
+	resync := r.resyncDelay()
 	last := r.opts.Now()
 	for {
-		if !uptime.Sleep(ctx, listPoll) {
+		if !uptime.Sleep(ctx, listCheckInterval) {
 			return ctx.Err()
 		}
 		now := r.opts.Now()
 		due := r.opts.Table.NextList()
-		settle := !due.IsZero() && now.After(due)
-		if !settle && now.Sub(last) < resync {
+		listDue := !due.IsZero() && now.After(due)
+		if !listDue && now.Sub(last) < resync {
 			continue
 		}
 		if !uptime.Sleep(ctx, time.Duration(r.opts.Jitter()*float64(listJitter))) {
 			return ctx.Err()
 		}
 		last = r.opts.Now()
-		resync = r.resyncPause()
+		resync = r.resyncDelay()
 		if _, err := r.List(ctx); err != nil && ctx.Err() == nil {
 			eventStoreFailed.Log(ctx, r.opts.Logger, slog.String("error", err.Error()))
 		}
 	}
 }
 
-func (r *Registrar) resyncPause() time.Duration {
+func (r *Registrar) resyncDelay() time.Duration {
 	return r.opts.Resync/2 + time.Duration(r.opts.Jitter()*float64(r.opts.Resync))
 }
