--- a/entry/quota/account.go
+++ b/entry/quota/account.go
@@ -88,16 +88,16 @@
 	}
 }
 
-func (a *account) setShare(now time.Time, customer string, s Share) {
+func (a *account) setShare(now time.Time, client string, s Share) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	a.rebase(now, s.base(customer, a.limit))
+	a.rebase(now, s.base(client, a.limit))
 }
 
 // base returns this entry's own part of a limit.
-func (s Share) base(customer string, limit amounts) amounts {
-	if !s.Holding || s.Entries < 1 || s.Waiting[customer] {
+func (s Share) base(client string, limit amounts) amounts {
+	if !s.Holding || s.Entries < 1 || s.Waiting[client] {
 		return amounts{}
 	}
 	return limit.times(1 / float64(s.Entries))
--- a/entry/quota/holder.go
+++ b/entry/quota/holder.go
@@ -43,7 +43,7 @@
 
 // Surroundings is the membership information on which the Holder decides.
 type Surroundings struct {
-	// Peers are the other entries that have not left; Live marks those that respond.
+	// Peers are the other entries that are not gone; Live marks those that respond.
 	Peers []PeerID
 	Live  map[PeerID]bool
 	// Rooted means that a listing of the store contained this entry's present registration.
@@ -182,8 +182,8 @@
 func (h *Holder) waitingClients(peers []PeerID) map[string]bool {
 	waitingClients := map[string]bool{}
 	for _, p := range peers {
-		for _, customer := range h.replies[p].Unsettled {
-			waitingClients[customer] = true
+		for _, client := range h.replies[p].Unsettled {
+			waitingClients[client] = true
 		}
 	}
 	return waitingClients
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -177,8 +177,8 @@
 }
 
 // Admit takes tasks from the client's rate and tasks in flight at this entry.
-func (t *Table) Admit(now time.Time, customer string, tasks int) Decision {
-	a, known := (*t.accounts.Load())[customer]
+func (t *Table) Admit(now time.Time, client string, tasks int) Decision {
+	a, known := (*t.accounts.Load())[client]
 	if !known || t.closed.Load() {
 		return Decision{RetryAfter: ExchangePause}
 	}
