--- a/entry/jobs/guards.go
+++ b/entry/jobs/guards.go
@@ -7,10 +7,10 @@
 
 // Attach registers the guard's session and its endpoint, and returns the runs that are open there.
 // fresh is true if the guard is a new incarnation. Orders go to g from now on.
-func (e *Engine) Attach(id, zone string, fresh bool, g Guard) []work.RunID {
+func (e *Engine) Attach(id, dataCentre string, fresh bool, g Guard) []work.RunID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	open := e.plan.Attach(id, zone, fresh)
+	open := e.plan.Attach(id, dataCentre, fresh)
 	e.guards[id] = g
 	e.applyActions(uptime.Now())
 	return open
