--- a/dispatch/scheduler/bench_test.go
+++ b/dispatch/scheduler/bench_test.go
@@ -10,24 +10,23 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// benchCustomers is the number of customers whose tasks wait, as many as there
-// are teams with quotas in the largest installation planned for.
-const benchCustomers = 310
+// benchClients is the number of clients with queued tasks: the number of teams with
+// quotas in the largest planned installation.
+const benchClients = 310
 
-// BenchmarkStartAndEnd is one decision with what goes with it: Next, a report,
-// Done and the admission of the task that takes its place, with thousands of
-// tasks waiting.
+// BenchmarkStartAndEnd measures one scheduling cycle with thousands of queued tasks:
+// Next, a report, Done and the admission of the task that replaces the started one.
 func BenchmarkStartAndEnd(b *testing.B) {
 	for _, endpoints := range []int{11, 100, 400} {
-		for _, customers := range []int{8, benchCustomers} {
-			b.Run(fmt.Sprintf("endpoints=%d/customers=%d", endpoints, customers), func(b *testing.B) {
-				benchmarkStartAndEnd(b, endpoints, customers)
+		for _, clients := range []int{8, benchClients} {
+			b.Run(fmt.Sprintf("endpoints=%d/customers=%d", endpoints, clients), func(b *testing.B) {
+				benchmarkStartAndEnd(b, endpoints, clients)
 			})
 		}
 	}
 }
 
-func benchmarkStartAndEnd(b *testing.B, endpoints, customers int) {
+func benchmarkStartAndEnd(b *testing.B, endpoints, clients int) {
 	const waiting, perJob = 20_000, 10
 	s := newScheduler(scheduler.Options{AdmitAll: true, Admission: admission.Options{MaxTasks: 2 * waiting}})
 	for i := range endpoints {
@@ -37,7 +36,7 @@
 	admit := func() {
 		jobs++
 		job := newJob(strconv.Itoa(jobs), perJob)
-		job.Customer = strconv.Itoa(jobs % customers)
+		job.Customer = strconv.Itoa(jobs % clients)
 		job.Accepted, job.Deadline = now, now.Add(time.Hour)
 		if err := s.Admit(now, job); err != nil {
 			b.Fatal(err)
@@ -57,7 +56,7 @@
 		s.Done(now, a, scheduler.Result{Verdict: scheduler.Completed, RunTime: 200 * time.Millisecond})
 		next, ok := s.Next(now)
 		if !ok {
-			b.Fatal("nothing to start")
+			b.Fatal("no task to start")
 		}
 		open[i%len(open)] = next
 		if i%perJob == 0 {
--- a/dispatch/scheduler/decide.go
+++ b/dispatch/scheduler/decide.go
@@ -14,54 +14,56 @@
 	"almondstand.dev/dispatch/retry"
 )
 
-// Scheduler is the Decider that the product ships.
+// Scheduler is the Decider used in production.
 type Scheduler struct {
-	opts      Options
-	jobs      map[JobID]*jobState
-	opens     map[TaskRef]*start
-	endpoints map[EndpointID]*endpoint
-	queue     *queue.Queue
-	places    *placement.Set
-	// wakes are the endpoints in a pause or with a probe to come, probes those
+	opts       Options
+	jobs       map[JobID]*jobState
+	inFlight   map[TaskRef]*attempt
+	endpoints  map[EndpointID]*endpoint
+	queue      *queue.Queue
+	candidates *placement.Set
+	// timers holds the endpoints in backoff or with a future probe, dueProbes those
 	// whose probe is due.
-	wakes  *indexed.Heap[*endpoint]
-	probes []*endpoint
+	timers    *indexed.Heap[*endpoint]
+	dueProbes []*endpoint
 
-	gate    *admission.Gate
-	learnt  *estimate.Table
-	guesses guesses
-	// retest is by customer, for those of whom jobs were rejected for their run times.
+	admissionGate   *admission.Gate
+	runTimes        *estimate.Table
+	provisionalJobs provisionalJobs
+	// retest holds, by client, the retest schedule of clients whose jobs were rejected
+	// because of their learnt run times.
 	retest map[string]*retest
 	health *health.Monitor
 	budget *retry.Budget
 
-	// capacity is the slots that this entry can count on and usable the
-	// endpoints that aren't leaving, as of capacityAt.
+	// capacity is the number of slots that this entry can rely on, usable the number of
+	// endpoints that aren't draining; both were computed at capacityAt.
 	capacity   float64
 	usable     int
 	capacityAt time.Time
-	// latest is the last moment that was passed in.
-	latest time.Time
-	// admitted counts the jobs taken.
+	// lastNow is the most recent time that was passed in.
+	lastNow time.Time
+	// admitted is the number of jobs admitted.
 	admitted uint64
 }
 
-// jobState is a job with what the queue doesn't need to know.
+// jobState is a queued job with the state that the queue doesn't need.
 type jobState struct {
 	queue.Job
-	// seq orders the jobs by when they came.
+	// seq orders the jobs by admission.
 	seq   uint64
 	kinds []string
-	// declared and guessed are kept while run times of some tasks are guesses:
-	// what was declared, and the kinds they are of.
-	declared []time.Duration
-	guessed  map[kindKey]struct{}
-	runLimit time.Duration
-	open     int
-	attempts map[int]int
-	// retested are the kinds whose learnt run times the job's first runs replace.
+	// declared (run times by task) and provisionalKinds are set while the estimates of
+	// some tasks don't come from measured runs.
+	declared         []time.Duration
+	provisionalKinds map[kindKey]struct{}
+	runLimit         time.Duration
+	inFlight         int
+	attempts         map[int]int
+	// retested holds the kinds whose learnt run times are replaced by the job's first
+	// completed runs.
 	retested map[string]struct{}
-	// avoid is the endpoint of the last start that has to be repeated.
+	// avoid is the endpoint of the job's last attempt that has to be retried.
 	avoid *endpoint
 }
 
@@ -70,19 +72,19 @@
 // New returns a Scheduler with no endpoints.
 func New(o Options, rng *rand.Rand) *Scheduler {
 	return &Scheduler{
-		opts:      o,
-		jobs:      map[JobID]*jobState{},
-		opens:     map[TaskRef]*start{},
-		endpoints: map[EndpointID]*endpoint{},
-		queue:     queue.New(o.queue()),
-		places:    placement.New(placement.Options{Zone: o.Zone, Floor: o.floor(), Chooser: o.Placement}, rng),
-		wakes:     newWakeHeap(),
-		gate:      admission.New(o.Admission, rng),
-		learnt:    estimate.New(o.Estimate),
-		guesses:   guesses{},
-		retest:    map[string]*retest{},
-		health:    health.New(o.health(rng)),
-		budget:    retry.New(o.Retry),
+		opts:            o,
+		jobs:            map[JobID]*jobState{},
+		inFlight:        map[TaskRef]*attempt{},
+		endpoints:       map[EndpointID]*endpoint{},
+		queue:           queue.New(o.queue()),
+		candidates:      placement.New(placement.Options{Zone: o.Zone, Floor: o.floor(), Chooser: o.Placement}, rng),
+		timers:          newTimerHeap(),
+		admissionGate:   admission.New(o.Admission, rng),
+		runTimes:        estimate.New(o.Estimate),
+		provisionalJobs: provisionalJobs{},
+		retest:          map[string]*retest{},
+		health:          health.New(o.health(rng)),
+		budget:          retry.New(o.Retry),
 	}
 }
 
@@ -91,13 +93,13 @@
 	if s.jobs[job.ID] != nil {
 		return &Refusal{Err: ErrDuplicateJob}
 	}
-	s.measure(now)
+	s.updateCapacity(now)
 	state, demand := s.prepare(now, job)
 	load := s.load(now, state)
 	if s.usable == 0 {
-		return &Refusal{Err: ErrNoEndpoint, RetryAfter: s.gate.RetryAfterNone()}
+		return &Refusal{Err: ErrNoEndpoint, RetryAfter: s.admissionGate.RetryAfterNone()}
 	}
-	verdict, retryAfter := s.gate.Decide(now, load, demand)
+	verdict, retryAfter := s.admissionGate.Decide(now, load, demand)
 	switch {
 	case verdict == admission.Full:
 		return &Refusal{Err: ErrQueueFull, RetryAfter: retryAfter}
@@ -113,19 +115,19 @@
 	s.jobs[job.ID] = state
 	s.admitted++
 	state.seq = s.admitted
-	for k := range state.guessed {
-		s.guesses.add(k, state)
+	for k := range state.provisionalKinds {
+		s.provisionalJobs.add(k, state)
 	}
 	s.queue.Add(now, &state.Job)
 	return nil
 }
 
-// assess describes why a job was rejected.
+// assess returns the figures that explain why a job was rejected.
 func (s *Scheduler) assess(l admission.Load, d admission.Demand) *Assessment {
-	forecast := s.gate.Forecast(l, d)
+	forecast := s.admissionGate.Forecast(l, d)
 	return &Assessment{
 		Pending:    l.Waiting,
-		Open:       len(s.opens),
+		Open:       len(s.inFlight),
 		Slots:      l.Slots,
 		Rate:       forecast.Rate,
 		SetAside:   s.health.Aside(),
@@ -139,7 +141,7 @@
 	}
 }
 
-// prepare estimates the job's tasks.
+// prepare estimates the run times of the job's tasks.
 func (s *Scheduler) prepare(now time.Time, job Job) (*jobState, admission.Demand) {
 	state := &jobState{
 		Job: queue.Job{
@@ -164,7 +166,7 @@
 		AnswerTime: job.Deadline.Sub(now),
 	}
 	for i, task := range job.Tasks {
-		e := s.learnt.Estimate(job.Customer, task.Kind, task.Declared, job.RunLimit)
+		e := s.runTimes.Estimate(job.Customer, task.Kind, task.Declared, job.RunLimit)
 		state.kinds[i] = task.Kind
 		state.Estimates[i] = e.Mean
 		state.Shown[i] = e.Shown
@@ -172,7 +174,7 @@
 		demand.Longest = max(demand.Longest, e.Shown+e.Deviation)
 		if !e.Learnt {
 			demand.Learnt = false
-			state.guess(i, job.Tasks)
+			state.markProvisional(i, job.Tasks)
 		}
 	}
 	if demand.Learnt {
@@ -181,14 +183,14 @@
 	return state, demand
 }
 
-// guess notes that the run time of a task is a guess.
-func (j *jobState) guess(index int, tasks []Task) {
-	if j.guessed == nil {
-		j.guessed = map[kindKey]struct{}{}
+// markProvisional records that the estimate of a task doesn't come from measured runs.
+func (j *jobState) markProvisional(index int, tasks []Task) {
+	if j.provisionalKinds == nil {
+		j.provisionalKinds = map[kindKey]struct{}{}
 		j.declared = make([]time.Duration, len(tasks))
 	}
 	j.declared[index] = tasks[index].Declared
-	j.guessed[kindKey{j.Customer, tasks[index].Kind}] = struct{}{}
+	j.provisionalKinds[kindKey{j.Customer, tasks[index].Kind}] = struct{}{}
 }
 
 func (s *Scheduler) load(now time.Time, state *jobState) admission.Load {
@@ -196,26 +198,26 @@
 	for _, estimate := range state.Estimates {
 		work += estimate
 	}
-	standing := s.queue.Standing(now, state.Customer, state.Weight, work)
+	position := s.queue.Standing(now, state.Customer, state.Weight, work)
 	return admission.Load{
 		Waiting:     s.queue.Waiting(),
 		Bytes:       s.queue.Bytes(),
 		Slots:       s.capacity,
-		Idle:        standing.Idle,
-		Ahead:       standing.Ahead,
-		SmallerRate: standing.SmallerRate,
-		Share:       standing.Share,
-		OthersRate:  standing.OthersRate,
+		Idle:        position.Idle,
+		Ahead:       position.Ahead,
+		SmallerRate: position.SmallerRate,
+		Share:       position.Share,
+		OthersRate:  position.OthersRate,
 	}
 }
 
-// measure sums up the slots that this entry can count on.
-func (s *Scheduler) measure(now time.Time) {
-	if !s.capacityAt.IsZero() && now.Sub(s.capacityAt) < capacityAge {
+// updateCapacity computes the number of slots that this entry can rely on.
+func (s *Scheduler) updateCapacity(now time.Time) {
+	if !s.capacityAt.IsZero() && now.Sub(s.capacityAt) < capacityTTL {
 		return
 	}
 	s.capacityAt = now
-	s.capacity, s.usable = s.places.Capacity()
+	s.capacity, s.usable = s.candidates.Capacity()
 	s.queue.SetCapacity(s.capacity)
 }
 
@@ -224,11 +226,11 @@
 	if s.queue.Waiting() == 0 {
 		return Assignment{}, false
 	}
-	s.latest = now
-	s.measure(now)
-	s.wake(now)
+	s.lastNow = now
+	s.updateCapacity(now)
+	s.runTimers(now)
 	job := s.head()
-	if e := s.dueProbe(now, job); e != nil {
+	if e := s.probeTarget(now, job); e != nil {
 		index := s.queue.StartShortest(now, &job.Job)
 		return s.assign(now, job, index, e, true), true
 	}
@@ -239,111 +241,110 @@
 	if e.health.Standing() != health.Slow {
 		return s.assign(now, job, s.queue.Start(now, &job.Job), e, false), true
 	}
-	if !s.hides(job, e) {
+	if !s.toleratesSlowRun(job, e) {
 		return Assignment{}, false
 	}
 	return s.assign(now, job, s.queue.StartShortest(now, &job.Job), e, false), true
 }
 
-// head is the job whose task goes next.
+// head returns the job whose task starts next.
 func (s *Scheduler) head() *jobState {
-	return s.jobs[JobID(s.queue.Peek(s.latest).ID)]
+	return s.jobs[JobID(s.queue.Peek(s.lastNow).ID)]
 }
 
-// wake acts on the moments that have come: pauses end, probes fall due, slow
-// endpoints are judged.
-func (s *Scheduler) wake(now time.Time) {
-	for s.wakes.Len() > 0 && !s.wakes.Min().wakeAt.After(now) {
-		e := s.wakes.Pop()
+// runTimers handles the endpoints whose timer has expired: it ends backoffs, marks
+// probes as due and evaluates slow endpoints.
+func (s *Scheduler) runTimers(now time.Time) {
+	for s.timers.Len() > 0 && !s.timers.Min().timerAt.After(now) {
+		e := s.timers.Pop()
 		if e.health.Standing().Aside() {
-			s.probes = append(s.probes, e)
+			s.dueProbes = append(s.dueProbes, e)
 			continue
 		}
-		s.judge(now, e)
+		s.evaluate(now, e)
 		s.refresh(now, e)
 	}
 }
 
-// dueProbe returns an endpoint that is to get a task of the job as its probe.
-// Jobs that a bad probe does little harm are preferred; any has to do once none
-// has come for a while.
-func (s *Scheduler) dueProbe(now time.Time, job *jobState) *endpoint {
-	for _, e := range s.probes {
-		if e.mayProbe() && (s.spares(job, e) || !e.health.OverdueAt().After(now)) {
+// probeTarget returns an endpoint that should receive a task of the job as its probe.
+// Jobs that a failed probe harms little are preferred; once a probe is overdue, any job
+// is used.
+func (s *Scheduler) probeTarget(now time.Time, job *jobState) *endpoint {
+	for _, e := range s.dueProbes {
+		if e.canProbe() && (s.toleratesFailedProbe(job, e) || !e.health.OverdueAt().After(now)) {
 			return e
 		}
 	}
 	return nil
 }
 
-// spares reports whether a bad probe would do the job little harm: a request
-// that failed can be repeated if it is idempotent.
-func (s *Scheduler) spares(job *jobState, e *endpoint) bool {
+// toleratesFailedProbe reports whether a failed probe would do the job little harm. A
+// task that failed can be retried if it is idempotent.
+func (s *Scheduler) toleratesFailedProbe(job *jobState, e *endpoint) bool {
 	if e.health.Standing() == health.Failing {
 		return job.Idempotent
 	}
-	return s.hides(job, e)
+	return s.toleratesSlowRun(job, e)
 }
 
-// hides reports whether the job's shortest task can run at the endpoint's pace
-// without making the job late: behind its longest task, or while the rest of it
-// waits for slots.
-func (s *Scheduler) hides(job *jobState, e *endpoint) bool {
+// toleratesSlowRun reports whether the job's shortest task can run at the endpoint's
+// speed without delaying the job, because the job's longest task or the wait of its
+// other tasks for slots takes at least as long.
+func (s *Scheduler) toleratesSlowRun(job *jobState, e *endpoint) bool {
 	run := job.Shortest().Seconds() / e.health.Pace()
 	rest := job.Work().Seconds() / max(1, s.capacity)
 	return run <= max(job.Longest().Seconds(), rest)
 }
 
-// choose picks an endpoint and looks at its pace before it is used, since one
-// that answers nothing any more shows in nothing but its overdue starts.
+// choose selects an endpoint and evaluates its health before use: an endpoint that has
+// stopped answering is noticeable only by its overdue attempts.
 func (s *Scheduler) choose(now time.Time, job *jobState) *endpoint {
 	var avoid *placement.Endpoint
 	if job.avoid != nil {
-		avoid = job.avoid.place
+		avoid = job.avoid.candidate
 	}
 	for {
-		place := s.places.Choose(avoid)
-		if place == nil {
+		candidate := s.candidates.Choose(avoid)
+		if candidate == nil {
 			return nil
 		}
-		e := s.endpoints[EndpointID(place.ID)]
-		if !s.judge(now, e) {
+		e := s.endpoints[EndpointID(candidate.ID)]
+		if !s.evaluate(now, e) {
 			return e
 		}
 	}
 }
 
-// judge brings the endpoint's standing up to date; true when that changed.
-func (s *Scheduler) judge(now time.Time, e *endpoint) bool {
-	changed, relieved := s.health.Judge(now, e.health, e.overdue(now), s.learnt.Mean())
+// evaluate updates the endpoint's health status and reports whether it changed.
+func (s *Scheduler) evaluate(now time.Time, e *endpoint) bool {
+	changed, readmitted := s.health.Judge(now, e.health, e.overdue(now), s.runTimes.Mean())
 	if !changed {
 		return false
 	}
 	s.refresh(now, e)
-	if relieved {
+	if readmitted {
 		s.refreshAll(now)
 	}
 	return true
 }
 
-// refresh brings the endpoint's place in the choice and in the wakes in line
-// with its standing.
+// refresh updates the endpoint's placement state and timer to match its health status.
 func (s *Scheduler) refresh(now time.Time, e *endpoint) {
-	s.places.Hold(e.place, e.removed || e.held(now))
-	s.places.SetPace(e.place, e.pace())
-	s.places.SetTrial(e.place, e.health.Standing() == health.Suspect)
-	s.wakes.Remove(e)
-	s.probes = slices.DeleteFunc(s.probes, func(p *endpoint) bool { return p == e })
+	s.candidates.Hold(e.candidate, e.removed || e.excluded(now))
+	s.candidates.SetPace(e.candidate, e.speed())
+	s.candidates.SetTrial(e.candidate, e.health.Standing() == health.Suspect)
+	s.timers.Remove(e)
+	s.dueProbes = slices.DeleteFunc(s.dueProbes, func(p *endpoint) bool { return p == e })
 	if e.removed {
 		return
 	}
-	if e.wakeAt = e.nextWake(now); !e.wakeAt.IsZero() {
-		s.wakes.Push(e)
+	if e.timerAt = e.nextTimer(now); !e.timerAt.IsZero() {
+		s.timers.Push(e)
 	}
 }
 
 func (s *Scheduler) assign(now time.Time, job *jobState, index int, e *endpoint, probe bool) Assignment {
-	started := &start{
+	started := &attempt{
 		job:      job,
 		index:    index,
 		endpoint: e,
@@ -352,11 +353,11 @@
 		probe:    probe,
 	}
 	ref := TaskRef{Job: JobID(job.ID), Index: index}
-	s.opens[ref] = started
-	job.open++
+	s.inFlight[ref] = started
+	job.inFlight++
 	job.avoid = nil
 	e.add(started)
-	s.places.Open(e.place)
+	s.candidates.Open(e.candidate)
 	if probe {
 		s.health.Probe(e.health)
 		s.refresh(now, e)
@@ -365,7 +366,7 @@
 		Task:      ref,
 		Endpoint:  e.id,
 		TasksLeft: job.Left(),
-		Expected:  max(started.expected, s.learnt.Mean()),
+		Expected:  max(started.expected, s.runTimes.Mean()),
 		Probe:     probe,
 		At:        now,
 	}
--- a/dispatch/scheduler/endpoint.go
+++ b/dispatch/scheduler/endpoint.go
@@ -9,41 +9,44 @@
 	"almondstand.dev/dispatch/placement"
 )
 
-// endpoint joins what the parts of the scheduler keep of one endpoint.
+// endpoint combines the placement, health and in-flight state of one endpoint.
 type endpoint struct {
-	id     EndpointID
-	place  *placement.Endpoint
-	health *health.Record
-	// enrolled is true while the health monitor counts the endpoint among the
-	// peers.
-	enrolled bool
-	// open are this entry's open starts there.
-	open []*start
-	// removed is true once the endpoint was removed while starts were open.
+	id        EndpointID
+	candidate *placement.Endpoint
+	health    *health.Record
+	// monitored is true while the health monitor counts the endpoint as a peer of the
+	// others.
+	monitored bool
+	// inFlight holds this entry's attempts in flight there.
+	inFlight []*attempt
+	// removed is true when the endpoint was removed while attempts were in flight.
 	removed bool
-	// pausedUntil follows a refusal; pause grows with each one in a row.
-	pausedUntil time.Time
-	pause       time.Duration
-
-	// wakeAt orders the endpoints that wait for a moment in time.
-	wakeAt   time.Time
-	wakeHeap int
+	// backoffUntil is set after a refusal; backoff grows with each consecutive refusal.
+	backoffUntil time.Time
+	backoff      time.Duration
+
+	// timerAt is the next time at which the endpoint must be reconsidered; timerIndex
+	// is its position in the timer heap.
+	timerAt    time.Time
+	timerIndex int
 }
 
-// start is one open assignment.
-type start struct {
+// attempt is one assignment in flight.
+type attempt struct {
 	job      *jobState
 	index    int
 	endpoint *endpoint
 	at       time.Time
-	// expected is what was seen of such tasks, for the endpoint's pace. By declared
-	// times that are too short every endpoint would be found to crawl.
+	// expected is the observed run time of such tasks. It is the reference for the
+	// endpoint's speed; declared times that are too short would make every endpoint
+	// appear slow.
 	expected time.Duration
 	probe    bool
 }
 
-// task describes the start, ended after a run time, to the health monitor.
-func (s *start) task(run time.Duration) health.Task {
+// healthTask describes the attempt to the health monitor, with the run time after which
+// it ended.
+func (s *attempt) healthTask(run time.Duration) health.Task {
 	return health.Task{
 		Job:      s.job.ID,
 		Customer: s.job.Customer,
@@ -53,51 +56,54 @@
 	}
 }
 
-func byWake(a, b *endpoint) bool { return a.wakeAt.Before(b.wakeAt) }
+func byTimer(a, b *endpoint) bool { return a.timerAt.Before(b.timerAt) }
 
-func newWakeHeap() *indexed.Heap[*endpoint] {
-	return indexed.New(byWake, func(e *endpoint) *int { return &e.wakeHeap })
+func newTimerHeap() *indexed.Heap[*endpoint] {
+	return indexed.New(byTimer, func(e *endpoint) *int { return &e.timerIndex })
 }
 
-func (e *endpoint) add(s *start) { e.open = append(e.open, s) }
+func (e *endpoint) add(s *attempt) { e.inFlight = append(e.inFlight, s) }
 
-func (e *endpoint) end(s *start) {
-	i := slices.Index(e.open, s)
-	last := len(e.open) - 1
-	e.open[i] = e.open[last]
-	e.open[last] = nil
-	e.open = e.open[:last]
+func (e *endpoint) end(s *attempt) {
+	i := slices.Index(e.inFlight, s)
+	last := len(e.inFlight) - 1
+	e.inFlight[i] = e.inFlight[last]
+	e.inFlight[last] = nil
+	e.inFlight = e.inFlight[:last]
 }
 
-// overdue sums up how much longer the open starts have taken than expected.
+// overdue returns the total time by which the attempts in flight exceed their expected
+// run times.
 func (e *endpoint) overdue(now time.Time) time.Duration {
 	var sum time.Duration
-	for _, s := range e.open {
+	for _, s := range e.inFlight {
 		sum += max(0, now.Sub(s.at)-s.expected)
 	}
 	return sum
 }
 
-// refused starts or lengthens the pause after a refusal, first at least. The
-// endpoint may look free all the while, and would be asked again and again.
-func (e *endpoint) refused(now time.Time, first time.Duration) {
-	e.pause = min(max(2*e.pause, first, firstRefusalPause), maxRefusalPause)
-	e.pausedUntil = now.Add(e.pause)
+// backOff starts or extends the backoff after a refusal; first is its shortest length.
+// Without the backoff, an endpoint that appears free while it refuses would be tried
+// again and again.
+func (e *endpoint) backOff(now time.Time, first time.Duration) {
+	e.backoff = min(max(2*e.backoff, first, minRefusalBackoff), maxRefusalBackoff)
+	e.backoffUntil = now.Add(e.backoff)
 }
 
-// held reports whether the endpoint gets no ordinary work now.
-func (e *endpoint) held(now time.Time) bool {
-	return e.health.Standing().Aside() || e.pausedUntil.After(now)
+// excluded reports whether the endpoint receives no ordinary tasks now.
+func (e *endpoint) excluded(now time.Time) bool {
+	return e.health.Standing().Aside() || e.backoffUntil.After(now)
 }
 
-// mayProbe reports whether a due probe can start: alone, so that it is judged
-// by itself.
-func (e *endpoint) mayProbe() bool { return len(e.open) == 0 && !e.place.Barred() }
+// canProbe reports whether a due probe can start. A probe runs only while nothing else
+// is in flight there, so that its outcome can be attributed to it alone.
+func (e *endpoint) canProbe() bool { return len(e.inFlight) == 0 && !e.candidate.Barred() }
 
-// pace is the part of the endpoint's slots that counts. The short pause after a
-// refusal takes nothing off: with all endpoints in theirs, admission would see a
-// service without a slot, and refuse jobs that end in time.
-func (e *endpoint) pace() float64 {
+// speed returns the factor by which the endpoint's slots count as capacity. The short
+// backoff after a refusal doesn't reduce it: if all endpoints backed off at once,
+// admission would see a service without slots and reject jobs that would complete in
+// time.
+func (e *endpoint) speed() float64 {
 	if e.removed || e.health.Standing().Aside() {
 		return 0
 	}
@@ -107,22 +113,23 @@
 	return 1
 }
 
-// nextWake is when time alone changes what the endpoint may get; zero for never.
-// A slow or suspect endpoint may get no work that would show it to be steady again, so it
-// is judged anew from time to time.
-func (e *endpoint) nextWake(now time.Time) time.Time {
+// nextTimer returns the next time at which passing time alone changes what the endpoint
+// may receive; zero for never. A slow or suspect endpoint may receive no task that
+// would show that it has recovered, so its health is evaluated again every
+// reevaluateInterval.
+func (e *endpoint) nextTimer(now time.Time) time.Time {
 	switch {
 	case e.health.Standing().Aside():
-		return later(e.health.ProbeAt(), e.pausedUntil)
-	case e.pausedUntil.After(now):
-		return e.pausedUntil
+		return later(e.health.ProbeAt(), e.backoffUntil)
+	case e.backoffUntil.After(now):
+		return e.backoffUntil
 	case e.health.Standing() != health.Steady:
-		return now.Add(judgeSlow)
+		return now.Add(reevaluateInterval)
 	}
 	return time.Time{}
 }
 
-// later returns the later of two moments, zero when the first is zero.
+// later returns the later of two times, or zero when the first is zero.
 func later(a, b time.Time) time.Time {
 	if a.IsZero() || a.After(b) {
 		return a
--- a/dispatch/scheduler/machine_test.go
+++ b/dispatch/scheduler/machine_test.go
@@ -17,7 +17,7 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// TestMain fixes the seed, unless the command line names one.
+// TestMain fixes the random seed of rapid unless the command line sets one.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.steps", "150")
@@ -25,26 +25,26 @@
 	os.Exit(m.Run())
 }
 
-// machine drives a Scheduler with random events and judges it by what may be
-// known from outside: which tasks wait, which starts are open, what each
+// machine drives a Scheduler with random events and checks it against the state known
+// from outside: which tasks are queued, which assignments are in flight, and what each
 // endpoint announced.
 type machine struct {
 	s         *scheduler.Scheduler
 	now       time.Time
-	jobs      map[scheduler.JobID]*heldJob
+	jobs      map[scheduler.JobID]*expectedJob
 	open      []scheduler.Assignment
 	ended     []scheduler.Assignment
-	endpoints map[scheduler.EndpointID]*heldEndpoint
-	minted    int
+	endpoints map[scheduler.EndpointID]*expectedEndpoint
+	lastID    int
 }
 
-type heldJob struct {
+type expectedJob struct {
 	scheduler.Job
 	waiting map[int]bool
 	left    int
 }
 
-type heldEndpoint struct {
+type expectedEndpoint struct {
 	scheduler.Endpoint
 	others  int
 	version uint64
@@ -57,8 +57,8 @@
 	return &machine{
 		s:         newScheduler(o),
 		now:       start,
-		jobs:      map[scheduler.JobID]*heldJob{},
-		endpoints: map[scheduler.EndpointID]*heldEndpoint{},
+		jobs:      map[scheduler.JobID]*expectedJob{},
+		endpoints: map[scheduler.EndpointID]*expectedEndpoint{},
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 	m.s.SetEndpoint(m.now, e)
 	if m.endpoints[id] == nil {
-		m.endpoints[id] = &heldEndpoint{}
+		m.endpoints[id] = &expectedEndpoint{}
 	}
 	m.endpoints[id].Endpoint = e
 }
@@ -87,21 +87,21 @@
 		t.Skip("none")
 	}
 	id := rapid.SampledFrom(slices.Sorted(maps.Keys(m.endpoints))).Draw(t, "id")
-	if m.own(id) > 0 {
-		t.Skip("its reports go on when it comes back")
+	if m.ownInFlight(id) > 0 {
+		t.Skip("assignments in flight; see Flap")
 	}
 	m.s.RemoveEndpoint(id)
 	delete(m.endpoints, id)
 }
 
-// Flap removes an endpoint with open starts and brings it back.
+// Flap removes an endpoint with assignments in flight and adds it again.
 func (m *machine) Flap(t *rapid.T) {
 	if len(m.endpoints) == 0 {
 		t.Skip("none")
 	}
 	id := rapid.SampledFrom(slices.Sorted(maps.Keys(m.endpoints))).Draw(t, "id")
-	if m.own(id) == 0 {
-		t.Skip("nothing open")
+	if m.ownInFlight(id) == 0 {
+		t.Skip("nothing in flight")
 	}
 	m.s.RemoveEndpoint(id)
 	m.s.SetEndpoint(m.now, m.endpoints[id].Endpoint)
@@ -130,8 +130,8 @@
 }
 
 func (m *machine) Admit(t *rapid.T) {
-	m.minted++
-	job := newJob(fmt.Sprint(m.minted), rapid.IntRange(1, 8).Draw(t, "tasks"))
+	m.lastID++
+	job := newJob(fmt.Sprint(m.lastID), rapid.IntRange(1, 8).Draw(t, "tasks"))
 	job.Customer = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "customer")
 	job.Urgency = rapid.IntRange(1, 3).Draw(t, "urgency")
 	job.Idempotent = len(job.Tasks) == 1
@@ -150,11 +150,11 @@
 	}
 	assert.NilError(t, err)
 	assert.ErrorIs(t, m.s.Admit(m.now, job), scheduler.ErrDuplicateJob)
-	held := &heldJob{Job: job, waiting: map[int]bool{}, left: len(job.Tasks)}
+	expected := &expectedJob{Job: job, waiting: map[int]bool{}, left: len(job.Tasks)}
 	for i := range job.Tasks {
-		held.waiting[i] = true
+		expected.waiting[i] = true
 	}
-	m.jobs[job.ID] = held
+	m.jobs[job.ID] = expected
 	assert.Assert(t, m.waiting() <= maxQueued)
 }
 
@@ -164,36 +164,36 @@
 	}
 }
 
-// next checks that the task waited, and that the endpoint had a free slot by
-// what the entry knows or is below the floor.
+// next checks that the task was queued, and that the endpoint either had a free slot as
+// far as the entry knows or was below the minimum number of tasks in flight.
 func (m *machine) next(t *rapid.T) bool {
 	a, ok := m.s.Next(m.now)
 	if !ok {
 		return false
 	}
 	job := m.jobs[a.Task.Job]
-	assert.Assert(t, job != nil && job.waiting[a.Task.Index], "started a task that does not wait: %v", a)
+	assert.Assert(t, job != nil && job.waiting[a.Task.Index], "started a task that is not queued: %v", a)
 	assert.Equal(t, a.TasksLeft, job.left)
 	delete(job.waiting, a.Task.Index)
 	e := m.endpoints[a.Endpoint]
-	assert.Assert(t, e != nil && !e.Leaving && e.Slots > 0, "endpoint takes no tasks: %+v", e)
-	own := m.own(a.Endpoint)
-	assert.Assert(t, e.OwnLimit == 0 || own < e.OwnLimit, "over the own limit")
-	free := own+e.others < e.Slots
-	assert.Assert(t, free || own < scheduler.DefaultFloor || a.Probe && own == 0, "no free slot: %+v", e)
+	assert.Assert(t, e != nil && !e.Leaving && e.Slots > 0, "endpoint accepts no tasks: %+v", e)
+	ownInFlight := m.ownInFlight(a.Endpoint)
+	assert.Assert(t, e.OwnLimit == 0 || ownInFlight < e.OwnLimit, "over the own limit of the entry")
+	free := ownInFlight+e.others < e.Slots
+	assert.Assert(t, free || ownInFlight < scheduler.DefaultFloor || a.Probe && ownInFlight == 0, "no free slot: %+v", e)
 	m.open = append(m.open, a)
 	return true
 }
 
 func (m *machine) Done(t *rapid.T) {
 	if len(m.open) == 0 {
-		t.Skip("nothing open")
+		t.Skip("nothing in flight")
 	}
 	for range rapid.IntRange(1, len(m.open)).Draw(t, "ends") {
 		i := rapid.IntRange(0, len(m.open)-1).Draw(t, "which")
 		verdict := scheduler.Verdict(rapid.IntRange(0, int(scheduler.Cancelled)).Draw(t, "verdict"))
 		if m.open[i].Endpoint == "a" {
-			// One endpoint fails everything, so that it is set aside and probed.
+			// One endpoint fails everything, so that it is ejected and probed.
 			verdict = scheduler.Failed
 		}
 		m.done(t, i, verdict)
@@ -207,10 +207,10 @@
 	requeued := m.s.Done(m.now, a, scheduler.Result{Verdict: verdict})
 	job := m.jobs[a.Task.Job]
 	if requeued {
-		assert.Assert(t, job != nil, "put back a task of a job that is gone")
-		mayRepeat := verdict == scheduler.Refused
-		mayRepeat = mayRepeat || job.Idempotent && (verdict == scheduler.Failed || verdict == scheduler.Lost)
-		assert.Assert(t, mayRepeat, "repeated after verdict %d", verdict)
+		assert.Assert(t, job != nil, "requeued a task of a job that is gone")
+		retryAllowed := verdict == scheduler.Refused
+		retryAllowed = retryAllowed || job.Idempotent && (verdict == scheduler.Failed || verdict == scheduler.Lost)
+		assert.Assert(t, retryAllowed, "retried after verdict %d", verdict)
 		job.waiting[a.Task.Index] = true
 		return
 	}
@@ -223,7 +223,7 @@
 	}
 }
 
-// DoneTwice repeats the end of a start; nothing may change by it.
+// DoneTwice ends an assignment a second time, which must change nothing.
 func (m *machine) DoneTwice(t *rapid.T) {
 	if len(m.ended) == 0 {
 		t.Skip("nothing ended")
@@ -231,7 +231,7 @@
 	a := rapid.SampledFrom(m.ended).Draw(t, "which")
 	for _, open := range m.open {
 		if open.Task == a.Task && open.Endpoint == a.Endpoint && open.At.Equal(a.At) {
-			t.Skip("the same start in the same moment")
+			t.Skip("the same assignment at the same time")
 		}
 	}
 	assert.Assert(t, !m.s.Done(m.now, a, scheduler.Result{Verdict: scheduler.Refused}))
@@ -247,7 +247,7 @@
 		want = append(want, scheduler.TaskRef{Job: id, Index: index})
 	}
 	got := m.s.Drop(id)
-	assert.Assert(t, slices.Equal(got, want), "dropped %v, waited %v", got, want)
+	assert.Assert(t, slices.Equal(got, want), "dropped %v, queued %v", got, want)
 	delete(m.jobs, id)
 }
 
@@ -279,14 +279,14 @@
 	assert.Equal(t, b.Open, len(m.open))
 	assert.Equal(t, b.Bytes, bytes)
 	assert.Equal(t, b.Endpoints, len(m.endpoints))
-	most := m.usable() / 3
+	maxEjected := m.usable() / 3
 	if m.usable() == 2 {
-		most = 1
+		maxEjected = 1
 	}
-	assert.Assert(t, b.SetAside <= most, "%d of %d set aside", b.SetAside, m.usable())
+	assert.Assert(t, b.SetAside <= maxEjected, "%d of %d ejected", b.SetAside, m.usable())
 }
 
-func (m *machine) own(id scheduler.EndpointID) int {
+func (m *machine) ownInFlight(id scheduler.EndpointID) int {
 	n := 0
 	for _, a := range m.open {
 		if a.Endpoint == id {
@@ -296,7 +296,7 @@
 	return n
 }
 
-// usable counts the endpoints that take tasks.
+// usable returns the number of endpoints that accept tasks.
 func (m *machine) usable() int {
 	n := 0
 	for _, e := range m.endpoints {
@@ -315,13 +315,13 @@
 	return n
 }
 
-// refusalPause is the longest that an endpoint is left alone after refusals.
-const refusalPause = time.Second
+// maxRefusalBackoff is the longest backoff of an endpoint after refusals.
+const maxRefusalBackoff = time.Second
 
-// settle ends everything well and follows the Scheduler's own wake-ups. While
-// any endpoint takes tasks, those that wait have to start within a refusal's
-// pause, whatever the last reports said, since none come any more.
-func (m *machine) settle(t *rapid.T) {
+// finishAll completes all tasks and follows the Scheduler's own wake-up times. While
+// any endpoint accepts tasks, the queued ones have to start within the longest refusal
+// backoff, whatever the last reports said, since no more reports arrive.
+func (m *machine) finishAll(t *rapid.T) {
 	usable := m.usable() > 0
 	for m.waiting()+len(m.open) > 0 {
 		m.Expired(t)
@@ -335,20 +335,20 @@
 			continue
 		}
 		wake := m.s.Wake(m.now)
-		assert.Assert(t, wake.After(m.now), "tasks wait, nothing is open and no wake-up comes")
-		assert.Assert(t, !usable || wake.Sub(m.now) <= refusalPause, "starved for %v", wake.Sub(m.now))
+		assert.Assert(t, wake.After(m.now), "tasks are queued, none is in flight and no wake-up is due")
+		assert.Assert(t, !usable || wake.Sub(m.now) <= maxRefusalBackoff, "starved for %v", wake.Sub(m.now))
 		m.now = wake
 	}
 	m.Check(t)
 }
 
-// TestSchedulerAgainstOracle: no slot is used twice by the entry, no task is
-// lost or started twice, none is starved by a stale report, and each admitted
-// task is started, dropped or expired exactly once for each time it waits.
+// TestSchedulerAgainstOracle checks that the entry uses no slot twice, that no task is
+// lost or started twice, that no task is starved by a stale report, and that each
+// admitted task is started, dropped or expired exactly once for each time it is queued.
 func TestSchedulerAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(rapid.StateMachineActions(m))
-		m.settle(t)
+		m.finishAll(t)
 	})
 }
--- a/dispatch/scheduler/model_fresh_test.go
+++ b/dispatch/scheduler/model_new_entry_test.go
@@ -11,8 +11,9 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// keepBusy lets a caller of an entry submit jobs one after the other for ever, of
-// the sizes that tasks names, each task run long.
+// keepBusy simulates a caller that submits jobs to an entry one after the other without
+// end. tasks returns the number of tasks of the next job; each task runs for the given
+// time.
 func (m *model) keepBusy(e *modelEntry, run time.Duration, tasks func() int, done func(took time.Duration, ok bool)) {
 	m.jobs++
 	j := &modelJob{left: tasks(), ideal: run}
@@ -29,9 +30,10 @@
 	e.submit(j)
 }
 
-// freshEntry is the longest that jobs of so many tasks take at an entry while all
-// others are kept busy by callers, and the number of its jobs answered in time.
-func freshEntry(c modelCase, callers, tasks int, size func(caller, n int) int) (longest time.Duration, answered int) {
+// newEntryLatency runs a model in which callers keep all entries but the last busy. It
+// returns the longest response time of jobs with the given number of tasks at the last
+// entry, and how many of them were answered in time.
+func newEntryLatency(c modelCase, callers, tasks int, size func(caller, n int) int) (longest time.Duration, answered int) {
 	m := newModel(c.withDefaults())
 	last := c.Entries - 1
 	for i := range callers {
@@ -51,24 +53,25 @@
 	return longest, answered
 }
 
-// TestModelFreshEntry: other entries keep all guards full when one comes that has
-// nothing open. Each report tells it of full guards, and in their queues the tasks
-// of smaller jobs go first. Its jobs must not wait for long all the same: neither
-// where the others' jobs are large, nor where more entries than a guard has slots
-// have nothing but jobs of one task. Without a floor the first case starves.
-func TestModelFreshEntry(t *testing.T) {
+// TestModelNewEntry guards against starving an entry that joins while other entries
+// keep all guards full. Every report shows it full guards, and in the guards' queues
+// the tasks of smaller jobs go first. Its jobs must not wait long, neither when the
+// other entries' jobs are large, nor when more entries than a guard has slots submit
+// only jobs of one task. Without the minimum number of tasks in flight (Floor) the
+// first case starves.
+func TestModelNewEntry(t *testing.T) {
 	mixed := func(caller, n int) int { return 1 + (caller+4*n)%10 }
 	single := func(int, int) int { return 1 }
 	for seed := range uint64(3) {
 		few := modelCase{Entries: 3, Guards: 2, Bound: 8, AnswerTime: 20, Seconds: 60, Seed: seed + 1}
-		longest, answered := freshEntry(few, 24, 2, mixed)
+		longest, answered := newEntryLatency(few, 24, 2, mixed)
 		assert.Assert(t, longest < time.Second, "%v, %d answered", longest, answered)
 		crowd := few
 		crowd.Entries = 16
-		longest, answered = freshEntry(crowd, 200, 2, single)
+		longest, answered = newEntryLatency(crowd, 200, 2, single)
 		assert.Assert(t, longest < time.Second, "%v, %d answered", longest, answered)
 		few.Variant = baseline.Variant{Floor: ptr(0)}
-		longest, answered = freshEntry(few, 24, 2, mixed)
+		longest, answered = newEntryLatency(few, 24, 2, mixed)
 		assert.Assert(t, longest > 5*time.Second, "%v, %d answered", longest, answered)
 	}
 }
--- a/dispatch/scheduler/model_test.go
+++ b/dispatch/scheduler/model_test.go
@@ -15,21 +15,21 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// The model runs Schedulers of some entries against guards that have nothing
-// but slots, a queue and a delay. Time is simulated. Its figures compare ways to
-// decide with one another; they say nothing of a running system.
+// The model runs the Schedulers of several entries against guards that have only slots,
+// a queue and a delay. Time is simulated. Its results compare scheduling policies with
+// one another; they don't predict a running system.
 
 const (
 	modelLatency = 500 * time.Microsecond
 	modelSlots   = 8
 	modelWarmUp  = 20 * time.Second
-	// modelOvertaken is slots.MaxOvertaken of the guard.
+	// modelOvertaken mirrors slots.MaxOvertaken of the guard.
 	modelOvertaken = 8
-	allCustomers   = -1
+	allClients     = -1
 )
 
-// modelCase is one run of the model; zero values take what withDefaults gives.
-// testdata/model.json lists those that docs/design/scheduling.md compares.
+// modelCase configures one run of the model; withDefaults replaces zero values.
+// testdata/model.json lists the cases that docs/design/scheduling.md compares.
 type modelCase struct {
 	Name    string
 	Variant baseline.Variant
@@ -40,39 +40,39 @@
 	Seed    uint64
 	// Seeds is the number of runs of a case that is printed.
 	Seeds int
-	// AnswerTime of every contract, in seconds.
+	// AnswerTime is the answer time of every contract, in seconds.
 	AnswerTime int
 	Customers  int
-	// FIFO orders the guards' queues by arrival; Bound is their length, zero
-	// for no bound.
+	// FIFO orders the guards' queues by arrival; Bound is their maximum length, zero
+	// for no limit.
 	FIFO  bool
 	Bound int
-	// Pace is the run time factor of the first guard; Failing makes it fail
-	// everything at once. Both begin after FaultAt seconds.
+	// Pace is the factor by which the first guard's run times grow; Failing makes that
+	// guard fail everything at once. Both take effect after FaultAt seconds.
 	Pace    float64
 	Failing bool
 	FaultAt int
-	// FailingCustomer is the part of the load that one more customer adds whose
-	// tasks fail everywhere.
+	// FailingCustomer is the load added by one more client, whose tasks fail
+	// everywhere.
 	FailingCustomer float64
-	// Mute guards tell nothing of what other entries saw of them.
+	// Mute makes guards omit the outcome counts of all entries from their reports.
 	Mute bool
 	// OnceOnly makes no job idempotent.
 	OnceOnly bool
-	// Flood is the load added by one customer alone, Burst the factor of the
-	// load from 30 s to 35 s.
+	// Flood is the load added by one client alone, Burst the factor of the load from 30
+	// s to 35 s.
 	Flood float64
 	Burst float64
-	// Cold counts from the start, when no run time is learnt, and has the burst
+	// Cold measures from the start, when no run time is learnt, and moves the burst
 	// there.
 	Cold bool
-	// Declared is the factor by which declared run times are off at most.
+	// Declared is the largest factor by which declared run times are wrong.
 	Declared float64
 	// Stretch is a factor of all run times.
 	Stretch float64
-	// Urgent customers have urgency 5, the rest 1.
+	// Urgent is the number of clients with urgency 5; the others have 1.
 	Urgent int
-	// ComeBack lets callers that were refused return when they were told to.
+	// ComeBack makes callers retry a rejected job after its RetryAfter.
 	ComeBack bool
 }
 
@@ -98,21 +98,21 @@
 	}
 }
 
-// modelResult is what one run gave.
+// modelResult holds the results of one run.
 type modelResult struct {
-	slowdowns      []float64 // response/ideal of the jobs answered in time
-	watched        []float64 // of the urgent customers, or of all but the flooding one
-	small          []float64 // the same for jobs of one task
-	submitted      int
-	refused        int
-	watchedRefused int
-	returned       int // submissions again after a Retry-After
-	expired        int
-	failed         int
-	starts         int
-	aside          int // endpoints found set aside after the warm-up, looked at once a second
-	refusals       int // starts refused by guards
-	work           time.Duration
+	slowdowns         []float64 // response time / ideal response time of the jobs answered in time
+	protected         []float64 // of the urgent clients, or of all but the flooding one
+	small             []float64 // the same for jobs of one task
+	submitted         int
+	rejected          int
+	protectedRejected int
+	resubmitted       int // resubmissions after a RetryAfter
+	expired           int
+	failed            int
+	starts            int
+	ejected           int // ejected endpoints after the warm-up, sampled once a second
+	refusals          int // tasks refused by guards
+	work              time.Duration
 }
 
 type model struct {
@@ -128,11 +128,11 @@
 }
 
 type modelEntry struct {
-	m     *model
-	id    int
-	s     *scheduler.Scheduler
-	jobs  map[scheduler.JobID]*modelJob
-	alarm time.Time
+	m       *model
+	id      int
+	s       *scheduler.Scheduler
+	jobs    map[scheduler.JobID]*modelJob
+	timerAt time.Time
 }
 
 type modelJob struct {
@@ -140,7 +140,7 @@
 	runs  []time.Duration
 	left  int
 	ideal time.Duration
-	// done, when set, is called at the job's end.
+	// done, when set, is called when the job ends.
 	done func(ok bool)
 }
 
@@ -159,7 +159,8 @@
 	open    []int // by entry
 	version uint64
 	past    scheduler.Past
-	// failures are the jobs that failed since, by when the task had begun.
+	// failures holds the jobs that failed since the last success, with the time at
+	// which the failed task began.
 	failures map[*modelJob]time.Time
 }
 
@@ -169,7 +170,7 @@
 	run     time.Duration
 	urgency int
 	job     *modelJob
-	// arrival and overtaken are those of a guard's ticket.
+	// arrival and overtaken mirror the fields of a guard's queue ticket.
 	arrival, overtaken int
 }
 
@@ -202,7 +203,7 @@
 func runModel(c modelCase) modelResult {
 	m := newModel(c.withDefaults())
 	c = m.modelCase
-	m.after(0, func() { m.arrive(allCustomers, c.Load) })
+	m.after(0, func() { m.arrive(allClients, c.Load) })
 	if c.FailingCustomer > 0 {
 		m.after(0, func() { m.arrive(c.Customers+1, c.FailingCustomer) })
 	}
@@ -213,7 +214,7 @@
 	return m.result
 }
 
-// newModel sets up entries and guards without arrivals.
+// newModel creates entries and guards without arrivals.
 func newModel(c modelCase) *model {
 	m := &model{modelCase: c, rng: rand.New(rand.NewPCG(c.Seed, 0)), now: start}
 	options, err := c.Variant.Apply(scheduler.Options{})
@@ -237,7 +238,7 @@
 
 func (m *model) run() {
 	for _, g := range m.guards {
-		m.after(time.Second, g.tell)
+		m.after(time.Second, g.sendReports)
 	}
 	end := start.Add(time.Duration(m.Seconds) * time.Second)
 	for !m.now.After(end) {
@@ -247,25 +248,26 @@
 	}
 }
 
-// meanTasks and meanRun are those of newJob, for the rate of arrivals.
+// meanTasks and meanRun are the means of the jobs made by newJob; the arrival rate is
+// computed from them.
 const (
 	meanTasks = 21.21
 	meanRun   = 0.435
 )
 
-// arrive submits a job and sets up the next arrival of the stream: of one
-// customer, or of allCustomers in turn.
-func (m *model) arrive(customer int, load float64) {
+// arrive submits a job and schedules the next arrival of the stream, either of one
+// client or of a random one for allClients.
+func (m *model) arrive(client int, load float64) {
 	rate := load * float64(m.Guards*modelSlots) / (meanTasks * meanRun * m.Stretch)
 	if t := m.now.Sub(m.burstAt()); t > 0 && t < 5*time.Second {
 		rate *= m.Burst
 	}
-	m.after(time.Duration(m.rng.ExpFloat64()/rate*1e9), func() { m.arrive(customer, load) })
-	of := customer
-	if of == allCustomers {
+	m.after(time.Duration(m.rng.ExpFloat64()/rate*1e9), func() { m.arrive(client, load) })
+	of := client
+	if of == allClients {
 		of = m.rng.IntN(m.Customers)
 	}
-	// A lumpy balancer: 60 % of the jobs reach the first entry.
+	// An uneven load balancer: 60 % of the jobs reach the first entry.
 	entry := 0
 	if u := m.rng.Float64(); u > 0.6 && len(m.entries) > 1 {
 		entry = 1 + int((u-0.6)/0.4*float64(len(m.entries)-1))
@@ -280,34 +282,34 @@
 	return start.Add(30 * time.Second)
 }
 
-// counts reports whether what comes at t is counted.
-func (m *model) counts(t time.Time) bool { return m.Cold || t.After(start.Add(modelWarmUp)) }
+// measured reports whether a job submitted at t is included in the results.
+func (m *model) measured(t time.Time) bool { return m.Cold || t.After(start.Add(modelWarmUp)) }
 
-// newJob makes a job of 1 to 100 tasks, log-uniform, whose run times are from
-// 50 ms to 5 s around a mean that depends on customer and kind.
-func (m *model) newJob(customer int) *modelJob {
+// newJob creates a job of 1 to 100 tasks, log-uniform, with run times between 50 ms and
+// 5 s around a median that depends on client and kind.
+func (m *model) newJob(client int) *modelJob {
 	m.jobs++
 	n := int(math.Exp(m.rng.Float64() * math.Log(101)))
 	j := &modelJob{left: n}
 	j.Job = scheduler.Job{
 		ID:         scheduler.JobID(strconv.Itoa(m.jobs)),
-		Customer:   strconv.Itoa(customer),
+		Customer:   strconv.Itoa(client),
 		Urgency:    1,
 		RunLimit:   10 * time.Second,
 		Idempotent: n == 1 && !m.OnceOnly,
 	}
-	if customer < m.Urgent {
+	if client < m.Urgent {
 		j.Urgency = 5
 	}
 	for range n {
 		kind := m.rng.IntN(3)
-		median := 0.08 * math.Pow(2, float64(kind)*1.2+float64(customer%4)*0.4)
+		median := 0.08 * math.Pow(2, float64(kind)*1.2+float64(client%4)*0.4)
 		run := m.Stretch * min(max(0.05, median*math.Exp(0.6*m.rng.NormFloat64())), 5)
-		off := math.Pow(m.Declared, 2*m.rng.Float64()-1)
+		factor := math.Pow(m.Declared, 2*m.rng.Float64()-1)
 		d := time.Duration(run * 1e9)
 		j.runs = append(j.runs, d)
 		j.ideal = max(j.ideal, d)
-		j.Tasks = append(j.Tasks, scheduler.Task{Kind: strconv.Itoa(kind), Declared: time.Duration(off * run * 1e9)})
+		j.Tasks = append(j.Tasks, scheduler.Task{Kind: strconv.Itoa(kind), Declared: time.Duration(factor * run * 1e9)})
 	}
 	j.ideal += 2 * modelLatency
 	return j
@@ -317,21 +319,21 @@
 	m := e.m
 	j.Accepted = m.now
 	j.Deadline = m.now.Add(time.Duration(m.AnswerTime) * time.Second)
-	counted := m.counts(m.now)
-	if counted {
+	measured := m.measured(m.now)
+	if measured {
 		m.result.submitted++
 	}
 	err := e.s.Admit(m.now, j.Job)
 	var refusal *scheduler.Refusal
 	if errors.As(err, &refusal) {
-		if counted {
-			m.result.refused++
-			if m.watches(j) {
-				m.result.watchedRefused++
+		if measured {
+			m.result.rejected++
+			if m.protects(j) {
+				m.result.protectedRejected++
 			}
 		}
 		if m.ComeBack {
-			m.result.returned++
+			m.result.resubmitted++
 			m.after(refusal.RetryAfter, func() { e.submit(j) })
 		}
 		return
@@ -340,7 +342,8 @@
 	e.pump()
 }
 
-// pump answers expired jobs, starts what can start and sets the alarm.
+// pump answers expired jobs, starts all tasks that can start and sets the timer for the
+// next wake-up.
 func (e *modelEntry) pump() {
 	m := e.m
 	for _, id := range e.s.Expired(m.now) {
@@ -358,10 +361,10 @@
 		m.after(modelLatency, func() { g.receive(st) })
 	}
 	wake := e.s.Wake(m.now)
-	if wake.IsZero() || !e.alarm.IsZero() && !wake.Before(e.alarm) && e.alarm.After(m.now) {
+	if wake.IsZero() || !e.timerAt.IsZero() && !wake.Before(e.timerAt) && e.timerAt.After(m.now) {
 		return
 	}
-	e.alarm = wake
+	e.timerAt = wake
 	m.after(wake.Sub(m.now), e.pump)
 }
 
@@ -378,7 +381,7 @@
 	case r.Verdict != scheduler.Completed:
 		e.s.Drop(j.ID)
 		delete(e.jobs, j.ID)
-		if !m.fails(j) {
+		if !m.alwaysFails(j) {
 			m.result.failed++
 		}
 		j.end(false)
@@ -393,19 +396,20 @@
 	e.pump()
 }
 
-// watches reports whether the job's customer is one that is to be protected.
-func (m *model) watches(j *modelJob) bool {
+// protects reports whether the job's client is one that scheduling has to protect from
+// others.
+func (m *model) protects(j *modelJob) bool {
 	if m.Urgent > 0 {
 		return j.Urgency > 1
 	}
 	return j.Customer != strconv.Itoa(m.Customers)
 }
 
-// fails reports whether the job's customer is the one whose tasks fail.
-func (m *model) fails(j *modelJob) bool { return j.Customer == strconv.Itoa(m.Customers+1) }
+// alwaysFails reports whether the job's client is the one whose tasks fail everywhere.
+func (m *model) alwaysFails(j *modelJob) bool { return j.Customer == strconv.Itoa(m.Customers+1) }
 
 func (m *model) record(j *modelJob) {
-	if !m.counts(j.Accepted) {
+	if !m.measured(j.Accepted) {
 		return
 	}
 	x := float64(m.now.Sub(j.Accepted)) / float64(j.ideal)
@@ -413,8 +417,8 @@
 	for _, run := range j.runs {
 		m.result.work += run
 	}
-	if m.watches(j) {
-		m.result.watched = append(m.result.watched, x)
+	if m.protects(j) {
+		m.result.protected = append(m.result.protected, x)
 	}
 	if len(j.runs) == 1 {
 		m.result.small = append(m.result.small, x)
@@ -466,7 +470,7 @@
 	}
 }
 
-// first is the start that goes next, as in guard/slots.
+// first returns the start order that runs next, as in guard/slots.
 func (g *modelGuard) first() *modelStart {
 	var first *modelStart
 	for _, q := range g.queue {
@@ -480,11 +484,11 @@
 	return first
 }
 
-// result is how a task that begins now will end.
+// result returns how a task that begins now will end.
 func (g *modelGuard) result(st *modelStart) scheduler.Result {
 	faulty := g.faulty && !g.m.now.Before(start.Add(time.Duration(g.m.FaultAt)*time.Second))
 	switch {
-	case g.m.fails(st.job), faulty && g.m.Failing:
+	case g.m.alwaysFails(st.job), faulty && g.m.Failing:
 		return scheduler.Result{Verdict: scheduler.Failed, RunTime: time.Millisecond}
 	case faulty:
 		return scheduler.Result{Verdict: scheduler.Completed, RunTime: time.Duration(float64(st.run) * g.m.Pace)}
@@ -501,12 +505,12 @@
 		maps.DeleteFunc(g.failures, func(_ *modelJob, failed time.Time) bool { return failed.Before(began) })
 	}
 	g.past.FailedInRow = 0
-	for _, n := range g.failuresByCustomer() {
+	for _, n := range g.failuresByClient() {
 		g.past.FailedInRow += min(2, n)
 	}
 }
 
-func (g *modelGuard) failuresByCustomer() map[string]int {
+func (g *modelGuard) failuresByClient() map[string]int {
 	count := map[string]int{}
 	for j := range g.failures {
 		count[j.Customer]++
@@ -534,11 +538,11 @@
 	return r
 }
 
-// tell sends the report that goes with each ping of a session.
-func (g *modelGuard) tell() {
+// sendReports sends every entry the report that accompanies each ping of a session.
+func (g *modelGuard) sendReports() {
 	for _, e := range g.m.entries {
 		if g.faulty && g.m.now.After(start.Add(modelWarmUp)) {
-			g.m.result.aside += e.s.Backlog().SetAside
+			g.m.result.ejected += e.s.Backlog().SetAside
 		}
 		report := g.report(e)
 		g.m.after(modelLatency, func() {
@@ -546,10 +550,10 @@
 			e.pump()
 		})
 	}
-	g.m.after(time.Second, g.tell)
+	g.m.after(time.Second, g.sendReports)
 }
 
-// quantile returns the q-th part of the values, sorting them.
+// quantile returns the q-quantile of the values and sorts them.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -558,10 +562,11 @@
 	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
 
-// modelLate is a response/ideal that a caller calls late.
+// modelLate is the ratio of response time to ideal response time above which a job
+// counts as late.
 const modelLate = 5
 
-// above counts the values above a bound.
+// above returns the number of values above a limit.
 func above(values []float64, bound float64) int {
 	n := 0
 	for _, v := range values {
@@ -582,17 +587,17 @@
 
 func (r *modelResult) add(o modelResult) {
 	r.slowdowns = append(r.slowdowns, o.slowdowns...)
-	r.watched = append(r.watched, o.watched...)
+	r.protected = append(r.protected, o.protected...)
 	r.small = append(r.small, o.small...)
 	r.submitted += o.submitted
-	r.refused += o.refused
-	r.watchedRefused += o.watchedRefused
-	r.returned += o.returned
+	r.rejected += o.rejected
+	r.protectedRejected += o.protectedRejected
+	r.resubmitted += o.resubmitted
 	r.expired += o.expired
 	r.failed += o.failed
 	r.starts += o.starts
 	r.refusals += o.refusals
-	r.aside += o.aside
+	r.ejected += o.ejected
 	r.work += o.work
 }
 
@@ -601,7 +606,7 @@
 		"jobs %d refused %.4f returned %d late %d failed %d aside %d | refused starts %.4f work %.0f s",
 		mean(r.slowdowns), quantile(r.slowdowns, 0.5), quantile(r.slowdowns, 0.99), quantile(r.slowdowns, 0.999), above(r.slowdowns, modelLate),
 		mean(r.small), quantile(r.small, 0.99),
-		mean(r.watched), quantile(r.watched, 0.99), r.watchedRefused,
-		r.submitted, float64(r.refused)/float64(max(1, r.submitted)), r.returned, r.expired, r.failed, r.aside,
+		mean(r.protected), quantile(r.protected, 0.99), r.protectedRejected,
+		r.submitted, float64(r.rejected)/float64(max(1, r.submitted)), r.resubmitted, r.expired, r.failed, r.ejected,
 		float64(r.refusals)/float64(r.starts), r.work.Seconds())
 }
--- a/dispatch/scheduler/options.go
+++ b/dispatch/scheduler/options.go
@@ -19,56 +19,60 @@
 	DefaultAgeing    = 0.5
 )
 
-// Values of Options that switch a rule off; zero means the default there.
+// Values of Options that disable a rule. They are negative because zero selects the
+// default.
 const (
 	NoFloor     = -1
 	NoFairSlack = -1
 	NoAgeing    = -1
 )
 
-// Bounds of the pause after a refusal.
+// Limits of the backoff after an endpoint refused a task.
 const (
-	firstRefusalPause = 5 * time.Millisecond
-	maxRefusalPause   = time.Second
+	minRefusalBackoff = 5 * time.Millisecond
+	maxRefusalBackoff = time.Second
 )
 
 const (
-	// Bounds on the starts of one task, whatever the retry budget: maxFailures
-	// when it ran and failed, which it may well do anywhere, so that a second
-	// start is only for the case that the endpoint was to blame; maxLosses when
-	// it may have run; maxRefusals when it was refused, as it may be the task
-	// that no endpoint takes.
-	maxFailures = 2
-	maxLosses   = 4
-	maxRefusals = 16
-	// judgeSlow is how often a slow or suspect endpoint is judged anew.
-	judgeSlow = time.Second
-	// usualSlots is the slots of an endpoint, for the pause after a refusal.
-	usualSlots = 8
-	// capacityAge is how long the sum of the slots is reused.
-	capacityAge = 10 * time.Millisecond
+	// Limits on the starts of one task, independent of the retry budget.
+	// maxFailedStarts applies when the task ran and failed: it may well fail on any
+	// endpoint, so a single retry covers the case that the endpoint was at fault.
+	// maxLostStarts applies when the task may have run. maxRefusedStarts applies when
+	// the task was refused, because there may be tasks that no endpoint accepts.
+	maxFailedStarts  = 2
+	maxLostStarts    = 4
+	maxRefusedStarts = 16
+	// reevaluateInterval is how often the health of a slow or suspect endpoint is
+	// evaluated again.
+	reevaluateInterval = time.Second
+	// typicalSlots is the number of slots assumed per endpoint for the backoff after a
+	// refusal.
+	typicalSlots = 8
+	// capacityTTL is how long the computed total of slots is reused.
+	capacityTTL = 10 * time.Millisecond
 )
 
-// Options of a Scheduler. The zero value is what the product ships.
+// Options configures a Scheduler. The zero value is the production configuration.
 type Options struct {
 	// Zone is the data centre of this entry.
 	Zone string
-	// Floor is the number of own starts that may always be open on an endpoint
-	// of a guard; NoFloor for none.
+	// Floor is the minimum number of tasks that this entry may always have in flight on
+	// a guard's endpoint, whatever the reports say; NoFloor for none.
 	Floor int
-	// Placement chooses endpoints; nil takes placement.KnownFree.
+	// Placement chooses endpoints; nil selects placement.KnownFree.
 	Placement placement.Chooser
-	// Order sorts jobs; nil takes queue.LeastWork.
+	// Order sorts jobs; nil selects queue.LeastWork.
 	Order queue.Order
-	// Ageing is the part of its answer time after which a job takes turns with
-	// the first by the order; NoAgeing for never.
+	// Ageing is the fraction of its answer time after which a job alternates with the
+	// first job of the order; NoAgeing disables this.
 	Ageing float64
-	// Unfair switches the shares between customers off.
+	// Unfair disables fair queueing between clients.
 	Unfair bool
-	// FairSlack is how far a customer may be ahead of its share; NoFairSlack
-	// keeps to the shares task by task.
+	// FairSlack is how far a client may be ahead of its fair share; NoFairSlack
+	// enforces the shares task by task.
 	FairSlack time.Duration
-	// AdmitAll refuses only what exceeds the bounds of the queue.
+	// AdmitAll rejects a job only when it exceeds the limits of the queue, not for its
+	// forecast lateness.
 	AdmitAll bool
 
 	Admission admission.Options
--- a/dispatch/scheduler/retest.go
+++ b/dispatch/scheduler/retest.go
@@ -6,24 +6,25 @@
 	"almondstand.dev/dispatch/admission"
 )
 
-// Bounds of the interval between two retests of a customer's run times.
+// Limits of the interval between two retests of a client's run times.
 const (
 	firstRetest = time.Second
 	maxRetest   = 32 * time.Second
 )
 
-// retest paces the jobs of one customer that are let through against their learnt run
-// times.
+// retest is the schedule of the jobs of one client that are admitted although its
+// learnt run times call for a rejection.
 type retest struct {
 	due      time.Time
 	interval time.Duration
 }
 
-// retestDue reports whether the job is to be let through although its learnt run times
-// leave no time for it on an idle service, and else how long until the next one is. While
-// all such jobs are rejected nothing runs that could correct what was learnt.
+// retestDue reports whether to admit the job although its learnt run times exceed its
+// answer time even on an idle service, and otherwise how long until the next such
+// admission. While all such jobs are rejected, nothing runs that could correct the
+// learnt run times.
 func (s *Scheduler) retestDue(now time.Time, job *jobState, l admission.Load, d admission.Demand) (due bool, wait time.Duration) {
-	if !d.Learnt || s.gate.Feasible(l, d) {
+	if !d.Learnt || s.admissionGate.Feasible(l, d) {
 		return false, 0
 	}
 	r := s.retest[job.Customer]
@@ -32,7 +33,7 @@
 		s.retest[job.Customer] = r
 	}
 	if now.Before(r.due) {
-		return false, s.gate.Spread(r.due.Sub(now))
+		return false, s.admissionGate.Spread(r.due.Sub(now))
 	}
 	r.due = now.Add(r.interval)
 	r.interval = min(2*r.interval, maxRetest)
@@ -43,12 +44,13 @@
 	return true, 0
 }
 
-// relearn has the first completed run of a retested kind replace what was learnt of it.
-func (s *Scheduler) relearn(job *jobState, kind string) {
+// resetRetested discards the learnt run times of a retested kind before its first
+// completed run is recorded.
+func (s *Scheduler) resetRetested(job *jobState, kind string) {
 	if _, retested := job.retested[kind]; !retested {
 		return
 	}
 	delete(job.retested, kind)
 	delete(s.retest, job.Customer)
-	s.learnt.Forget(job.Customer, kind)
+	s.runTimes.Forget(job.Customer, kind)
 }
--- a/dispatch/scheduler/retest_test.go
+++ b/dispatch/scheduler/retest_test.go
@@ -37,9 +37,9 @@
 	return s
 }
 
-// Guards against rejecting all jobs for good once a slow spell has taught run times that
-// leave no time to answer.
-func TestJobsAreTakenAgainAfterASlowSpell(t *testing.T) {
+// TestJobsAreAdmittedAgainAfterSlowPeriod guards against rejecting all jobs for good
+// after a slow period during which learnt run times grew beyond the answer time.
+func TestJobsAreAdmittedAgainAfterSlowPeriod(t *testing.T) {
 	s := learnSlow(t)
 	now := start.Add(3 * time.Second)
 	for n := range 40 {
@@ -52,12 +52,13 @@
 	}
 }
 
-// Guards against taking job after job that can't be answered in time, and against sending
-// its callers away for longer than until the next try.
+// TestJobsThatCannotBeAnsweredAreRejected guards against admitting job after job that
+// can't be answered in time, and against a RetryAfter longer than the time until the
+// next retest.
 func TestJobsThatCannotBeAnsweredAreRejected(t *testing.T) {
 	s := learnSlow(t)
 	now := start.Add(3 * time.Second)
-	var taken int
+	var admitted int
 	for n := range 600 {
 		now = now.Add(100 * time.Millisecond)
 		err := s.Admit(now, retestJob(now, n))
@@ -67,11 +68,11 @@
 			assert.Assert(t, refusal.RetryAfter > 0 && refusal.RetryAfter < 40*time.Second, "%s", refusal.RetryAfter)
 			continue
 		}
-		taken++
+		admitted++
 		for _, a := range drain(s, now) {
 			s.Drop(a.Task.Job)
 			s.Done(now, a, scheduler.Result{Verdict: scheduler.Cancelled})
 		}
 	}
-	assert.Assert(t, taken >= 2 && taken <= 8, "%d taken", taken)
+	assert.Assert(t, admitted >= 2 && admitted <= 8, "%d admitted", admitted)
 }
--- a/dispatch/scheduler/scheduler.go
+++ b/dispatch/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler decides, for one service at one entry, which waiting task
-// starts next and on which endpoint. It is pure: the clock and the randomness
-// are passed in, and it does no input or output. A Scheduler is not safe for
+// Package scheduler decides, for one service at one entry, which queued task starts
+// next and on which endpoint. It does no I/O, and the clock and the random source are
+// passed in, so that its decisions are reproducible. A Scheduler is not safe for
 // concurrent use; its owner holds a lock around every call.
 package scheduler
 
@@ -9,38 +9,41 @@
 	"time"
 )
 
-// JobID names a job within one entry.
+// JobID identifies a job within one entry.
 type JobID string
 
-// EndpointID names an endpoint: a guard with its incarnation, or a bare runner.
+// EndpointID identifies an endpoint: a guard together with its incarnation, or a bare
+// runner.
 type EndpointID string
 
-// Task is what is known of one task of a job before it runs.
+// Task describes one task of a job before it runs.
 type Task struct {
 	Kind string
-	// Declared is the run time the caller declared; zero when none.
+	// Declared is the run time that the caller declared; zero when it declared none.
 	Declared time.Duration
 }
 
-// Job is what the scheduler needs to know of a job.
+// Job holds the properties of a job that scheduling depends on.
 type Job struct {
 	ID       JobID
 	Customer string
-	// Urgency is the weight of the customer's contract.
+	// Urgency is the weight given by the client's contract.
 	Urgency  int
 	Accepted time.Time
 	// Deadline is Accepted plus the answer time of the contract.
 	Deadline time.Time
-	// RunLimit is the longest run the contract allows; it caps estimates.
+	// RunLimit is the longest run time that the contract allows. Estimates are capped
+	// at it.
 	RunLimit time.Duration
-	// Bytes is the size of the payloads, counted against the queue's bound.
+	// Bytes is the size of the payloads. It counts towards the byte limit of the queue.
 	Bytes int64
 	Tasks []Task
-	// Idempotent is set only for a job of one task that its caller declared so.
+	// Idempotent is set only for a job of a single task that its caller declared
+	// idempotent.
 	Idempotent bool
 }
 
-// TaskRef names one task of a job.
+// TaskRef identifies one task of a job.
 type TaskRef struct {
 	Job   JobID
 	Index int
@@ -50,164 +53,172 @@
 type Assignment struct {
 	Task     TaskRef
 	Endpoint EndpointID
-	// TasksLeft counts the unfinished tasks of the job, this one included.
+	// TasksLeft is the number of unfinished tasks of the job, including this one.
 	TasksLeft int
-	// Expected is how long the task is expected to run, no less than the
-	// service's mean.
+	// Expected is the expected run time of the task, but at least the mean run time of
+	// the service.
 	Expected time.Duration
-	// Probe is true when the endpoint is set aside and gets this task as a trial.
+	// Probe is true when the endpoint is ejected and receives this task as a health
+	// probe.
 	Probe bool
-	// At is the moment of the decision.
+	// At is the time of the decision.
 	At time.Time
 }
 
-// Verdict is how an assignment ended.
+// Verdict is the outcome of an assignment.
 type Verdict int
 
-// Verdicts of an assignment.
+// Outcomes of an assignment.
 const (
-	// Completed: the task ran and gave a whole answer.
+	// Completed: the task ran and returned a complete result.
 	Completed Verdict = iota
-	// Failed: the task ran, or may have run, and failed at the endpoint.
+	// Failed: the endpoint reported a failure; the task ran or may have run.
 	Failed
-	// Refused: the endpoint truly refused; the task did not start.
+	// Refused: the endpoint refused the task, which definitely did not start.
 	Refused
-	// Lost: no contact within the budget; the task may have run.
+	// Lost: the endpoint could not be reached within the time budget; the task may have
+	// run.
 	Lost
-	// Cancelled: ended by its owner.
+	// Cancelled: the owner of the Scheduler ended the assignment.
 	Cancelled
 )
 
-// Result tells the scheduler how an assignment ended.
+// Result reports to the scheduler how an assignment ended.
 type Result struct {
 	Verdict Verdict
-	// RunTime is the time at the runner; zero when unknown.
+	// RunTime is the run time measured at the runner; zero when unknown.
 	RunTime time.Duration
 }
 
-// Endpoint is one place that can run tasks of the service.
+// Endpoint describes an endpoint that can run tasks of the service.
 type Endpoint struct {
 	ID    EndpointID
 	Zone  string
 	Slots int
-	// OwnLimit caps this entry's own open starts there: a bare endpoint's share
-	// of slots and connections. Zero means no cap (a guard).
+	// OwnLimit limits how many tasks this entry may have in flight there: its share
+	// of a bare endpoint's slots and connections. Zero means no limit (a guard).
 	OwnLimit int
-	// NoQueue is true when a start above the slots would be refused and not wait
-	// there (a bare endpoint). Then only its reports say when it may be tried, and
-	// whoever sends them sees to it that it is in the end.
+	// NoQueue is true when the endpoint refuses a task that exceeds its slots instead
+	// of queueing it (a bare endpoint). The scheduler then relies on the endpoint's
+	// reports alone to decide when to try it again; the sender of the reports must
+	// ensure that a report allowing a retry arrives eventually.
 	NoQueue bool
-	// Leaving is true when no new task may start there.
+	// Leaving is true while the endpoint is draining: no new task may start there.
 	Leaving bool
 }
 
-// Report is an endpoint's own count of what it holds for others.
+// Report is an endpoint's own count of the tasks it holds for other entries.
 type Report struct {
-	// Version orders the reports of one endpoint; older ones are dropped.
+	// Version orders the reports of one endpoint; a report older than the last one
+	// applied is dropped.
 	Version uint64
-	// OthersOpen counts tasks that run or wait there for other entries.
+	// OthersOpen is the number of tasks that run or are queued there for other entries.
 	OthersOpen int
 	Slots      int
 	Leaving    bool
 	Past       Past
 }
 
-// Past is how tasks of all entries ended at an endpoint since it began. It is
-// zero for an endpoint that doesn't tell.
+// Past counts how the tasks of all entries ended at an endpoint since it started. It is
+// zero for an endpoint that doesn't report these counts.
 type Past struct {
 	Completed uint64
 	Failed    uint64
-	// FailedInRow counts jobs that failed there with a task that began after the
-	// latest one that completed, two of each customer at most: the tasks of one
-	// customer may fail wherever they run.
+	// FailedInRow is the number of jobs that failed there with a task that began after
+	// the most recently begun task that completed. At most two jobs of each client
+	// count, because the tasks of one client may fail wherever they run.
 	FailedInRow int
 }
 
-// Errors of admission: the job was not taken and none of its tasks started.
+// Admission errors: the job was rejected and none of its tasks started.
 var (
-	// ErrNoEndpoint means that no endpoint of the service is known now.
+	// ErrNoEndpoint means that no endpoint of the service is known.
 	ErrNoEndpoint = errors.New("no endpoint of the service is known")
 	// ErrBacklog means that the job can't be answered within its answer time.
 	ErrBacklog = errors.New("backlog too long for the answer time")
-	// ErrQueueFull means that the queue's bound in tasks or bytes is reached.
+	// ErrQueueFull means that the queue has reached its limit of tasks or bytes.
 	ErrQueueFull = errors.New("queue full")
-	// ErrDuplicateJob means that a job of this id is already held.
+	// ErrDuplicateJob means that the scheduler already holds a job with this id.
 	ErrDuplicateJob = errors.New("job id already held")
 )
 
-// Refusal is the error type of Admit; it wraps one of the errors above.
+// Refusal is the error type that Admit returns; it wraps one of the errors above.
 type Refusal struct {
 	Err error
-	// RetryAfter is when to come back, worked out from the backlog.
+	// RetryAfter is how long the caller should wait before it retries, computed from
+	// the backlog.
 	RetryAfter time.Duration
-	// Assessment is set for ErrBacklog.
+	// Assessment is set for ErrBacklog only.
 	Assessment *Assessment
 }
 
-// Assessment is what a rejection for the backlog rests on.
+// Assessment holds the figures on which a rejection with ErrBacklog is based.
 type Assessment struct {
-	// Pending counts the tasks that wait, Open those that were started and have not
-	// ended.
+	// Pending is the number of queued tasks, Open the number of tasks in flight.
 	Pending, Open int
-	// Slots is what this entry can count on, Rate the part of it that serves the
-	// customer, SetAside the endpoints that get probes only.
+	// Slots is the number of slots that this entry can rely on, Rate the part of it
+	// that serves the client, SetAside the number of ejected endpoints, which receive
+	// probes only.
 	Slots, Rate float64
 	SetAside    int
-	// Work is the expected run time of the job's tasks together, Longest that of its
-	// longest one, Ahead that of the pending tasks that go first.
+	// Work is the expected total run time of the job's tasks, Longest that of its
+	// longest task, Ahead that of the queued tasks that start before the job's.
 	Work, Longest, Ahead time.Duration
-	// Learnt is true when these times were learnt from runs.
+	// Learnt is true when these times come from measured runs.
 	Learnt bool
-	// Drain is the time until the job is served, Allowed the time there is for that,
-	// AnswerTime what its contract gives.
+	// Drain is the forecast time until the job is answered, Allowed the limit for that
+	// forecast, AnswerTime the answer time of the contract.
 	Drain, Allowed, AnswerTime time.Duration
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return r.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped admission error.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// Decider is the interface between an entry and its decisions for one service.
-// Variants to compare implement it too; the product ships one.
+// Decider is the scheduling policy that an entry uses for one service. Scheduler is the
+// implementation in production; experiments may use others for comparison.
 type Decider interface {
-	// Admit takes a job with all its tasks, or refuses it whole with a *Refusal.
+	// Admit queues a job with all its tasks, or rejects the whole job with a *Refusal.
 	Admit(now time.Time, job Job) error
-	// Next decides one start; false when nothing can start now. The assignment
-	// counts as open until Done.
+	// Next selects one task to start. It returns false when no task can start now. The
+	// assignment counts as in flight until Done is called for it.
 	Next(now time.Time) (Assignment, bool)
-	// Done ends an assignment. For Refused it returns true when the task was put
-	// back into the queue, false when the retry budget is spent or the job is
-	// gone: the owner then fails the task as not run. For Lost and Failed of an
-	// idempotent job it may return true likewise.
+	// Done ends an assignment. It returns true when the task went back into the queue:
+	// after Refused unless the task's retry limit is reached or the job is gone, and
+	// after Lost and Failed of an idempotent job as far as the retry budget allows.
+	// When it returns false after Refused, the owner fails the task as not run.
 	Done(now time.Time, a Assignment, r Result) (requeued bool)
-	// Drop forgets a job and returns its tasks that wait and so never start.
-	// Open assignments of it are still ended by Done.
+	// Drop removes a job and returns its queued tasks, which will never start.
+	// Assignments of the job that are still in flight must be ended by Done all the
+	// same.
 	Drop(job JobID) []TaskRef
-	// Expired drops the jobs that can no longer be answered in time because
-	// their deadline has passed, and returns them; the owner answers at once.
+	// Expired removes the jobs whose deadline has passed, as they can no longer be
+	// answered in time, and returns their ids; the owner answers them at once.
 	Expired(now time.Time) []JobID
-	// SetEndpoint adds or changes an endpoint.
+	// SetEndpoint adds or updates an endpoint.
 	SetEndpoint(now time.Time, e Endpoint)
-	// RemoveEndpoint forgets an endpoint; open assignments are still ended by Done.
+	// RemoveEndpoint removes an endpoint. Assignments in flight there must be ended by
+	// Done all the same.
 	RemoveEndpoint(id EndpointID)
-	// ApplyReport takes an endpoint's report.
+	// ApplyReport applies a report of an endpoint.
 	ApplyReport(now time.Time, id EndpointID, r Report)
-	// Wake returns the next moment at which time alone changes a decision
-	// (a deadline, a probe); zero when there is none.
+	// Wake returns the next time at which a decision may change without any event (a
+	// deadline, a due probe); zero when there is none.
 	Wake(now time.Time) time.Time
-	// Backlog describes the queue for metrics and reports.
+	// Backlog returns queue statistics for metrics and reports.
 	Backlog() Backlog
 }
 
-// Backlog counts what a Decider holds.
+// Backlog holds the queue and endpoint counts of a Decider.
 type Backlog struct {
 	Jobs    int
 	Waiting int
 	Open    int
 	Bytes   int64
-	// Endpoints counts those known, SetAside those that get only probes.
+	// Endpoints is the number of known endpoints, SetAside the number of ejected ones,
+	// which receive probes only.
 	Endpoints int
 	SetAside  int
 }
--- a/dispatch/scheduler/scheduler_test.go
+++ b/dispatch/scheduler/scheduler_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// drain calls Next until nothing can start.
+// drain calls Next until no task can start.
 func drain(s scheduler.Decider, now time.Time) []scheduler.Assignment {
 	var all []scheduler.Assignment
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestStartsOnlyOnFreeSlotsAndTheFloor(t *testing.T) {
+func TestStartsOnlyOnFreeSlotsAndMinInFlight(t *testing.T) {
 	s := newScheduler(scheduler.Options{Floor: 2})
 	s.SetEndpoint(start, scheduler.Endpoint{ID: "a", Slots: 3})
 	s.SetEndpoint(start, scheduler.Endpoint{ID: "b", Slots: 3})
@@ -54,7 +54,7 @@
 	assert.DeepEqual(t, count, map[scheduler.EndpointID]int{"a": 3, "b": 2})
 }
 
-func TestRefusalsOfAdmission(t *testing.T) {
+func TestAdmissionWithoutEndpoints(t *testing.T) {
 	s := newScheduler(scheduler.Options{})
 	err := s.Admit(start, newJob("j", 1))
 	var refusal *scheduler.Refusal
@@ -63,10 +63,10 @@
 	assert.Assert(t, refusal.RetryAfter > 0)
 }
 
-// TestRepeats: what is refused goes elsewhere; what may have run is repeated
-// only for an idempotent request, and one that ran and failed only once, since a
-// task over its run limit would fail as slowly again.
-func TestRepeats(t *testing.T) {
+// TestRetries checks that a refused task is retried elsewhere and that a task that may
+// have run is retried only for an idempotent job. A task that ran and failed is retried
+// only once, since a task that exceeds its run limit would take as long to fail again.
+func TestRetries(t *testing.T) {
 	for _, c := range []struct {
 		verdict    scheduler.Verdict
 		idempotent bool
@@ -101,10 +101,11 @@
 	}
 }
 
-// Every endpoint refused one start a moment ago and is in its short pause (5 ms to
-// 1 s). A job of four tasks with a minute to answer, on 24 slots with nothing
-// waiting, is refused as "backlog": the slots of paused endpoints count as none.
-func TestPauseAfterARefusalIsNoBacklog(t *testing.T) {
+// TestRefusalBackoffDoesNotRejectJobs guards against counting the slots of endpoints in
+// backoff as no capacity. Every endpoint refused one task a moment ago and is in its
+// short backoff (5 ms to 1 s). A job of four tasks with a minute to answer, on 24 slots
+// with an empty queue, was then rejected with ErrBacklog.
+func TestRefusalBackoffDoesNotRejectJobs(t *testing.T) {
 	s := newScheduler(scheduler.Options{})
 	for _, id := range []scheduler.EndpointID{"a", "b", "c"} {
 		s.SetEndpoint(start, scheduler.Endpoint{ID: id, Slots: 8})
@@ -119,17 +120,18 @@
 	assert.NilError(t, s.Admit(now.Add(time.Millisecond), next))
 }
 
-// The first rush of a service: jobs of ten tasks, declared a hundred times too
-// long, by one customer of whom nothing was learnt. Part of them is refused as
-// "backlog" though all end within a tenth of their answer time, since what was
-// declared is held against the jobs after it, and goes on to be when the first
-// tasks have shown how long they run.
-func TestDeclaredTimesRefuseNobody(t *testing.T) {
+// TestDeclaredTimesDoNotRejectJobs guards against rejecting jobs because of run times
+// declared too long. In the first burst of a service, one client without learnt run
+// times submits jobs of ten tasks, declared a hundred times too long. Part of them was
+// rejected with ErrBacklog although all end within a tenth of their answer time,
+// because the declared times of earlier jobs counted as backlog, even after the first
+// tasks had shown their real run times.
+func TestDeclaredTimesDoNotRejectJobs(t *testing.T) {
 	s := newScheduler(scheduler.Options{})
 	for _, id := range []scheduler.EndpointID{"a", "b", "c"} {
 		s.SetEndpoint(start, scheduler.Endpoint{ID: id, Slots: 8})
 	}
-	rush := func(now time.Time, wave int) {
+	burst := func(now time.Time, wave int) {
 		for i := range 12 {
 			job := newJob(fmt.Sprint(wave, i), 10)
 			job.Deadline = now.Add(20 * time.Second)
@@ -141,7 +143,7 @@
 	}
 	now := start
 	for wave := range 3 {
-		rush(now, wave)
+		burst(now, wave)
 		open := drain(s, now)
 		now = now.Add(30 * time.Millisecond)
 		for _, a := range open {
--- a/dispatch/scheduler/settle.go
+++ b/dispatch/scheduler/settle.go
@@ -11,86 +11,87 @@
 
 // Done implements Decider.
 func (s *Scheduler) Done(now time.Time, a Assignment, r Result) (requeued bool) {
-	s.latest = now
-	started := s.close(a)
-	if started == nil {
+	s.lastNow = now
+	ended := s.finish(a)
+	if ended == nil {
 		return false
 	}
-	run := runTime(now, started, r)
-	s.observe(now, started, r, run)
-	requeued = s.mayRepeat(now, started, r)
+	run := runTime(now, ended, r)
+	s.observe(now, ended, r, run)
+	requeued = s.mayRetry(now, ended, r)
 	if requeued {
-		s.repeat(now, started)
+		s.requeue(now, ended)
 	} else {
-		s.queue.Finish(now, &started.job.Job, started.index, run)
+		s.queue.Finish(now, &ended.job.Job, ended.index, run)
 	}
-	s.forgetJob(started.job)
-	s.forgetEndpoint(started.endpoint)
+	s.forgetJob(ended.job)
+	s.forgetEndpoint(ended.endpoint)
 	return requeued
 }
 
-// close ends the assignment's count; nil for one that isn't open. An assignment
-// is known by its moment too, as a task may be assigned again after a refusal.
-func (s *Scheduler) close(a Assignment) *start {
-	started := s.opens[a.Task]
-	if started == nil || started.endpoint.id != a.Endpoint || !started.at.Equal(a.At) {
+// finish removes the attempt of an assignment; it returns nil for an assignment that
+// isn't in flight. The time of the decision is compared too, because a task may be
+// assigned again after a refusal.
+func (s *Scheduler) finish(a Assignment) *attempt {
+	ended := s.inFlight[a.Task]
+	if ended == nil || ended.endpoint.id != a.Endpoint || !ended.at.Equal(a.At) {
 		return nil
 	}
-	delete(s.opens, a.Task)
-	started.job.open--
-	started.endpoint.end(started)
-	s.places.Close(started.endpoint.place)
-	return started
+	delete(s.inFlight, a.Task)
+	ended.job.inFlight--
+	ended.endpoint.end(ended)
+	s.candidates.Close(ended.endpoint.candidate)
+	return ended
 }
 
-// runTime is the time of a slot that the start used.
-func runTime(now time.Time, started *start, r Result) time.Duration {
+// runTime returns how long the attempt occupied a slot.
+func runTime(now time.Time, ended *attempt, r Result) time.Duration {
 	switch {
 	case r.Verdict == Refused:
 		return 0
 	case r.RunTime > 0:
 		return r.RunTime
 	}
-	return max(0, now.Sub(started.at))
+	return max(0, now.Sub(ended.at))
 }
 
-// observe learns from how the start ended.
-func (s *Scheduler) observe(now time.Time, started *start, r Result, run time.Duration) {
-	e := started.endpoint
+// observe updates run times, retry budget and health from the outcome of an attempt.
+func (s *Scheduler) observe(now time.Time, ended *attempt, r Result, run time.Duration) {
+	e := ended.endpoint
 	if r.Verdict == Completed {
 		s.budget.Earn()
-		s.learn(now, started.job, started.index, run)
-		e.pause = 0
+		s.learn(now, ended.job, ended.index, run)
+		e.backoff = 0
 	}
-	if !e.enrolled {
+	if !e.monitored {
 		return
 	}
 	if r.Verdict == Refused {
-		e.refused(now, s.refusalPause())
+		e.backOff(now, s.refusalBackoff())
 	}
-	if started.probe && e.health.Probing() {
-		s.observeProbe(now, started, r, run)
+	if ended.probe && e.health.Probing() {
+		s.observeProbe(now, ended, r, run)
 	} else {
-		s.observeWork(now, started, r, run)
+		s.observeWork(now, ended, r, run)
 	}
 	s.refresh(now, e)
 }
 
-func (s *Scheduler) observeProbe(now time.Time, started *start, r Result, run time.Duration) {
-	record := started.endpoint.health
+func (s *Scheduler) observeProbe(now time.Time, ended *attempt, r Result, run time.Duration) {
+	record := ended.endpoint.health
 	switch r.Verdict {
 	case Completed:
-		s.health.ProbeGood(now, record, started.expected, run)
+		s.health.ProbeGood(now, record, ended.expected, run)
 	case Failed, Lost:
-		s.health.ProbeBad(now, record, started.task(run))
+		s.health.ProbeBad(now, record, ended.healthTask(run))
 	case Refused, Cancelled:
 		s.health.ProbeVoid(record)
 	}
 }
 
-func (s *Scheduler) observeWork(now time.Time, started *start, r Result, run time.Duration) {
-	e := started.endpoint
-	task := started.task(run)
+func (s *Scheduler) observeWork(now time.Time, ended *attempt, r Result, run time.Duration) {
+	e := ended.endpoint
+	task := ended.healthTask(run)
 	switch r.Verdict {
 	case Completed:
 		s.health.Good(now, e.health, task)
@@ -99,60 +100,60 @@
 	case Refused, Cancelled:
 		return
 	}
-	s.judge(now, e)
+	s.evaluate(now, e)
 }
 
-// refusalPause is the pause after an endpoint's first refusal in a row. A full
-// endpoint takes its next task when one of its slots comes free, on average
-// after a run time divided by the slots. Once refusals have used up the budget,
-// the longest pause holds them down.
-func (s *Scheduler) refusalPause() time.Duration {
+// refusalBackoff returns the backoff after an endpoint's first refusal in a row. A full
+// endpoint accepts its next task when one of its slots becomes free, on average after a
+// run time divided by the slots. Once refusals have used up the retry budget, the
+// longest backoff applies.
+func (s *Scheduler) refusalBackoff() time.Duration {
 	if !s.budget.Spend() {
-		return maxRefusalPause
+		return maxRefusalBackoff
 	}
-	return max(firstRefusalPause, s.learnt.Mean()/usualSlots)
+	return max(minRefusalBackoff, s.runTimes.Mean()/typicalSlots)
 }
 
-// mayRepeat decides whether the task goes back into the queue. A task that may
-// have run is repeated only when its caller declared it idempotent, and within
-// the retry budget. One that was refused costs its endpoint a pause and not
-// itself its place: a full endpoint is no fault of the task.
-func (s *Scheduler) mayRepeat(now time.Time, started *start, r Result) bool {
-	job := started.job
+// mayRetry decides whether the task goes back into the queue. A task that may have run
+// is retried only when its caller declared it idempotent, and within the retry budget.
+// After a refusal the endpoint backs off, but the task keeps its place in the queue: it
+// is not the task's fault that an endpoint is full.
+func (s *Scheduler) mayRetry(now time.Time, ended *attempt, r Result) bool {
+	job := ended.job
 	if job.Removed() || !now.Before(job.Deadline) {
 		return false
 	}
-	attempts := job.attempts[started.index] + 1
+	attempts := job.attempts[ended.index] + 1
 	switch r.Verdict {
 	case Refused:
-		return attempts < maxRefusals
+		return attempts < maxRefusedStarts
 	case Failed:
-		return job.Idempotent && attempts < maxFailures && s.budget.Spend()
+		return job.Idempotent && attempts < maxFailedStarts && s.budget.Spend()
 	case Lost:
-		return job.Idempotent && attempts < maxLosses && s.budget.Spend()
+		return job.Idempotent && attempts < maxLostStarts && s.budget.Spend()
 	case Completed, Cancelled:
 	}
 	return false
 }
 
-func (s *Scheduler) repeat(now time.Time, started *start) {
-	job := started.job
+func (s *Scheduler) requeue(now time.Time, ended *attempt) {
+	job := ended.job
 	if job.attempts == nil {
 		job.attempts = map[int]int{}
 	}
-	job.attempts[started.index]++
-	job.avoid = started.endpoint
-	s.queue.Return(now, &job.Job, started.index)
+	job.attempts[ended.index]++
+	job.avoid = ended.endpoint
+	s.queue.Return(now, &job.Job, ended.index)
 }
 
-// forgetJob drops what is kept of a job that has ended, all of it together with
-// its last open start.
+// forgetJob releases the state of a job that has ended; the job itself is kept until
+// its last attempt has ended.
 func (s *Scheduler) forgetJob(job *jobState) {
 	if !job.Removed() {
 		return
 	}
-	s.guesses.forget(job)
-	if job.open == 0 {
+	s.provisionalJobs.forget(job)
+	if job.inFlight == 0 {
 		delete(s.jobs, JobID(job.ID))
 	}
 }
@@ -186,65 +187,66 @@
 
 // SetEndpoint implements Decider.
 func (s *Scheduler) SetEndpoint(now time.Time, e Endpoint) {
-	s.latest = now
+	s.lastNow = now
 	known := s.endpoints[e.ID]
 	if known == nil {
-		known = &endpoint{id: e.ID, place: s.places.Add(string(e.ID), e.Zone), wakeHeap: indexed.None}
+		known = &endpoint{id: e.ID, candidate: s.candidates.Add(string(e.ID), e.Zone), timerIndex: indexed.None}
 		known.health = health.NewRecord()
 		s.endpoints[e.ID] = known
 	}
 	known.removed = false
-	s.places.SetNoQueue(known.place, e.NoQueue)
-	s.places.Configure(known.place, e.Slots, e.OwnLimit, e.Leaving)
-	s.enrol(now, known)
+	s.candidates.SetNoQueue(known.candidate, e.NoQueue)
+	s.candidates.Configure(known.candidate, e.Slots, e.OwnLimit, e.Leaving)
+	s.updateMonitored(now, known)
 }
 
-// RemoveEndpoint implements Decider. An endpoint with open starts is kept out of
-// sight until they end: when it comes back before that, its slots are still
-// taken.
+// RemoveEndpoint implements Decider. An endpoint with attempts in flight is kept,
+// hidden from placement, until they end: if it is added again before, its slots are
+// still taken.
 func (s *Scheduler) RemoveEndpoint(id EndpointID) {
 	e := s.endpoints[id]
 	if e == nil || e.removed {
 		return
 	}
 	e.removed = true
-	s.places.Configure(e.place, 0, 0, true)
-	s.enrol(s.latest, e)
+	s.candidates.Configure(e.candidate, 0, 0, true)
+	s.updateMonitored(s.lastNow, e)
 	s.forgetEndpoint(e)
 }
 
-// enrol follows a change of what the endpoint announced. Only endpoints that
-// take tasks are peers of each other: if one that is leaving counted, those that
-// are left could all be set aside.
-func (s *Scheduler) enrol(now time.Time, e *endpoint) {
+// updateMonitored adds the endpoint to the health monitor or removes it after its
+// announced state has changed. Only endpoints that accept tasks are peers of each
+// other: if a draining one counted, all remaining endpoints could be ejected.
+func (s *Scheduler) updateMonitored(now time.Time, e *endpoint) {
 	s.capacityAt = time.Time{}
-	usable := e.place.Usable()
-	restored := false
+	usable := e.candidate.Usable()
+	readmitted := false
 	switch {
-	case usable && !e.enrolled:
+	case usable && !e.monitored:
 		e.health = s.health.Add()
-	case !usable && e.enrolled:
-		restored = s.health.Remove(now, e.health)
+	case !usable && e.monitored:
+		readmitted = s.health.Remove(now, e.health)
 		e.health = health.NewRecord()
 	}
-	e.enrolled = usable
+	e.monitored = usable
 	s.refresh(now, e)
-	if restored {
+	if readmitted {
 		s.refreshAll(now)
 	}
 }
 
-// refreshAll is refresh for a change of some endpoint's standing.
+// refreshAll refreshes all endpoints after the health status of some endpoint has
+// changed.
 func (s *Scheduler) refreshAll(now time.Time) {
 	for _, e := range s.endpoints {
 		s.refresh(now, e)
 	}
 }
 
-// forgetEndpoint drops a removed endpoint together with its last open start.
+// forgetEndpoint deletes a removed endpoint once its last attempt has ended.
 func (s *Scheduler) forgetEndpoint(e *endpoint) {
-	if e.removed && len(e.open) == 0 {
-		s.places.Remove(e.place)
+	if e.removed && len(e.inFlight) == 0 {
+		s.candidates.Remove(e.candidate)
 		delete(s.endpoints, e.id)
 	}
 }
@@ -255,32 +257,33 @@
 	if e == nil || e.removed {
 		return
 	}
-	s.places.Report(now, e.place, placement.Report{
+	s.candidates.Report(now, e.candidate, placement.Report{
 		Version: r.Version,
 		Others:  r.OthersOpen,
 		Slots:   r.Slots,
 		Leaving: r.Leaving,
 	})
-	if e.enrolled != e.place.Usable() {
-		s.enrol(now, e)
+	if e.monitored != e.candidate.Usable() {
+		s.updateMonitored(now, e)
 	}
-	if e.enrolled && r.Past != (Past{}) {
-		s.learnPast(now, e, r.Past)
+	if e.monitored && r.Past != (Past{}) {
+		s.applyOutcomeCounts(now, e, r.Past)
 	}
 }
 
-// learnPast takes what the endpoint tells of the tasks of all entries.
-func (s *Scheduler) learnPast(now time.Time, e *endpoint, p Past) {
-	moved := s.health.Report(now, e.health, health.Past{
+// applyOutcomeCounts applies the endpoint's outcome counts for the tasks of all
+// entries.
+func (s *Scheduler) applyOutcomeCounts(now time.Time, e *endpoint, p Past) {
+	probeMoved := s.health.Report(now, e.health, health.Past{
 		Completed:   p.Completed,
 		Failed:      p.Failed,
 		FailedInRow: p.FailedInRow,
 	})
-	if moved {
+	if probeMoved {
 		s.refresh(now, e)
 	}
 	if p.FailedInRow > 0 || e.health.Standing() == health.Suspect {
-		s.judge(now, e)
+		s.evaluate(now, e)
 	}
 }
 
@@ -290,11 +293,11 @@
 	if s.queue.Waiting() == 0 {
 		return next
 	}
-	if s.wakes.Len() > 0 {
-		next = earlier(next, s.wakes.Min().wakeAt)
+	if s.timers.Len() > 0 {
+		next = earlier(next, s.timers.Min().timerAt)
 	}
-	for _, e := range s.probes {
-		if e.mayProbe() {
+	for _, e := range s.dueProbes {
+		if e.canProbe() {
 			next = earlier(next, e.health.OverdueAt())
 		}
 	}
@@ -313,7 +316,7 @@
 	b := Backlog{
 		Jobs:     s.queue.Jobs(),
 		Waiting:  s.queue.Waiting(),
-		Open:     len(s.opens),
+		Open:     len(s.inFlight),
 		Bytes:    s.queue.Bytes(),
 		SetAside: s.health.Aside(),
 	}
