--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -1,14 +1,15 @@
-// Package health finds the endpoints of one service that fail, or are slow, far
-// more than their peers. A slow one is used last and by its pace; one that failed
-// and has completed nothing since is suspect, and used last with one task at a
-// time; one that fails or crawls is set aside: it gets single probes with growing
-// pauses in place of work.
+// Package health detects the endpoints of one service that fail, or are slow, far more
+// than their peers (outlier detection). A slow endpoint is used last and in proportion
+// to its speed. One that failed and has completed nothing since is suspect, and used
+// last with one task at a time. One that fails, or runs at less than a quarter of the
+// peers' speed, is ejected: instead of ordinary tasks it receives single probes at
+// growing intervals.
 //
-// An endpoint that fails at once looks free all the time, so it would draw most
-// of the service's tasks and fail them. One that crawls holds the last task of
-// many jobs. Judging by the peers, and slighting a third of the endpoints at
-// most, or one of two, keeps a fault of the tasks themselves, or of all endpoints, from taking
-// the service down.
+// An endpoint that fails tasks at once looks free all the time, so it would attract
+// most of the service's tasks and fail them. A very slow one would delay the last task
+// of many jobs. Endpoints are compared with their peers, and at most a third of them,
+// or one of two, may be degraded, so that a fault of the tasks themselves, or of all
+// endpoints, doesn't take the service down.
 package health
 
 import (
@@ -27,114 +28,119 @@
 )
 
 const (
-	// minBad failures are needed to set an endpoint aside.
-	minBad = 3
-	// badFactor is how many times the peers' share of failures, and badShare
-	// the share at least, that sets an endpoint aside.
-	badFactor = 3
-	badShare  = 0.5
-	// minBlame is the part of a failed probe that must be the endpoint's.
-	minBlame = 0.5
-	// priorGood stands for tasks not seen yet.
-	priorGood = 1
-	// priorRuns is the number of average runs at the peers' pace that an
-	// endpoint is given before its own are seen.
+	// minFailures is the number of failures needed to eject an endpoint.
+	minFailures = 3
+	// An endpoint is ejected when its failure ratio is at least ejectRatio and at least
+	// ejectRatioFactor times that of its peers.
+	ejectRatioFactor = 3
+	ejectRatio       = 0.5
+	// minProbeBlame is the minimum part of a failed probe that must be attributed to
+	// the endpoint for the probe to count as failed.
+	minProbeBlame = 0.5
+	// priorSuccesses is a number of successes assumed before any task has ended.
+	priorSuccesses = 1
+	// priorRuns is the number of average runs at the peers' speed that are assumed for
+	// an endpoint before its own are observed.
 	priorRuns = 8
-	// Paces against the peers: below slowPace an endpoint is slow, until it is
-	// above steadyPace again; below crawlPace it is set aside.
-	crawlPace  = 0.25
-	slowPace   = 0.5
-	steadyPace = 0.7
-	// goodProbes in a row bring an endpoint back: run times differ so much that
-	// a single short one may be chance.
-	goodProbes = 3
-	// relapse multiplies the pause: an endpoint set aside again within that
-	// time goes on with the next longer pause.
-	relapse = 4
-	// slightedPart of the endpoints may be slow or set aside: one third, and one
-	// of two.
-	slightedPart = 3
+	// Thresholds of the speed relative to the peers: below slowSpeed an endpoint is
+	// slow until its speed exceeds recoveredSpeed; below ejectSpeed it is ejected.
+	ejectSpeed     = 0.25
+	slowSpeed      = 0.5
+	recoveredSpeed = 0.7
+	// successfulProbes in a row readmit an endpoint: run times vary so much that a
+	// single short one may be chance.
+	successfulProbes = 3
+	// relapseFactor times the last interval between probes is how long after its
+	// readmission an endpoint counts as relapsed: if it is ejected again within that
+	// time, its probe interval continues to grow instead of starting anew.
+	relapseFactor = 4
+	// maxDegradedDivisor limits the endpoints that may be slow, suspect or ejected to
+	// one in three; of two endpoints it is one.
+	maxDegradedDivisor = 3
 )
 
-// Standing is how an endpoint is to be used.
+// Standing is the health status of an endpoint, which determines how it is used.
 type Standing int
 
-// Standings, the graver the later.
+// Health statuses in order of increasing severity.
 const (
-	// Steady: like its peers.
+	// Steady: as healthy as its peers.
 	Steady Standing = iota
-	// Slow: last, and by its pace.
+	// Slow: used last, and in proportion to its speed.
 	Slow
-	// Suspect: last, and with one task at a time.
+	// Suspect: used last, and with one task at a time.
 	Suspect
-	// Crawling and Failing: set aside, for probes only.
+	// Crawling (far too slow) and Failing: ejected, receiving probes only.
 	Crawling
 	Failing
 )
 
-// Aside reports whether the standing allows probes only.
+// Aside reports whether an endpoint with this status is ejected and receives probes
+// only.
 func (s Standing) Aside() bool { return s == Failing || s == Crawling }
 
-// Options of a Monitor; zero values take the defaults.
+// Options configures a Monitor; zero values select the defaults.
 type Options struct {
-	// HalfLife is how fast what was seen is forgotten.
+	// HalfLife is the half-life of the decaying counts.
 	HalfLife time.Duration
-	// FirstPause and MaxPause bound the pauses between probes.
+	// FirstPause and MaxPause bound the interval between probes.
 	FirstPause time.Duration
 	MaxPause   time.Duration
-	// Rand spreads the probes of several entries; nil keeps to the pauses.
+	// Rand randomizes the probe intervals, so that several entries don't probe at the
+	// same time; nil disables this.
 	Rand *rand.Rand
 }
 
-// Monitor compares the endpoints of one service. It is not safe for concurrent
-// use.
+// Monitor compares the endpoints of one service with each other. It is not safe for
+// concurrent use.
 type Monitor struct {
 	opts    Options
 	records []*Record
-	// slighted counts those that aren't steady.
-	slighted  int
-	sum       evidence
-	customers map[string]*outcomes
+	// degraded is the number of endpoints that aren't Steady.
+	degraded int
+	sum      evidence
+	clients  map[string]*outcomes
 }
 
-// Task is one task that ended at an endpoint.
+// Task describes a task that ended at an endpoint.
 type Task struct {
 	Job, Customer string
-	// Began is when it was started there.
+	// Began is the time at which it was started there.
 	Began time.Time
-	// Expected and Used are its run times; without meaning for one that failed.
+	// Expected and Used are the expected and the actual run time; they are ignored for
+	// a failed task.
 	Expected, Used time.Duration
 }
 
-// decaying is short for the sums of this package.
+// decaying abbreviates the type of the exponentially decaying counts.
 type decaying = decay.Sum
 
-// Record is what was seen of one endpoint.
+// Record holds the observations and the health status of one endpoint.
 type Record struct {
 	seen     evidence
 	streak   streak
-	told     Past
+	reported Past
 	standing Standing
-	pace     float64
-	// probing is true while a probe is open; probeAt is when the next is due;
-	// good counts the good ones in a row.
-	probing    bool
-	probeAt    time.Time
-	good       int
-	pause      time.Duration
-	restoredAt time.Time
-	// postponedAt is when the next probe was set last.
+	speed    float64
+	// probing is true while a probe is in flight; probeAt is when the next is due;
+	// successes is the number of consecutive successful probes.
+	probing       bool
+	probeAt       time.Time
+	successes     int
+	probeInterval time.Duration
+	resetAt       time.Time
+	// postponedAt is the time at which probeAt was last set.
 	postponedAt time.Time
 }
 
-// evidence is a set of decaying counts: outcomes, and for completed tasks the
-// seconds expected and used.
+// evidence holds decaying counts of the outcomes and, for completed tasks, of the
+// expected and the actual run time in seconds.
 type evidence struct {
-	good, bad      decaying
-	expected, used decaying
+	successes, failures decaying
+	expected, used      decaying
 }
 
-// New returns a Monitor of no endpoints.
+// New returns a Monitor without endpoints.
 func New(o Options) *Monitor {
 	if o.HalfLife == 0 {
 		o.HalfLife = DefaultHalfLife
@@ -145,53 +151,53 @@
 	if o.MaxPause == 0 {
 		o.MaxPause = DefaultMaxPause
 	}
-	return &Monitor{opts: o, customers: map[string]*outcomes{}}
+	return &Monitor{opts: o, clients: map[string]*outcomes{}}
 }
 
-// NewRecord returns a record that no Monitor counts.
-func NewRecord() *Record { return &Record{pace: 1} }
+// NewRecord returns a record that belongs to no Monitor.
+func NewRecord() *Record { return &Record{speed: 1} }
 
-// Add starts the record of a new endpoint.
+// Add adds an endpoint and returns its record.
 func (m *Monitor) Add() *Record {
 	r := NewRecord()
 	m.records = append(m.records, r)
 	return r
 }
 
-// Remove forgets an endpoint. As that makes the service smaller, others may
-// become steady so that no more are slighted than may be; it returns true then.
-func (m *Monitor) Remove(now time.Time, r *Record) (restored bool) {
+// Remove removes an endpoint. The limit of degraded endpoints shrinks with the service,
+// so Remove may reset others to Steady to stay within it; it returns true in that case.
+func (m *Monitor) Remove(now time.Time, r *Record) (anyReset bool) {
 	i := slices.Index(m.records, r)
 	if i < 0 {
 		return false
 	}
 	m.forget(now, r)
 	m.records = slices.Delete(m.records, i, i+1)
-	m.stand(r, Steady)
+	m.setStanding(r, Steady)
 	for _, other := range m.records {
-		if m.slighted <= m.limit() {
-			return restored
+		if m.degraded <= m.maxDegraded() {
+			return anyReset
 		}
 		if other.standing != Steady {
-			m.restore(now, other)
-			restored = true
+			m.reset(now, other)
+			anyReset = true
 		}
 	}
-	return restored
+	return anyReset
 }
 
-// stand changes the standing of an endpoint.
-func (m *Monitor) stand(r *Record, standing Standing) {
+// setStanding changes the health status of an endpoint.
+func (m *Monitor) setStanding(r *Record, standing Standing) {
 	if r.standing != Steady {
-		m.slighted--
+		m.degraded--
 	}
 	if standing != Steady {
-		m.slighted++
+		m.degraded++
 	}
 	r.standing = standing
 }
 
-// Aside returns the number of endpoints set aside.
+// Aside returns the number of ejected endpoints.
 func (m *Monitor) Aside() int {
 	n := 0
 	for _, r := range m.records {
@@ -202,70 +208,70 @@
 	return n
 }
 
-// limit is how many endpoints may be slighted. Of two it is one: a third would be
-// none, and the one that fails everything looks free all the time and fails nearly
-// all jobs of the service.
-func (m *Monitor) limit() int {
+// maxDegraded returns how many endpoints may be degraded. Of two it is one: a third
+// would round down to none, and then an endpoint that fails everything would look free
+// all the time and fail nearly all jobs of the service.
+func (m *Monitor) maxDegraded() int {
 	if len(m.records) == 2 {
 		return 1
 	}
-	return len(m.records) / slightedPart
+	return len(m.records) / maxDegradedDivisor
 }
 
-// Good counts a completed task.
+// Good records a completed task.
 func (m *Monitor) Good(now time.Time, r *Record, t Task) {
-	half := m.opts.HalfLife
+	halfLife := m.opts.HalfLife
 	for _, e := range []*evidence{&r.seen, &m.sum} {
-		e.good.Add(now, half, 1)
-		e.expected.Add(now, half, t.Expected.Seconds())
-		e.used.Add(now, half, t.Used.Seconds())
+		e.successes.Add(now, halfLife, 1)
+		e.expected.Add(now, halfLife, t.Expected.Seconds())
+		e.used.Add(now, halfLife, t.Used.Seconds())
 	}
-	m.customer(t.Customer).add(now, half, 1, 0)
-	r.streak.end(t)
+	m.client(t.Customer).add(now, halfLife, 1, 0)
+	r.streak.prune(t)
 }
 
-// Bad counts a task that the endpoint failed or lost. A refusal isn't counted:
-// it is true of a full endpoint too, and a pause answers it.
+// Bad records a task that failed at the endpoint or was lost there. A refusal isn't
+// recorded: a full endpoint refuses too, and the backoff handles that.
 func (m *Monitor) Bad(now time.Time, r *Record, t Task) {
-	half := m.opts.HalfLife
+	halfLife := m.opts.HalfLife
 	blame := m.blame(now, r, t)
-	r.seen.bad.Add(now, half, blame)
-	m.sum.bad.Add(now, half, blame)
-	m.customer(t.Customer).add(now, half, 0, 1)
+	r.seen.failures.Add(now, halfLife, blame)
+	m.sum.failures.Add(now, halfLife, blame)
+	m.client(t.Customer).add(now, halfLife, 0, 1)
 	r.streak.add(t)
 }
 
-// Judge brings the endpoint's pace and standing up to date, as far as the
-// service can spare it. overdue is the time that its open tasks have run beyond
-// what was expected, so that one which answers nothing any more is seen before
-// its first answer. typical is the service's mean run time. changed is true when
-// the standing changed, relieved when another endpoint is steady again for it.
-func (m *Monitor) Judge(now time.Time, r *Record, overdue, typical time.Duration) (changed, relieved bool) {
+// Judge updates the endpoint's speed and health status, within the limit of degraded
+// endpoints. overdue is the total time by which its tasks in flight exceed their
+// expected run times, so that an endpoint which stopped answering is detected before
+// its first answer. typical is the mean run time of the service. changed is true when
+// the status changed, resetOther when another endpoint was reset to Steady in exchange.
+func (m *Monitor) Judge(now time.Time, r *Record, overdue, typical time.Duration) (changed, resetOther bool) {
 	if r.standing.Aside() {
 		return false, false
 	}
-	r.pace = m.measure(now, r, overdue, typical)
-	standing := m.deserved(now, r)
+	r.speed = m.relativeSpeed(now, r, overdue, typical)
+	standing := m.assess(now, r)
 	if standing == r.standing {
 		return false, false
 	}
-	if r.standing == Steady && m.slighted >= m.limit() {
-		if relieved = m.relieve(now, standing); !relieved {
+	if r.standing == Steady && m.degraded >= m.maxDegraded() {
+		if resetOther = m.resetMildest(now, standing); !resetOther {
 			return false, false
 		}
 	}
-	m.stand(r, standing)
+	m.setStanding(r, standing)
 	if standing.Aside() {
-		m.setAside(now, r)
+		m.eject(now, r)
 	}
-	return true, relieved
+	return true, resetOther
 }
 
-// relieve makes the endpoint steady that is slighted for the least, if that is
-// less than standing. Of three endpoints one may be slighted: were it one that is
-// a little slow, another that fails at once would keep its place, look free all
-// the time, and fail nearly all jobs.
-func (m *Monitor) relieve(now time.Time, standing Standing) bool {
+// resetMildest resets the endpoint with the least severe status to Steady, if that
+// status is less severe than standing. Of three endpoints only one may be degraded: if
+// a slightly slow one held that place, another that fails at once would stay in use,
+// look free all the time and fail nearly all jobs.
+func (m *Monitor) resetMildest(now time.Time, standing Standing) bool {
 	var mildest *Record
 	for _, r := range m.records {
 		if r.standing != Steady && (mildest == nil || r.standing < mildest.standing) {
@@ -275,52 +281,52 @@
 	if mildest == nil || mildest.standing >= standing {
 		return false
 	}
-	m.restore(now, mildest)
+	m.reset(now, mildest)
 	return true
 }
 
-// deserved is the standing that what was seen calls for.
-func (m *Monitor) deserved(now time.Time, r *Record) Standing {
-	verdict := m.verdict(now, r)
+// assess returns the health status that the observations call for.
+func (m *Monitor) assess(now time.Time, r *Record) Standing {
+	streakStanding := m.assessStreaks(now, r)
 	switch {
-	case verdict == Failing, m.fails(now, r):
+	case streakStanding == Failing, m.failsMoreThanPeers(now, r):
 		return Failing
-	case r.pace < crawlPace:
+	case r.speed < ejectSpeed:
 		return Crawling
-	case verdict == Suspect:
+	case streakStanding == Suspect:
 		return Suspect
-	case r.pace < slowPace:
+	case r.speed < slowSpeed:
 		return Slow
-	case r.pace < steadyPace && r.standing == Slow:
+	case r.speed < recoveredSpeed && r.standing == Slow:
 		return Slow
 	}
 	return Steady
 }
 
-// measure is how fast the endpoint is against its peers, 1 when alike. While
-// little was seen, some tasks at the peers' pace are taken for granted.
-func (m *Monitor) measure(now time.Time, r *Record, overdue, typical time.Duration) float64 {
-	half := m.opts.HalfLife
+// relativeSpeed returns the endpoint's speed relative to its peers, 1 when equal. While
+// there are few observations, priorRuns tasks at the peers' speed are assumed.
+func (m *Monitor) relativeSpeed(now time.Time, r *Record, overdue, typical time.Duration) float64 {
+	halfLife := m.opts.HalfLife
 	prior := priorRuns * typical.Seconds()
-	expected := r.seen.expected.Value(now, half)
-	used := r.seen.used.Value(now, half)
-	peersExpected := max(0, m.sum.expected.Value(now, half)-expected)
-	peersUsed := max(0, m.sum.used.Value(now, half)-used)
+	expected := r.seen.expected.Value(now, halfLife)
+	used := r.seen.used.Value(now, halfLife)
+	peersExpected := max(0, m.sum.expected.Value(now, halfLife)-expected)
+	peersUsed := max(0, m.sum.used.Value(now, halfLife)-used)
 	own := (prior + expected) / (prior + used + overdue.Seconds())
 	peers := (prior + peersExpected) / (prior + peersUsed)
 	return own / peers
 }
 
-func (m *Monitor) fails(now time.Time, r *Record) bool {
-	half := m.opts.HalfLife
-	bad := r.seen.bad.Value(now, half)
-	if bad < minBad-0.5 {
+func (m *Monitor) failsMoreThanPeers(now time.Time, r *Record) bool {
+	halfLife := m.opts.HalfLife
+	failures := r.seen.failures.Value(now, halfLife)
+	if failures < minFailures-0.5 {
 		return false
 	}
-	good := r.seen.good.Value(now, half)
-	peersBad := max(0, m.sum.bad.Value(now, half)-bad)
-	peersGood := max(0, m.sum.good.Value(now, half)-good)
-	share := bad / (bad + good + priorGood)
-	peersShare := peersBad / (peersBad + peersGood + priorGood)
-	return share >= badShare && share >= badFactor*peersShare
+	successes := r.seen.successes.Value(now, halfLife)
+	peersFailures := max(0, m.sum.failures.Value(now, halfLife)-failures)
+	peersSuccesses := max(0, m.sum.successes.Value(now, halfLife)-successes)
+	ratio := failures / (failures + successes + priorSuccesses)
+	peersFailureRatio := peersFailures / (peersFailures + peersSuccesses + priorSuccesses)
+	return ratio >= ejectRatio && ratio >= ejectRatioFactor*peersFailureRatio
 }
--- a/dispatch/health/health_test.go
+++ b/dispatch/health/health_test.go
@@ -14,7 +14,7 @@
 
 const run = 100 * time.Millisecond
 
-// task is a task of a job of its own.
+// task returns a task that is the only one of its job.
 func task(n int, expected, used time.Duration) health.Task {
 	return health.Task{Job: fmt.Sprint(n), Customer: "c", Began: origin, Expected: expected, Used: used}
 }
@@ -33,8 +33,8 @@
 	return r.Standing()
 }
 
-// TestFailingAgainstPeers: one endpoint fails while its peers complete, and is
-// set aside. When all fail alike, the fault is not theirs and none is.
+// TestFailingAgainstPeers: one endpoint fails while its peers complete tasks, and is
+// ejected. When all fail alike, the endpoints are not at fault and none is ejected.
 func TestFailingAgainstPeers(t *testing.T) {
 	m, r := newMonitor(6)
 	for i := range 3 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestAtMostAThird: more endpoints fail than may be slighted; when peers leave,
-// so many come back that the bound still holds.
+// TestAtMostAThird: more endpoints fail than may be degraded; when peers leave, enough
+// of them are reset that the limit still holds.
 func TestAtMostAThird(t *testing.T) {
 	m, r := newMonitor(6)
 	for i := range 5 {
@@ -74,11 +74,11 @@
 	assert.Equal(t, m.Aside(), 1)
 }
 
-// TestGraverFaultGoesFirst: one of three endpoints is slow, which is as many as
-// may be slighted, and another fails everything. It is set aside in the slow one's
-// place; else it would look free all the time and fail nearly all jobs. A fault
-// that is no graver changes nothing.
-func TestGraverFaultGoesFirst(t *testing.T) {
+// TestMoreSevereFaultTakesPrecedence: one of three endpoints is slow, which reaches the
+// limit of degraded endpoints, and another fails everything. The failing one must be
+// ejected and the slow one reset, otherwise the failing one would look free all the
+// time and fail nearly all jobs. A fault that is not more severe changes nothing.
+func TestMoreSevereFaultTakesPrecedence(t *testing.T) {
 	m, r := newMonitor(3)
 	for i := range 20 {
 		m.Good(origin, r[0], task(i, run, 3*run))
@@ -102,8 +102,9 @@
 	assert.Equal(t, m.Aside(), 1)
 }
 
-// TestProbes: pauses between probes double up to the longest, one good probe
-// isn't enough, and an endpoint that relapses goes on with the next pause.
+// TestProbes: the intervals between probes double up to the maximum, one successful
+// probe isn't enough, and an endpoint that relapses continues with the next longer
+// interval.
 func TestProbes(t *testing.T) {
 	m, r := newMonitor(3)
 	now := origin
@@ -133,10 +134,10 @@
 	assert.Equal(t, r[0].ProbeAt(), now.Add(health.DefaultMaxPause))
 }
 
-// TestPace: an endpoint that takes three times as long as its peers is slow, one
-// whose open tasks are long overdue crawls before any has ended, and what was
-// seen is forgotten with time.
-func TestPace(t *testing.T) {
+// TestSpeed: an endpoint that takes three times as long as its peers is slow, one whose
+// tasks in flight are long overdue is ejected before any has ended, and observations
+// decay with time.
+func TestSpeed(t *testing.T) {
 	m, r := newMonitor(9)
 	for range 50 {
 		m.Good(origin, r[0], task(0, run, 3*run))
@@ -145,15 +146,16 @@
 	assert.Equal(t, judge(m, origin, r[0]), health.Slow)
 	assert.Equal(t, judge(m, origin, r[1]), health.Steady)
 	assert.Equal(t, judge(m, origin.Add(time.Minute), r[0]), health.Steady)
-	// The slow one halves the peers' pace, so a quarter of it is an eighth.
+	// The slow endpoint halves the mean speed of the peers, so a quarter of that is an
+	// eighth.
 	m.Judge(origin, r[2], 60*run, run)
 	assert.Equal(t, r[2].Standing(), health.Crawling)
 }
 
-// TestFailsAfterLongHealth: an endpoint that was well for long begins to fail at
-// once. Its good history must not cover it: the first failure makes it suspect,
-// the third in a row sets it aside, and a task that had begun before doesn't clear
-// it.
+// TestFailsAfterLongHealth: an endpoint begins to fail everything at once after a long
+// healthy period. Its earlier successes must not hide that: the first failure makes it
+// suspect, the third in a row ejects it, and a task that began before the failures
+// doesn't clear it.
 func TestFailsAfterLongHealth(t *testing.T) {
 	m, r := newMonitor(6)
 	for i := range 500 {
@@ -174,8 +176,8 @@
 	assert.Equal(t, fail(3), health.Failing)
 }
 
-// TestSuspectUntilASuccess: a task that began after the failure and completed
-// makes the endpoint steady again.
+// TestSuspectUntilASuccess: a completed task that began after the failure makes the
+// endpoint healthy again.
 func TestSuspectUntilASuccess(t *testing.T) {
 	m, r := newMonitor(6)
 	m.Bad(origin, r[0], task(1, 0, 0))
@@ -186,9 +188,9 @@
 	assert.Equal(t, judge(m, origin.Add(2*run), r[0]), health.Steady)
 }
 
-// TestCustomerWhoseTasksFail: all tasks of one customer fail wherever they run.
-// Endpoints that happen to have completed nothing since are not to blame.
-func TestCustomerWhoseTasksFail(t *testing.T) {
+// TestClientWhoseTasksFail: all tasks of one client fail wherever they run. Endpoints
+// that happen to have completed nothing since are not at fault.
+func TestClientWhoseTasksFail(t *testing.T) {
 	m, r := newMonitor(6)
 	for i := range 5 {
 		for k, one := range r {
@@ -204,10 +206,10 @@
 	}
 }
 
-// TestToldByOthers: an endpoint tells of failures in a row that other entries
-// met, so this one needn't meet its own; and one entry's bad probe puts off this
-// one's. When peers tell the same, the tasks are at fault.
-func TestToldByOthers(t *testing.T) {
+// TestReportedFailures: an endpoint reports consecutive failures of other entries'
+// jobs, so this entry detects them without losing its own; and one entry's failed probe
+// postpones this entry's. When peers report the same, the tasks are at fault.
+func TestReportedFailures(t *testing.T) {
 	m, r := newMonitor(6)
 	m.Report(origin, r[0], health.Past{Completed: 100, Failed: 1, FailedInRow: 1})
 	assert.Equal(t, judge(m, origin, r[0]), health.Suspect)
--- a/dispatch/health/probe.go
+++ b/dispatch/health/probe.go
@@ -4,62 +4,63 @@
 	"time"
 )
 
-func (m *Monitor) setAside(now time.Time, r *Record) {
-	again := !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < relapse*r.pause
-	if !again {
-		r.pause = 0
+func (m *Monitor) eject(now time.Time, r *Record) {
+	relapsed := !r.resetAt.IsZero() && now.Sub(r.resetAt) < relapseFactor*r.probeInterval
+	if !relapsed {
+		r.probeInterval = 0
 	}
 	m.postpone(now, r)
 }
 
-// postpone sets the next probe after a longer pause.
+// postpone schedules the next probe after a longer interval.
 func (m *Monitor) postpone(now time.Time, r *Record) {
-	r.pause = min(max(2*r.pause, m.opts.FirstPause), m.opts.MaxPause)
-	r.probeAt = now.Add(m.spread(r.pause))
+	r.probeInterval = min(max(2*r.probeInterval, m.opts.FirstPause), m.opts.MaxPause)
+	r.probeAt = now.Add(m.jitter(r.probeInterval))
 	r.postponedAt = now
 	r.probing = false
-	r.good = 0
+	r.successes = 0
 }
 
-// spread draws from half the pause to one and a half of it. Entries that set an
-// endpoint aside in the same moment would all probe it in the same moment too,
-// and none could learn from another's probe.
-func (m *Monitor) spread(pause time.Duration) time.Duration {
+// jitter draws from half the interval to one and a half of it. Without it, entries that
+// eject an endpoint at the same time would also probe it at the same time, and none
+// could benefit from another's probe.
+func (m *Monitor) jitter(probeInterval time.Duration) time.Duration {
 	if m.opts.Rand == nil {
-		return pause
+		return probeInterval
 	}
-	return pause/2 + time.Duration(m.opts.Rand.Int64N(int64(pause)+1))
+	return probeInterval/2 + time.Duration(m.opts.Rand.Int64N(int64(probeInterval)+1))
 }
 
-func (m *Monitor) restore(now time.Time, r *Record) {
-	m.stand(r, Steady)
-	r.pace = 1
+func (m *Monitor) reset(now time.Time, r *Record) {
+	m.setStanding(r, Steady)
+	r.speed = 1
 	r.probing = false
-	r.restoredAt = now
+	r.resetAt = now
 	m.forget(now, r)
 }
 
-// forget takes the endpoint's evidence out of its record and out of the sum.
+// forget clears the endpoint's observations and subtracts them from the totals.
 func (m *Monitor) forget(now time.Time, r *Record) {
-	half := m.opts.HalfLife
-	m.sum.good.Add(now, half, -r.seen.good.Value(now, half))
-	m.sum.bad.Add(now, half, -r.seen.bad.Value(now, half))
-	m.sum.expected.Add(now, half, -r.seen.expected.Value(now, half))
-	m.sum.used.Add(now, half, -r.seen.used.Value(now, half))
+	halfLife := m.opts.HalfLife
+	m.sum.successes.Add(now, halfLife, -r.seen.successes.Value(now, halfLife))
+	m.sum.failures.Add(now, halfLife, -r.seen.failures.Value(now, halfLife))
+	m.sum.expected.Add(now, halfLife, -r.seen.expected.Value(now, halfLife))
+	m.sum.used.Add(now, halfLife, -r.seen.used.Value(now, halfLife))
 	for _, f := range r.streak.failures {
-		m.customer(f.customer).add(now, half, 0, -1)
+		m.client(f.client).add(now, halfLife, 0, -1)
 	}
 	r.seen = evidence{}
 	r.streak = streak{}
 }
 
-// Standing returns how the endpoint is to be used.
+// Standing returns the health status of the endpoint.
 func (r *Record) Standing() Standing { return r.standing }
 
-// Pace returns how fast the endpoint is against its peers, 1 when alike.
-func (r *Record) Pace() float64 { return r.pace }
+// Pace returns the endpoint's speed relative to its peers, 1 when equal.
+func (r *Record) Pace() float64 { return r.speed }
 
-// ProbeAt is when the next probe is due; zero while one is open or none needed.
+// ProbeAt returns when the next probe is due; zero while one is in flight or none is
+// needed.
 func (r *Record) ProbeAt() time.Time {
 	if !r.standing.Aside() || r.probing {
 		return time.Time{}
@@ -67,39 +68,41 @@
 	return r.probeAt
 }
 
-// Probing reports whether a probe is open.
+// Probing reports whether a probe is in flight.
 func (r *Record) Probing() bool { return r.probing }
 
-// OverdueAt is when the probe has been due for as long as the pause before it.
-func (r *Record) OverdueAt() time.Time { return r.probeAt.Add(r.pause) }
+// OverdueAt returns the time at which the due probe is overdue: it has then waited for
+// as long as the interval before it.
+func (r *Record) OverdueAt() time.Time { return r.probeAt.Add(r.probeInterval) }
 
-// Probe notes that a probe was started.
+// Probe records the start of a probe.
 func (m *Monitor) Probe(r *Record) { r.probing = true }
 
-// ProbeGood ends a probe that completed. Another is due at once, until enough
-// in a row were good and the endpoint is steady again.
+// ProbeGood records a completed probe. Another one is due at once, until enough in a
+// row were successful and the endpoint is readmitted. A probe that ran too slowly
+// counts as failed.
 func (m *Monitor) ProbeGood(now time.Time, r *Record, expected, used time.Duration) {
-	if used.Seconds()*crawlPace > expected.Seconds() {
+	if used.Seconds()*ejectSpeed > expected.Seconds() {
 		m.postpone(now, r)
 		return
 	}
 	r.probing = false
-	r.good++
-	if r.good >= goodProbes {
-		r.good = 0
-		m.restore(now, r)
+	r.successes++
+	if r.successes >= successfulProbes {
+		r.successes = 0
+		m.reset(now, r)
 	}
 }
 
-// ProbeBad ends a probe that failed. It shows nothing when the customer's tasks
-// fail anyway.
+// ProbeBad records a failed probe. The probe is inconclusive when the client's tasks
+// fail on other endpoints too.
 func (m *Monitor) ProbeBad(now time.Time, r *Record, t Task) {
-	if m.blame(now, r, t) < minBlame {
+	if m.blame(now, r, t) < minProbeBlame {
 		m.ProbeVoid(r)
 		return
 	}
 	m.postpone(now, r)
 }
 
-// ProbeVoid ends a probe that showed nothing; another is due at once.
+// ProbeVoid records an inconclusive probe; another is due at once.
 func (m *Monitor) ProbeVoid(r *Record) { r.probing = false }
--- a/dispatch/health/streak.go
+++ b/dispatch/health/streak.go
@@ -7,33 +7,36 @@
 )
 
 const (
-	// streakJobs bounds the failures of a streak that are kept.
-	streakJobs = 8
-	// asideJobs failures in a row at least set an endpoint aside.
-	asideJobs = 3
-	// Surprise is the negative logarithm of the chance that a row of failures is
-	// no fault of the endpoint: 1 in 20 makes it suspect, 1 in 8,000 sets it
-	// aside.
-	suspectSurprise = 3
-	asideSurprise   = 9
-	// usualShare of failures is expected anywhere, and priorTasks is how many
-	// tasks that expectation weighs as much as.
-	usualShare = 0.02
-	priorTasks = 10
-	// usualStreak is the mean streak expected anywhere.
-	usualStreak = 0.015
+	// maxStreakJobs limits the failures kept in a streak.
+	maxStreakJobs = 8
+	// minEjectJobs is the minimum length of a streak of failed jobs that ejects an
+	// endpoint.
+	minEjectJobs = 3
+	// The improbability of a streak is the negative natural logarithm of the
+	// probability that the endpoint isn't at fault: 1 in 20 makes it suspect, 1 in
+	// 8,000 ejects it.
+	suspectImprobability = 3
+	ejectImprobability   = 9
+	// baseFailureRatio is the failure ratio expected on any endpoint, weighted like
+	// priorTasks tasks.
+	baseFailureRatio = 0.02
+	priorTasks       = 10
+	// baseStreak is the mean streak length expected on any endpoint.
+	baseStreak = 0.015
 )
 
-// streak is the failures at an endpoint that began after its latest success did.
+// streak holds the failures at an endpoint of tasks that began after its most recent
+// success began.
 type streak struct{ failures []failure }
 
-// failure is one job that failed, by its customer.
+// failure is one failed job with its client.
 type failure struct {
-	job, customer string
-	began         time.Time
+	job, client string
+	began       time.Time
 }
 
-// add counts a job once: all its tasks may fail by its own fault.
+// add records a failed task. Each job counts once, because all its tasks may fail by
+// its own fault.
 func (s *streak) add(t Task) {
 	for i, f := range s.failures {
 		if f.job == t.Job {
@@ -41,14 +44,15 @@
 			return
 		}
 	}
-	if len(s.failures) < streakJobs {
-		s.failures = append(s.failures, failure{job: t.Job, customer: t.Customer, began: t.Began})
+	if len(s.failures) < maxStreakJobs {
+		s.failures = append(s.failures, failure{job: t.Job, client: t.Customer, began: t.Began})
 	}
 }
 
-// end takes a success. It tells nothing of failures that began after it: the
-// endpoint may have broken in between.
-func (s *streak) end(t Task) {
+// prune removes the failures that a success refutes. It doesn't refute failures of
+// tasks that began after the successful one, because the endpoint may have broken in
+// between.
+func (s *streak) prune(t Task) {
 	s.failures = slices.DeleteFunc(s.failures, func(f failure) bool { return !f.began.After(t.Began) })
 }
 
@@ -59,112 +63,113 @@
 	return b
 }
 
-func (s *streak) of(customer string) float64 {
+func (s *streak) countFor(client string) float64 {
 	n := 0.0
 	for _, f := range s.failures {
-		if f.customer == customer {
+		if f.client == client {
 			n++
 		}
 	}
 	return n
 }
 
-// outcomes are decaying counts of tasks that completed and that failed.
-type outcomes struct{ good, bad decaying }
+// outcomes holds decaying counts of completed and failed tasks.
+type outcomes struct{ successes, failures decaying }
 
-func (o *outcomes) add(now time.Time, half time.Duration, good, bad float64) {
-	o.good.Add(now, half, good)
-	o.bad.Add(now, half, bad)
+func (o *outcomes) add(now time.Time, halfLife time.Duration, successes, failures float64) {
+	o.successes.Add(now, halfLife, successes)
+	o.failures.Add(now, halfLife, failures)
 }
 
-// customers bounds the customers whose outcomes are counted.
-const customers = 1024
+// maxClients limits the number of clients whose outcomes are counted.
+const maxClients = 1024
 
-// customer returns the counts of one customer.
-func (m *Monitor) customer(name string) *outcomes {
-	c := m.customers[name]
+// client returns the outcome counts of one client.
+func (m *Monitor) client(name string) *outcomes {
+	c := m.clients[name]
 	if c != nil {
 		return c
 	}
-	if len(m.customers) >= customers {
-		for other := range m.customers {
-			delete(m.customers, other)
+	if len(m.clients) >= maxClients {
+		for other := range m.clients {
+			delete(m.clients, other)
 			break
 		}
 	}
 	c = &outcomes{}
-	m.customers[name] = c
+	m.clients[name] = c
 	return c
 }
 
-// surprise is how little the endpoint's own streak can be chance, by what is
-// seen of its customers' tasks at other endpoints.
-func (m *Monitor) surprise(now time.Time, r *Record) float64 {
+// improbability returns how improbable the streak observed by this entry is if the
+// endpoint isn't at fault, based on the outcomes of its clients' tasks at other
+// endpoints.
+func (m *Monitor) improbability(now time.Time, r *Record) float64 {
 	if len(r.streak.failures) == 0 {
 		return 0
 	}
-	peers := m.peersShare(now, r)
+	peers := m.peersFailureRatio(now, r)
 	sum := 0.0
 	for _, f := range r.streak.failures {
-		sum -= math.Log(m.customerShare(now, r, f.customer, peers))
+		sum -= math.Log(m.clientFailureRatio(now, r, f.client, peers))
 	}
 	return sum
 }
 
-// peersShare is the part of the peers' tasks that fail.
-func (m *Monitor) peersShare(now time.Time, r *Record) float64 {
-	half := m.opts.HalfLife
-	bad := max(0, m.sum.bad.Value(now, half)-r.seen.bad.Value(now, half))
-	good := max(0, m.sum.good.Value(now, half)-r.seen.good.Value(now, half))
-	return (bad + usualShare*priorTasks) / (bad + good + priorTasks)
+// peersFailureRatio returns the failure ratio of the peers' tasks.
+func (m *Monitor) peersFailureRatio(now time.Time, r *Record) float64 {
+	halfLife := m.opts.HalfLife
+	failures := max(0, m.sum.failures.Value(now, halfLife)-r.seen.failures.Value(now, halfLife))
+	successes := max(0, m.sum.successes.Value(now, halfLife)-r.seen.successes.Value(now, halfLife))
+	return (failures + baseFailureRatio*priorTasks) / (failures + successes + priorTasks)
 }
 
-// blame is the part of a failure that is the endpoint's: what is left after the
-// share of the customer's tasks that fail anywhere.
+// blame returns the part of a failure that is attributed to the endpoint: one minus the
+// failure ratio of the client's tasks elsewhere.
 func (m *Monitor) blame(now time.Time, r *Record, t Task) float64 {
-	return 1 - m.customerShare(now, r, t.Customer, m.peersShare(now, r))
+	return 1 - m.clientFailureRatio(now, r, t.Customer, m.peersFailureRatio(now, r))
 }
 
-// customerShare is the part of a customer's tasks that fail, those of the
-// endpoint's streak left out. Little is known of a customer who seldom comes:
-// the peers' share counts as one task.
-func (m *Monitor) customerShare(now time.Time, r *Record, name string, peers float64) float64 {
-	half := m.opts.HalfLife
-	c := m.customers[name]
+// clientFailureRatio returns the failure ratio of a client's tasks without those of the
+// endpoint's streak. For a client with few tasks little is known, so the peers' ratio
+// is weighted like one task.
+func (m *Monitor) clientFailureRatio(now time.Time, r *Record, name string, peers float64) float64 {
+	halfLife := m.opts.HalfLife
+	c := m.clients[name]
 	if c == nil {
 		return peers
 	}
-	bad := max(0, c.bad.Value(now, half)-r.streak.of(name))
-	good := c.good.Value(now, half)
-	return (bad + peers) / (bad + good + 1)
+	failures := max(0, c.failures.Value(now, halfLife)-r.streak.countFor(name))
+	successes := c.successes.Value(now, halfLife)
+	return (failures + peers) / (failures + successes + 1)
 }
 
-// Past is an endpoint's count of its tasks, those of all entries.
+// Past holds an endpoint's own counts of the tasks of all entries.
 type Past struct {
 	Completed, Failed uint64
 	FailedInRow       int
 }
 
-// newer reports whether the report was made after the other one.
+// newer reports whether these counts were taken after the other ones.
 func (p Past) newer(other Past) bool {
 	return p.Completed+p.Failed > other.Completed+other.Failed
 }
 
-// Report takes an endpoint's count of its tasks. An endpoint that fails is so
-// known to every entry before each has lost its own jobs there, and one entry's
-// probe counts for all. It returns true when the next probe was moved.
-func (m *Monitor) Report(now time.Time, r *Record, p Past) (moved bool) {
-	before := r.told
+// Report applies the counts that an endpoint reports. They let every entry detect a
+// failing endpoint before each has lost its own jobs there, and make one entry's probe
+// count for all. Report returns true when it rescheduled the next probe.
+func (m *Monitor) Report(now time.Time, r *Record, p Past) (rescheduled bool) {
+	before := r.reported
 	if !p.newer(before) {
 		return false
 	}
-	r.told = p
+	r.reported = p
 	if r.standing != Failing || r.probing {
 		return false
 	}
 	switch {
 	case p.FailedInRow > 0 && p.Failed > before.Failed:
-		return m.othersProbeBad(now, r)
+		return m.postponeForPeerProbe(now, r)
 	case p.FailedInRow == 0 && r.probeAt.After(now):
 		r.probeAt = now
 		return true
@@ -172,50 +177,53 @@
 	return false
 }
 
-// othersProbeBad puts the next probe off as if it had been this entry's that
-// failed. What failed soon after the last one is no probe, but was under way.
-func (m *Monitor) othersProbeBad(now time.Time, r *Record) bool {
-	if now.Before(r.postponedAt.Add(r.pause / 2)) {
+// postponeForPeerProbe postpones the next probe as if the failed probe had been this
+// entry's. A task that failed soon after the previous postponement was no probe but was
+// already running then.
+func (m *Monitor) postponeForPeerProbe(now time.Time, r *Record) bool {
+	if now.Before(r.postponedAt.Add(r.probeInterval / 2)) {
 		return false
 	}
 	m.postpone(now, r)
 	return true
 }
 
-// toldSurprise is surprise for the streak that the endpoint tells of. The peers'
-// streaks are the measure: a customer whose tasks fail at once, wherever they
-// run, makes streaks everywhere until the tasks that began since complete. It is
-// Chernoff's bound on the tail of a Poisson distribution with their mean.
-func (m *Monitor) toldSurprise(r *Record) float64 {
-	if r.told.FailedInRow == 0 {
+// reportedImprobability is improbability for the streak that the endpoint reports. It
+// is compared with the streaks that the peers report: a client whose tasks fail at once
+// wherever they run causes streaks everywhere, until tasks that began later complete.
+// The result is Chernoff's bound on the tail of a Poisson distribution with the peers'
+// mean.
+func (m *Monitor) reportedImprobability(r *Record) float64 {
+	if r.reported.FailedInRow == 0 {
 		return 0
 	}
-	n := float64(r.told.FailedInRow)
-	mean := m.peersStreak(r)
+	n := float64(r.reported.FailedInRow)
+	mean := m.peersMeanStreak(r)
 	return max(0, n*math.Log(n/(math.E*mean))+mean)
 }
 
-// peersStreak is the mean length of the streaks that the peers tell of.
-func (m *Monitor) peersStreak(r *Record) float64 {
+// peersMeanStreak returns the mean length of the streaks that the peers report.
+func (m *Monitor) peersMeanStreak(r *Record) float64 {
 	sum, peers := 0, 0
 	for _, other := range m.records {
 		if other != r && !other.standing.Aside() {
-			sum += min(other.told.FailedInRow, asideJobs)
+			sum += min(other.reported.FailedInRow, minEjectJobs)
 			peers++
 		}
 	}
-	return usualStreak + float64(sum)/float64(max(1, peers))
+	return baseStreak + float64(sum)/float64(max(1, peers))
 }
 
-// verdict is what the streaks, its own and the one told, call for.
-func (m *Monitor) verdict(now time.Time, r *Record) Standing {
-	own, told := m.surprise(now, r), m.toldSurprise(r)
+// assessStreaks returns the health status that the observed and the reported streak
+// call for.
+func (m *Monitor) assessStreaks(now time.Time, r *Record) Standing {
+	own, reported := m.improbability(now, r), m.reportedImprobability(r)
 	switch {
-	case len(r.streak.failures) >= asideJobs && own >= asideSurprise:
+	case len(r.streak.failures) >= minEjectJobs && own >= ejectImprobability:
 		return Failing
-	case r.told.FailedInRow >= asideJobs && told >= asideSurprise:
+	case r.reported.FailedInRow >= minEjectJobs && reported >= ejectImprobability:
 		return Failing
-	case max(own, told) >= suspectSurprise:
+	case max(own, reported) >= suspectImprobability:
 		return Suspect
 	}
 	return Steady
