--- a/dispatch/estimate/estimate.go
+++ b/dispatch/estimate/estimate.go
@@ -1,5 +1,6 @@
-// Package estimate learns how long tasks run, for each customer and kind of
-// task. What callers declare is only a first guess, because it is often far off.
+// Package estimate predicts run times from measured runs, for each client and kind of
+// task. Declared run times serve only as an initial estimate, because they are often
+// far off.
 package estimate
 
 import (
@@ -14,45 +15,48 @@
 	DefaultWindow     = 32
 )
 
-// learntFrom is the number of samples from which a mean is taken for learnt.
-const learntFrom = 4
+// minSamples is the number of samples from which a mean counts as learnt.
+const minSamples = 4
 
-// Options of a Table; zero values take the defaults.
+// Options configures a Table; zero values select the defaults.
 type Options struct {
-	// FirstGuess is used while nothing is declared or learnt.
+	// FirstGuess is the estimate used while nothing is declared or learnt.
 	FirstGuess time.Duration
-	// MaxKinds bounds the kinds remembered; the longest unused goes first.
+	// MaxKinds limits the number of kinds in the table; the least recently used one is
+	// evicted first.
 	MaxKinds int
-	// Window is the number of samples over which a mean follows a change.
+	// Window is the number of samples that the running mean weighs; it determines how
+	// fast the mean follows a change.
 	Window int
-	// DeclaredOnly leaves learning out, for comparison.
+	// DeclaredOnly disables learning, for comparison.
 	DeclaredOnly bool
 }
 
-// Estimate is an expected run time.
+// Estimate is the expected run time of a task.
 type Estimate struct {
-	// Mean is the expected run time, Deviation the mean absolute difference
-	// from it (zero while unknown).
+	// Mean is the expected run time, Deviation the mean absolute deviation from it
+	// (zero while unknown).
 	Mean      time.Duration
 	Deviation time.Duration
-	// Shown is what was seen: Mean when learnt, else the mean of the nearest that
-	// was seen at all, the kind, the customer or the service. What is held against
-	// a job or an endpoint goes by it, as a declared time may be far off.
+	// Shown is the observed run time: Mean when learnt, otherwise the observed mean of
+	// the closest of kind, client and service that has any samples. Decisions against a
+	// job or an endpoint use it, because a declared time may be far off.
 	Shown time.Duration
-	// Learnt is false for a guess.
+	// Learnt is false when Mean doesn't come from enough samples.
 	Learnt bool
 }
 
-// Table holds what was learnt. It is not safe for concurrent use.
+// Table holds the learnt run times. It is not safe for concurrent use.
 type Table struct {
 	opts Options
-	// kinds holds the list elements of recent, whose values are *kind.
-	kinds  map[key]*list.Element
-	recent *list.List
-	all    stat
+	// kinds indexes the elements of recent, whose values are *kind; the front of recent
+	// is the most recently used.
+	kinds   map[key]*list.Element
+	recent  *list.List
+	service stat
 }
 
-type key struct{ customer, kind string }
+type key struct{ client, kind string }
 
 type kind struct {
 	key
@@ -73,15 +77,15 @@
 	return &Table{opts: o, kinds: map[key]*list.Element{}, recent: list.New()}
 }
 
-// Estimate returns the expected run time of a task. declared is the caller's
-// guess, zero when none; limit caps the answer, zero for no cap. The first of
-// these that is known counts: the kind's own samples, the declared time, the
-// customer's samples over all kinds, the service's, the first guess.
-func (t *Table) Estimate(customer, name string, declared, limit time.Duration) Estimate {
-	e := t.uncapped(customer, name, declared)
+// Estimate returns the expected run time of a task. declared is the run time declared
+// by the caller, zero when none; limit caps the result, zero for no limit. The first
+// available one of these is used: the samples of the kind, the declared time, the
+// samples of the client over all kinds, those of the service, Options.FirstGuess.
+func (t *Table) Estimate(client, name string, declared, limit time.Duration) Estimate {
+	e := t.uncapped(client, name, declared)
 	e.Shown = e.Mean
 	if !e.Learnt && !t.opts.DeclaredOnly {
-		e.Shown = t.shown(customer, name, e.Mean)
+		e.Shown = t.observed(client, name, e.Mean)
 	}
 	if limit > 0 {
 		e.Mean = min(e.Mean, limit)
@@ -90,84 +94,85 @@
 	return e
 }
 
-// shown is the mean of the nearest that was seen. Before anything was, a guess
-// counts as far as it isn't above the first one of all.
-func (t *Table) shown(customer, name string, guess time.Duration) time.Duration {
-	for _, k := range []key{{customer, name}, {customer: customer}} {
-		if s := t.find(k); s != nil {
+// observed returns the mean of the closest of kind, client and service that has
+// samples. Without any samples it returns guess, but at most Options.FirstGuess.
+func (t *Table) observed(client, name string, guess time.Duration) time.Duration {
+	for _, k := range []key{{client, name}, {client: client}} {
+		if s := t.lookUp(k); s != nil {
 			return seconds(s.mean)
 		}
 	}
-	if t.all.samples > 0 {
+	if t.service.samples > 0 {
 		return t.Mean()
 	}
 	return min(guess, t.opts.FirstGuess)
 }
 
-func (t *Table) uncapped(customer, name string, declared time.Duration) Estimate {
+func (t *Table) uncapped(client, name string, declared time.Duration) Estimate {
 	if t.opts.DeclaredOnly {
-		return Estimate{Mean: t.orGuess(declared)}
+		return Estimate{Mean: t.declaredOrFirstGuess(declared)}
 	}
-	if s := t.find(key{customer, name}); s != nil {
-		return s.estimate(t.orGuess(declared))
+	if s := t.lookUp(key{client, name}); s != nil {
+		return s.estimate(t.declaredOrFirstGuess(declared))
 	}
 	if declared > 0 {
 		return Estimate{Mean: declared}
 	}
-	if s := t.find(key{customer: customer}); s != nil {
+	if s := t.lookUp(key{client: client}); s != nil {
 		return Estimate{Mean: seconds(s.mean)}
 	}
-	if t.all.samples > 0 {
-		return Estimate{Mean: seconds(t.all.mean)}
+	if t.service.samples > 0 {
+		return Estimate{Mean: seconds(t.service.mean)}
 	}
 	return Estimate{Mean: t.opts.FirstGuess}
 }
 
-func (t *Table) orGuess(declared time.Duration) time.Duration {
+func (t *Table) declaredOrFirstGuess(declared time.Duration) time.Duration {
 	if declared > 0 {
 		return declared
 	}
 	return t.opts.FirstGuess
 }
 
-// Mean returns the expected run time of any task of the service.
+// Mean returns the expected run time of an arbitrary task of the service.
 func (t *Table) Mean() time.Duration {
-	if t.all.samples == 0 {
+	if t.service.samples == 0 {
 		return t.opts.FirstGuess
 	}
-	return seconds(t.all.mean)
+	return seconds(t.service.mean)
 }
 
-// Kinds returns the number of kinds remembered, one for each customer included.
+// Kinds returns the number of kinds in the table, including one per client for all its
+// kinds together.
 func (t *Table) Kinds() int { return t.recent.Len() }
 
-// Learn takes the run time of a completed task. It returns true when that was
-// the kind's first, or the one from which its mean is taken for learnt.
-func (t *Table) Learn(customer, name string, run time.Duration) (more bool) {
+// Learn records the run time of a completed task. It returns true when that was the
+// first sample of the kind, or the one from which its mean counts as learnt.
+func (t *Table) Learn(client, name string, run time.Duration) (changed bool) {
 	if run <= 0 {
 		return false
 	}
 	x := run.Seconds()
-	t.all.add(x, t.opts.Window)
-	s := t.entry(key{customer: customer})
+	t.service.add(x, t.opts.Window)
+	s := t.entry(key{client: client})
 	s.add(x, t.opts.Window)
 	if name != "" {
-		s = t.entry(key{customer, name})
+		s = t.entry(key{client, name})
 		s.add(x, t.opts.Window)
 	}
-	return s.samples == 1 || s.samples == learntFrom
+	return s.samples == 1 || s.samples == minSamples
 }
 
-// Forget drops what was learnt of a kind.
-func (t *Table) Forget(customer, name string) {
-	k := key{customer, name}
+// Forget removes the samples of a kind.
+func (t *Table) Forget(client, name string) {
+	k := key{client, name}
 	if element := t.kinds[k]; element != nil {
 		delete(t.kinds, k)
 		t.recent.Remove(element)
 	}
 }
 
-func (t *Table) find(k key) *stat {
+func (t *Table) lookUp(k key) *stat {
 	element := t.kinds[k]
 	if element == nil {
 		return nil
@@ -175,9 +180,9 @@
 	return &element.Value.(*kind).stat
 }
 
-// entry returns the statistics of k as the most recently used. Callers choose
-// the names of kinds, so the table has to be bounded against a stream of new
-// ones.
+// entry returns the statistics of k, added if necessary, and marks them as the most
+// recently used. Callers choose the names of kinds, so the table must stay bounded when
+// they send ever new names.
 func (t *Table) entry(k key) *stat {
 	if element := t.kinds[k]; element != nil {
 		t.recent.MoveToFront(element)
@@ -193,32 +198,32 @@
 	return &added.stat
 }
 
-// stat is a running mean and mean absolute deviation, in seconds.
+// stat holds a running mean and mean absolute deviation, in seconds.
 type stat struct {
 	samples   int
 	mean      float64
 	deviation float64
 }
 
-// add counts one sample: a plain mean at first, from window samples on one that
-// forgets.
+// add records one sample. The mean is the arithmetic mean up to window samples, and an
+// exponentially weighted one from then on.
 func (s *stat) add(x float64, window int) {
 	s.samples = min(s.samples+1, window)
 	n := float64(s.samples)
-	off := x - s.mean
-	s.mean += off / n
+	difference := x - s.mean
+	s.mean += difference / n
 	if s.samples == 1 {
 		return
 	}
-	if off < 0 {
-		off = -off
+	if difference < 0 {
+		difference = -difference
 	}
-	s.deviation += (off - s.deviation) / n
+	s.deviation += (difference - s.deviation) / n
 }
 
-// estimate mixes the guess in as one more sample while there are few.
+// estimate includes the guess as one more sample while there are few samples.
 func (s *stat) estimate(guess time.Duration) Estimate {
-	learnt := s.samples >= learntFrom
+	learnt := s.samples >= minSamples
 	mean := s.mean
 	if !learnt {
 		n := float64(s.samples)
--- a/dispatch/estimate/estimate_test.go
+++ b/dispatch/estimate/estimate_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-// TestLearning: a declaration a hundred times off counts as one sample among
-// those that were seen, and is given up for a kind that is known.
+// TestLearning: a declared run time a hundred times too long counts as one sample among
+// the measured ones, and is ignored once the kind is learnt.
 func TestLearning(t *testing.T) {
 	e := estimate.New(estimate.Options{})
 	assert.Equal(t, e.Estimate("c", "k", 0, 0).Mean, estimate.DefaultFirstGuess)
@@ -33,9 +33,10 @@
 	assert.Assert(t, e.Estimate("c", "k", 0, 0).Mean > 190*ms)
 }
 
-// TestShown: what was seen counts, of the nearest that is known, and a declared
-// time only as long as nothing was seen and it isn't longer than the first guess.
-func TestShown(t *testing.T) {
+// TestObserved: Shown is the observed mean of the closest of kind, client and service.
+// A declared time is used only while there are no samples and it isn't longer than the
+// first guess.
+func TestObserved(t *testing.T) {
 	e := estimate.New(estimate.Options{})
 	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Shown, estimate.DefaultFirstGuess)
 	assert.Equal(t, e.Estimate("c", "k", ms, 0).Shown, ms)
@@ -43,15 +44,15 @@
 	assert.Equal(t, e.Estimate("c", "k", ms, 0).Shown, 40*ms)
 	assert.Assert(t, e.Learn("c", "other", 60*ms))
 	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Shown, 60*ms)
-	for _, more := range []bool{true, false, false, true, false} {
-		assert.Equal(t, e.Learn("c", "k", 20*ms), more)
+	for _, changed := range []bool{true, false, false, true, false} {
+		assert.Equal(t, e.Learn("c", "k", 20*ms), changed)
 		assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Shown, 20*ms)
 	}
 	assert.Equal(t, e.Estimate("c", "k", 0, 10*ms).Shown, 10*ms)
 }
 
-// TestKindsAreBounded: a caller that names a new kind for each task must not
-// make the table grow, nor push out a kind that is in use.
+// TestKindsAreBounded: a caller that names a new kind for each task must not make the
+// table grow beyond its limit, nor evict a kind that is in use.
 func TestKindsAreBounded(t *testing.T) {
 	e := estimate.New(estimate.Options{MaxKinds: 10})
 	for i := range 1000 {
