--- a/dispatch/retry/retry.go
+++ b/dispatch/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry bounds how much extra work repeated starts may cause: a budget
-// that is earned by completions and spent by repeats.
+// Package retry limits the extra load that retries may cause: a token bucket that
+// completions fill and retries drain (retry throttling).
 package retry
 
 // Defaults of Options.
@@ -8,27 +8,26 @@
 	DefaultReserve = 100
 )
 
-// Options of a Budget; zero values take the defaults.
+// Options configures a Budget; zero values select the defaults.
 type Options struct {
-	// Share is the number of repeats that one completion earns.
+	// Share is the number of retries that one completion earns.
 	Share float64
-	// Reserve is the largest number of repeats saved up, and what a new budget
-	// starts with.
+	// Reserve is the maximum number of retries that can be saved up, and the initial
+	// balance of a budget.
 	Reserve float64
 }
 
-// Budget counts the repeats that may still be made. Without it, an overload
-// that makes endpoints refuse would be answered with as many new starts, and
-// the load of the repeats would keep the overload going after its cause has
-// ended. A share of the completions can't do that: as completions fall, so do
-// repeats.
+// Budget is the balance of retries that may still be made. Without it, an overload in
+// which endpoints refuse tasks would be answered with as many new starts, and the load
+// of the retries would sustain the overload after its cause has ended. A budget that is
+// a share of the completions can't do that: as completions fall, so do retries.
 type Budget struct {
-	share   float64
-	reserve float64
-	tokens  float64
+	tokensPerCompletion float64
+	maxTokens           float64
+	tokens              float64
 }
 
-// New returns a full budget.
+// New returns a budget with its maximum balance.
 func New(o Options) *Budget {
 	if o.Share == 0 {
 		o.Share = DefaultShare
@@ -36,13 +35,13 @@
 	if o.Reserve == 0 {
 		o.Reserve = DefaultReserve
 	}
-	return &Budget{share: o.Share, reserve: o.Reserve, tokens: o.Reserve}
+	return &Budget{tokensPerCompletion: o.Share, maxTokens: o.Reserve, tokens: o.Reserve}
 }
 
-// Earn counts one completion.
-func (b *Budget) Earn() { b.tokens = min(b.reserve, b.tokens+b.share) }
+// Earn records one completion.
+func (b *Budget) Earn() { b.tokens = min(b.maxTokens, b.tokens+b.tokensPerCompletion) }
 
-// Spend takes one repeat; false when the budget is spent.
+// Spend takes one retry from the budget; it returns false when the budget is exhausted.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
