--- a/dispatch/baseline/baseline.go
+++ b/dispatch/baseline/baseline.go
@@ -1,6 +1,5 @@
-// Package baseline holds the ways of placement and order that the product was
-// compared with and that it does not ship, and the names by which an experiment
-// chooses among all of them.
+// Package baseline implements placement policies and job orders that production doesn't
+// use but was compared with, and the names by which an experiment selects any policy.
 package baseline
 
 import (
@@ -12,7 +11,7 @@
 	"almondstand.dev/dispatch/scheduler"
 )
 
-// Random places a task on any endpoint, whatever its load.
+// Random places a task on a random endpoint, regardless of its load.
 type Random struct{}
 
 // Choose implements placement.Chooser.
@@ -20,23 +19,24 @@
 	return random(s, avoid)
 }
 
-// TwoChoices takes the one with more slots believed free out of two random
-// endpoints, whether or not it has any.
+// TwoChoices picks two random endpoints and takes the one believed to have more free
+// slots (power of two choices), even if it has none.
 type TwoChoices struct{}
 
 // Choose implements placement.Chooser.
 func (TwoChoices) Choose(s *placement.Set, avoid *placement.Endpoint) *placement.Endpoint {
 	a := random(s, avoid)
 	b := random(s, avoid)
-	if a == nil || free(b) > free(a) {
+	if a == nil || freeSlots(b) > freeSlots(a) {
 		return b
 	}
 	return a
 }
 
-func free(e *placement.Endpoint) int { return e.Slots() - e.Own() - e.Others() }
+func freeSlots(e *placement.Endpoint) int { return e.Slots() - e.Own() - e.Others() }
 
-// random returns any endpoint that takes tasks, avoid only when it is the last.
+// random returns a random endpoint that accepts tasks; it returns avoid only when there
+// is no other.
 func random(s *placement.Set, avoid *placement.Endpoint) *placement.Endpoint {
 	all := s.All()
 	if len(all) == 0 {
@@ -57,7 +57,7 @@
 	return last
 }
 
-// FIFO starts jobs in the order of their arrival.
+// FIFO starts jobs in order of arrival.
 type FIFO struct{}
 
 // Key implements queue.Order.
@@ -71,16 +71,17 @@
 	return float64(j.Deadline.UnixMicro())
 }
 
-// FewestLeft starts the job with the fewest unfinished tasks first. It needs no
-// run times.
+// FewestLeft starts the job with the fewest unfinished tasks first, relative to its
+// weight. It needs no run times.
 type FewestLeft struct{}
 
 // Key implements queue.Order.
 func (FewestLeft) Key(j *queue.Job) float64 { return float64(j.Left()) / j.Weight }
 
-// LeastSlowdown starts the job first whose expected run time left, times that
-// of its longest task, is least: least work first with each job weighted by how
-// much its response/ideal suffers.
+// LeastSlowdown starts the job first for which the product of remaining expected run
+// time and run time of its longest task is least, relative to its weight. This is the
+// least-work order with each job weighted by how much its slowdown (response time /
+// ideal response time) suffers.
 type LeastSlowdown struct{}
 
 // Key implements queue.Order.
@@ -88,7 +89,8 @@
 	return j.Work().Seconds() * j.Longest().Seconds() / j.Weight
 }
 
-// FewestSlowdown is LeastSlowdown with a count of tasks in place of work.
+// FewestSlowdown is LeastSlowdown with the number of unfinished tasks in place of the
+// remaining run time.
 type FewestSlowdown struct{}
 
 // Key implements queue.Order.
@@ -96,7 +98,7 @@
 	return float64(j.Left()) * j.Longest().Seconds() / j.Weight
 }
 
-// Names of the ways that a Variant chooses among.
+// Names of the policies that a Variant selects.
 const (
 	PlacementKnownFree  = "known_free"
 	PlacementRandom     = "random"
@@ -110,29 +112,30 @@
 	OrderFewestSlowdown   = "fewest_slowdown"
 )
 
-// Variant names one set of ways to decide. Empty fields mean what the product
-// ships.
+// Variant selects one combination of policies. Empty fields select the production
+// default.
 type Variant struct {
 	Placement string `json:"placement,omitempty"`
 	Order     string `json:"order,omitempty"`
-	// Ageing is the part of its answer time after which a job takes turns with
-	// the first by the order.
+	// Ageing is the fraction of its answer time after which a job alternates with the
+	// first job of the order.
 	Ageing *float64 `json:"ageing,omitempty"`
-	// Floor is the number of starts kept open whatever the reports say.
+	// Floor is the minimum number of tasks in flight allowed per endpoint, whatever the
+	// reports say.
 	Floor *int `json:"floor,omitempty"`
-	// FairQueueing false lets only the order decide between customers.
+	// FairQueueing set to false makes the order alone decide between clients.
 	FairQueueing *bool `json:"fair_queueing,omitempty"`
-	// FairSlack is how far a customer may be ahead of its share.
+	// FairSlack is how far a client may be ahead of its fair share.
 	FairSlack *time.Duration `json:"fair_slack_ns,omitempty"`
-	// NoZone lets endpoints of all data centres count alike.
+	// NoZone makes placement treat the endpoints of all data centres alike.
 	NoZone bool `json:"no_zone,omitempty"`
-	// DeclaredOnly trusts declared run times and learns none.
+	// DeclaredOnly uses declared run times and disables learning.
 	DeclaredOnly bool `json:"declared_only,omitempty"`
-	// AdmitAll refuses nothing for its lateness.
+	// AdmitAll rejects no job for its forecast lateness.
 	AdmitAll bool `json:"admit_all,omitempty"`
 }
 
-// Apply returns the options changed as the variant says.
+// Apply returns the options with the changes that the variant selects.
 func (v Variant) Apply(o scheduler.Options) (scheduler.Options, error) {
 	switch v.Placement {
 	case "", PlacementKnownFree:
@@ -141,7 +144,7 @@
 	case PlacementTwoChoices:
 		o.Placement = TwoChoices{}
 	default:
-		return o, fmt.Errorf("baseline: no placement is called %q", v.Placement)
+		return o, fmt.Errorf("baseline: unknown placement %q", v.Placement)
 	}
 	switch v.Order {
 	case "", OrderLeastWork:
@@ -156,16 +159,16 @@
 	case OrderFewestSlowdown:
 		o.Order = FewestSlowdown{}
 	default:
-		return o, fmt.Errorf("baseline: no order is called %q", v.Order)
+		return o, fmt.Errorf("baseline: unknown order %q", v.Order)
 	}
 	if v.Ageing != nil {
-		o.Ageing = orOff(*v.Ageing, scheduler.NoAgeing)
+		o.Ageing = zeroMeansOff(*v.Ageing, scheduler.NoAgeing)
 	}
 	if v.Floor != nil {
-		o.Floor = orOff(*v.Floor, scheduler.NoFloor)
+		o.Floor = zeroMeansOff(*v.Floor, scheduler.NoFloor)
 	}
 	if v.FairSlack != nil {
-		o.FairSlack = orOff(*v.FairSlack, scheduler.NoFairSlack)
+		o.FairSlack = zeroMeansOff(*v.FairSlack, scheduler.NoFairSlack)
 	}
 	if v.FairQueueing != nil {
 		o.Unfair = !*v.FairQueueing
@@ -178,8 +181,9 @@
 	return o, nil
 }
 
-// orOff turns an explicit zero into the option's value for off.
-func orOff[T int | float64 | time.Duration](value, off T) T {
+// zeroMeansOff converts an explicit zero, which would select the default, into the
+// value that disables the option.
+func zeroMeansOff[T int | float64 | time.Duration](value, off T) T {
 	if value == 0 {
 		return off
 	}
