--- a/bench/replay/arrivals.go
+++ b/bench/replay/arrivals.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Streams of random numbers of one seed. Callers and run times are drawn apart, so
-// that every way of deciding gets the same callers.
+// Streams of random numbers derived from one seed. Arrivals and run times are drawn
+// from separate streams, so that every policy gets the same arrivals.
 const (
 	callerStream = 1
 	runStream    = 2
-	// addressStream is the same for every seed: addresses stay with their entries.
+	// addressStream doesn't depend on the seed, so that every address always uses the
+	// same entry.
 	addressStream = 3
 )
 
@@ -20,40 +21,41 @@
 type arrival struct {
 	at   time.Duration
 	kind int
-	// zone of the caller, and the number of the entry there that takes the job.
-	zone  string
-	entry int
-	// size is the run time of its tasks against the kind's mean, declared what the
-	// caller says of it.
+	// dataCentre is that of the caller, entry the number of the entry there that
+	// receives the job.
+	dataCentre string
+	entry      int
+	// size is the run time of its tasks relative to the mean of its kind, declared the
+	// run time that the caller declares, relative to the same mean.
 	size, declared float64
 	// crashAfter is the time after its start at which the job's first task crashes its
-	// runner; zero for a sound job.
+	// runner; zero for a job that crashes none.
 	crashAfter time.Duration
 }
 
-// arrivals draws a load's callers, in the order of their times.
+// arrivals draws the jobs of a load, ordered by time.
 func arrivals(l Load, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, callerStream))
 	next := make([]time.Duration, len(l.Kinds))
 	for k := range l.Kinds {
-		next[k] = begin + l.gap(random, k, 0)
+		next[k] = simStart + l.interarrival(random, k, 0)
 	}
 	var all []arrival
 	for {
-		k := soonest(next)
-		if next[k] > begin+l.For {
-			return l.withPoison(random, all)
+		k := earliest(next)
+		if next[k] > simStart+l.For {
+			return l.addCrashingJobs(random, all)
 		}
 		all = append(all, l.draw(random, k, next[k]))
-		next[k] += l.gap(random, k, next[k]-begin)
+		next[k] += l.interarrival(random, k, next[k]-simStart)
 	}
 }
 
-// withPoison puts the jobs that crash runners among the others.
-func (l Load) withPoison(random *rand.Rand, all []arrival) []arrival {
+// addCrashingJobs adds the jobs that crash runners.
+func (l Load) addCrashingJobs(random *rand.Rand, all []arrival) []arrival {
 	for _, p := range l.Poison {
 		for range p.Jobs {
-			a := l.draw(random, p.Kind, begin+p.At+time.Duration(random.Int64N(int64(time.Second))))
+			a := l.draw(random, p.Kind, simStart+p.At+time.Duration(random.Int64N(int64(time.Second))))
 			a.crashAfter = p.After
 			all = append(all, a)
 		}
@@ -62,7 +64,7 @@
 	return all
 }
 
-func soonest(next []time.Duration) int {
+func earliest(next []time.Duration) int {
 	best := 0
 	for k := range next {
 		if next[k] < next[best] {
@@ -72,12 +74,12 @@
 	return best
 }
 
-// gap draws the time until the next job of a kind.
-func (l Load) gap(random *rand.Rand, kind int, at time.Duration) time.Duration {
+// interarrival draws the time until the next job of a kind.
+func (l Load) interarrival(random *rand.Rand, kind int, at time.Duration) time.Duration {
 	return time.Duration(random.ExpFloat64() / l.rate(kind, at) * float64(time.Second))
 }
 
-// rate of a kind at a time, jobs a second.
+// rate returns the arrival rate of a kind at a time, in jobs a second.
 func (l Load) rate(kind int, at time.Duration) float64 {
 	k := l.Kinds[kind]
 	r := k.PerSecond
@@ -89,21 +91,22 @@
 	return r
 }
 
-// Sizes of jobs against their kind's mean, and how far declarations are off.
+// Ranges of the size of a job relative to its kind's mean, and of the factor by which a
+// declared run time is wrong.
 const (
-	leastSize, sizeSpread         = 0.6, 0.9
-	leastDeclared, declaredSpread = 0.6, 0.8
+	minSize, sizeRange                     = 0.6, 0.9
+	minDeclaredFactor, declaredFactorRange = 0.6, 0.8
 )
 
 func (l Load) draw(random *rand.Rand, kind int, at time.Duration) arrival {
-	z := l.drawZone(random)
-	size := leastSize + random.Float64()*sizeSpread
-	declared := size * (leastDeclared + declaredSpread*random.Float64())
-	return arrival{at: at, kind: kind, zone: z.Name, entry: z.drawEntry(random), size: size, declared: declared}
+	z := l.drawDataCentre(random)
+	size := minSize + random.Float64()*sizeRange
+	declared := size * (minDeclaredFactor + declaredFactorRange*random.Float64())
+	return arrival{at: at, kind: kind, dataCentre: z.Name, entry: z.drawEntry(random), size: size, declared: declared}
 }
 
-// drawEntry returns the number of the entry that takes a job. The entry of an address
-// is drawn from the address alone, as a balancer does.
+// drawEntry returns the number of the entry that receives a job. The entry depends on
+// the caller's address alone, as with a load balancer that hashes addresses.
 func (z Zone) drawEntry(random *rand.Rand) int {
 	if z.Clients == 0 {
 		return random.IntN(z.Entries)
@@ -112,10 +115,10 @@
 	return address.IntN(z.Entries)
 }
 
-func (l Load) drawZone(random *rand.Rand) Zone {
-	x := random.Float64()
+func (l Load) drawDataCentre(random *rand.Rand) Zone {
+	share := random.Float64()
 	for _, z := range l.Zones {
-		if x -= z.Callers; x < 0 {
+		if share -= z.Callers; share < 0 {
 			return z
 		}
 	}
--- a/bench/replay/cpu.go
+++ b/bench/replay/cpu.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// Processor time that an entry takes at a whole core, worked out from the processor time
-// and the messages of processes on hosts with a fifth of one: such an entry reads 5,100
-// messages a second when it does little else.
+// Processor time of an entry's operations on a whole core. The values were derived from
+// the processor time and the message counts of processes on hosts with a fifth of a
+// core: such an entry reads 5,100 messages a second when it does little else.
 const (
 	readCost = 32 * time.Microsecond
 	sendCost = 45 * time.Microsecond
-	// jobCost is for a job: its request, its answer and its decisions.
+	// jobCost is the cost of a job: its request, its answer and its scheduling
+	// decisions.
 	jobCost = 300 * time.Microsecond
 )
 
-// processor is one entry's share of a core. What comes is taken in its turn; what is
-// sent goes out at once, and takes from the time of what comes next.
+// processor simulates one entry's share of a core. Incoming messages are processed in
+// order; outgoing messages leave at once, and their cost delays the next operation.
 type processor struct {
 	sim *sim
-	// share of a core; zero takes no time.
+	// share is the share of a core; zero disables the simulation.
 	share   float64
-	waiting []step
+	waiting []operation
 	busy    bool
-	// owed is the processor time of messages sent that nothing has waited for yet.
-	owed time.Duration
+	// deferredCost is the processor time of sent messages that has not delayed an
+	// operation yet.
+	deferredCost time.Duration
 }
 
-// step is one thing to do and the processor time that it takes.
-type step struct {
+// operation is one operation with its processor time.
+type operation struct {
 	cost time.Duration
 	do   func()
 }
 
-// run does something once all that came before is done.
+// run executes an operation once all earlier ones have completed.
 func (p *processor) run(cost time.Duration, do func()) {
 	if p.share == 0 {
 		do()
 		return
 	}
-	p.waiting = append(p.waiting, step{cost, do})
+	p.waiting = append(p.waiting, operation{cost, do})
 	p.next()
 }
 
@@ -47,8 +49,8 @@
 	p.busy = true
 	first := p.waiting[0]
 	p.waiting = p.waiting[1:]
-	cost := first.cost + p.owed
-	p.owed = 0
+	cost := first.cost + p.deferredCost
+	p.deferredCost = 0
 	p.sim.after(time.Duration(float64(cost)/p.share), func() {
 		first.do()
 		p.busy = false
@@ -56,9 +58,9 @@
 	})
 }
 
-// spend takes processor time from what comes next.
-func (p *processor) spend(cost time.Duration) {
+// addCost adds processor time to the next operation.
+func (p *processor) addCost(cost time.Duration) {
 	if p.share > 0 {
-		p.owed += cost
+		p.deferredCost += cost
 	}
 }
--- a/bench/replay/events.go
+++ b/bench/replay/events.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// event of the simulation. Those of one moment happen in the order in which they were
-// planned.
+// event is an event of the simulation. Events of the same time happen in the order in
+// which they were scheduled.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at  time.Duration
+	seq int
+	do  func()
 }
 
 func (e event) before(o event) bool {
 	if e.at != o.at {
 		return e.at < o.at
 	}
-	return e.order < o.order
+	return e.seq < o.seq
 }
 
-// events are a binary heap, the next one first. A run takes millions: through the interface
-// of container/heap a third of its time goes into them, and with the race detector more.
+// events is a binary heap with the next event first. A run processes millions of
+// events; with the interface of container/heap, the heap takes a third of the run's
+// time, and more with the race detector.
 type events []event
 
 func (q *events) push(e event) {
@@ -43,13 +44,13 @@
 	h[last] = event{}
 	*q = h[:last]
 	if last > 0 {
-		(*q).sink(e)
+		(*q).siftDown(e)
 	}
 	return first
 }
 
-// sink puts an event in at the top and lets it down to its place.
-func (q events) sink(e event) {
+// siftDown inserts an event at the root and moves it down to its place.
+func (q events) siftDown(e event) {
 	i := 0
 	for {
 		child := 2*i + 1
--- a/bench/replay/guard.go
+++ b/bench/replay/guard.go
@@ -13,75 +13,77 @@
 	"almondstand.dev/guard/runs"
 )
 
-// service of every contract.
+// service is the service of every contract.
 const service = "service"
 
-// startsDelay is how long a guard keeps the news that a run has begun.
-const startsDelay = 80 * time.Millisecond
+// startReportDelay is how long a guard delays the report that a run has started, to
+// send it with others.
+const startReportDelay = 80 * time.Millisecond
 
-// guard is one account with its runner.
+// guard simulates a guard's run table and its runner.
 type guard struct {
-	sim   *sim
-	id    string
-	zone  string
-	life  int
-	table *runs.Table
-	links []*link
-	// running are the runs at the runner.
-	running map[work.RunName]bool
-	ends    int64
-	wrong   Wrong
-	times   float64
-	// cpu of its runner, thousandths of a core.
+	sim        *sim
+	id         string
+	dataCentre string
+	generation int
+	table      *runs.Table
+	sessions   []*session
+	// running holds the runs in progress at the runner.
+	running  map[work.RunName]bool
+	endSeq   int64
+	fault    Wrong
+	slowdown float64
+	// cpu is the capacity of its runner, in thousandths of a core.
 	cpu int64
 }
 
-func newGuard(s *sim, n int, zone string) *guard {
-	g := &guard{sim: s, id: fmt.Sprintf("guard-%d", n), zone: zone, table: runs.New(runs.Options{}), running: map[work.RunName]bool{}, times: 1, cpu: s.load.runnerCPU(n)}
-	g.adopt()
-	s.after(sweepEvery, g.sweep)
+func newGuard(s *sim, n int, dataCentre string) *guard {
+	g := &guard{sim: s, id: fmt.Sprintf("guard-%d", n), dataCentre: dataCentre, table: runs.New(runs.Options{}), running: map[work.RunName]bool{}, slowdown: 1, cpu: s.load.runnerCPU(n)}
+	g.startRunner()
+	s.after(sweepInterval, g.sweep)
 	return g
 }
 
-// adopt takes an empty life of the runner.
-func (g *guard) adopt() {
-	g.life++
-	g.ends = 0
+// startRunner starts a new runner process without runs.
+func (g *guard) startRunner() {
+	g.generation++
+	g.endSeq = 0
 	g.running = map[work.RunName]bool{}
 	g.deliver(g.table.Adopt(g.sim.now, runs.Process{Incarnation: g.incarnation(), Service: service}))
 	g.table.Describe(work.Amounts{CPUMilli: g.cpu}, nil, false)
-	g.read(nil)
+	g.applyAccount(nil)
 }
 
-// incarnation names the runner's process: every other one keeps the id of the one before.
+// incarnation returns the identity of the runner process. Every other process keeps the
+// id of its predecessor, so that the times of birth alone tell these two apart.
 func (g *guard) incarnation() work.Incarnation {
-	return work.Incarnation{ID: fmt.Sprint(g.id, "-", g.life/2), Born: 1 + int64(g.life)}
+	return work.Incarnation{ID: fmt.Sprint(g.id, "-", g.generation/2), Born: 1 + int64(g.generation)}
 }
 
-func (g *guard) suffer(t Trouble) {
-	g.wrong, g.times = t.Wrong, max(t.Times, 1)
+func (g *guard) injectFault(t Trouble) {
+	g.fault, g.slowdown = t.Wrong, max(t.Times, 1)
 	if t.Wrong == Gone {
-		g.deliver(inOrder(g.table.Lose(g.sim.now)))
+		g.deliver(sortByTask(g.table.Lose(g.sim.now)))
 	}
 }
 
-func (g *guard) recover(t Trouble) {
-	g.wrong, g.times = 0, 1
+func (g *guard) clearFault(t Trouble) {
+	g.fault, g.slowdown = 0, 1
 	if t.Wrong == Gone {
-		g.adopt()
+		g.startRunner()
 	}
 }
 
-// receive takes a message of an entry.
+// receive handles a message of an entry.
 func (g *guard) receive(e *entry, sent, read time.Duration, pending bool, demand int64, o orders) {
-	l := g.link(e)
-	defer l.confirm(read)
+	l := g.session(e)
+	defer l.confirmRead(read)
 	owner := l.owner
 	g.table.Alive(owner, sent)
 	l.setPending(pending, demand)
 	var reports []runs.Report
 	for _, id := range o.stops {
-		if r, over := g.table.Cancel(g.sim.now, owner, id); over {
+		if r, ended := g.table.Cancel(g.sim.now, owner, id); ended {
 			reports = append(reports, r)
 		}
 	}
@@ -89,7 +91,7 @@
 	for _, x := range o.starts {
 		start, refused := g.table.Ask(g.sim.now, sent, owner, runs.Order{Run: x.Run, Need: x.Need, Life: x.Life})
 		if refused != nil {
-			g.sim.result.misplaced(refused.Refusal)
+			g.sim.result.countRefusedOrder(refused.Refusal)
 			reports = append(reports, *refused)
 			continue
 		}
@@ -101,89 +103,92 @@
 	g.deliver(reports)
 }
 
-// start has the runner begin a run, and end it when its time is over.
+// start makes the runner start a run, and end it after its run time.
 func (g *guard) start(e *entry, x planner.Start, name work.RunName) {
 	job := e.jobs[x.Run.Task.Job]
-	life := g.life
-	g.sim.after(startTime, func() {
-		if g.life != life || g.wrong == Gone {
+	generation := g.generation
+	g.sim.after(runnerDelay, func() {
+		if g.generation != generation || g.fault == Gone {
 			return
 		}
 		g.running[name] = true
-		job.began++
+		job.startedRuns++
 		if job.crashAfter > 0 && x.Run.Task.Index == 0 {
-			g.sim.after(job.crashAfter, func() { g.crash(life, job) })
+			g.sim.after(job.crashAfter, func() { g.crash(generation, job) })
 		}
-		if r, news := g.table.Started(g.sim.now, name); news {
+		if r, changed := g.table.Started(g.sim.now, name); changed {
 			g.deliver([]runs.Report{r})
 		}
 		g.run(name, g.duration(job))
 	})
 }
 
-// Run times of the tasks of one job against its size.
-const leastUneven, unevenSpread = 0.9, 0.2
+// The run times of the tasks of one job are its size times a random factor from this
+// range.
+const minRunFactor, runFactorRange = 0.9, 0.2
 
-// duration of a run that begins now.
-func (g *guard) duration(j *submitted) time.Duration {
-	uneven := leastUneven + unevenSpread*g.sim.runs.Float64()
-	return time.Duration(float64(g.sim.load.Kinds[j.kind].Run) * j.size * uneven * g.times)
+// duration returns the run time of a task that starts now.
+func (g *guard) duration(j *pendingJob) time.Duration {
+	factor := minRunFactor + runFactorRange*g.sim.runs.Float64()
+	return time.Duration(float64(g.sim.load.Kinds[j.kind].Run) * j.size * factor * g.slowdown)
 }
 
-// Times after a runner's crash.
+// Delays after the crash of a runner.
 const (
-	// lapseTime until its leases have run out, backTime until its next life announces itself.
-	lapseTime = 700 * time.Millisecond
-	backTime  = 3 * time.Second
+	// leaseExpiry is the time until its leases have expired, restartTime the time until
+	// its next process announces itself.
+	leaseExpiry = 700 * time.Millisecond
+	restartTime = 3 * time.Second
 )
 
-// crash ends a runner's life, unless it has ended or the task is over by then.
-func (g *guard) crash(life int, by *submitted) {
-	if g.life != life || g.wrong == Gone {
+// crash ends the runner process, unless it has ended already or the task that crashes
+// it has ended.
+func (g *guard) crash(generation int, by *pendingJob) {
+	if g.generation != generation || g.fault == Gone {
 		return
 	}
-	g.sim.result.crashed(by)
-	g.life++
-	g.wrong = Gone
+	g.sim.result.countCrash(by)
+	g.generation++
+	g.fault = Gone
 	g.running = map[work.RunName]bool{}
-	g.sim.after(lapseTime, func() { g.deliver(inOrder(g.table.Lapse(g.sim.now, true))) })
-	g.sim.after(backTime, func() {
-		g.wrong = 0
-		g.adopt()
+	g.sim.after(leaseExpiry, func() { g.deliver(sortByTask(g.table.Lapse(g.sim.now, true))) })
+	g.sim.after(restartTime, func() {
+		g.fault = 0
+		g.startRunner()
 	})
 }
 
 func (g *guard) run(name work.RunName, d time.Duration) {
-	switch g.wrong {
+	switch g.fault {
 	case Hanging:
 		return
 	case Failing:
-		g.end(name, startTime, work.Failed)
+		g.end(name, runnerDelay, work.Failed)
 	default:
-		g.end(name, d+startTime, work.Done)
+		g.end(name, d+runnerDelay, work.Done)
 	}
 }
 
-// end has a run end, unless it has by then.
+// end ends a run after a delay, unless it has ended by then.
 func (g *guard) end(name work.RunName, in time.Duration, how work.How) {
-	life := g.life
+	generation := g.generation
 	g.sim.after(in, func() {
-		if g.life != life || !g.running[name] {
+		if g.generation != generation || !g.running[name] {
 			return
 		}
 		delete(g.running, name)
-		g.ends++
-		g.read([]work.End{{Seq: g.ends, Run: name, How: how}})
+		g.endSeq++
+		g.applyAccount([]work.End{{Seq: g.endSeq, Run: name, How: how}})
 	})
 }
 
-// read gives the account what the runner says.
-func (g *guard) read(ends []work.End) {
+// applyAccount passes the runner's state and the ended runs to the run table.
+func (g *guard) applyAccount(ends []work.End) {
 	reports := g.table.Read(g.sim.now, g.sim.now, work.Account{Running: slices.Collect(maps.Keys(g.running)), Ends: ends})
-	g.deliver(inOrder(reports))
+	g.deliver(sortByTask(reports))
 }
 
-// stop sends the stops that are due.
+// stop sends the stop orders that are due to the runner.
 func (g *guard) stop() {
 	stops := g.table.Stops(g.sim.now)
 	slices.SortFunc(stops, func(a, b runs.Stop) int { return byTask(a.Name.Task, b.Name.Task) })
@@ -193,8 +198,9 @@
 	}
 }
 
-// inOrder sorts reports that were collected from a map.
-func inOrder(reports []runs.Report) []runs.Report {
+// sortByTask sorts reports that were collected from a map, to make runs of the
+// simulation reproducible.
+func sortByTask(reports []runs.Report) []runs.Report {
 	slices.SortFunc(reports, func(a, b runs.Report) int { return byTask(a.Run.Task, b.Run.Task) })
 	return reports
 }
@@ -205,26 +211,27 @@
 
 func (g *guard) sweep() {
 	g.stop()
-	g.sim.after(sweepEvery, g.sweep)
+	g.sim.after(sweepInterval, g.sweep)
 }
 
-// deliver sends reports to their owners and spreads the change of capacity.
+// deliver sends reports to the entries that own the runs and advertises a changed
+// capacity.
 func (g *guard) deliver(reports []runs.Report) {
-	advertise.Capacity(wall(g.sim.now), g.table.Capacity(), g.table.HasFree(), g.links)
+	advertise.Capacity(toTime(g.sim.now), g.table.Capacity(), g.table.HasFree(), g.sessions)
 	for _, r := range reports {
-		for _, l := range g.links {
+		for _, l := range g.sessions {
 			if l.owner == r.Owner {
-				l.push(r)
+				l.queueReport(r)
 			}
 		}
 	}
 }
 
-// free reports whether the runner has room for a task.
-func (g *guard) free(need work.Amounts) bool {
+// hasCapacity reports whether the runner can take a task with these needs.
+func (g *guard) hasCapacity(need work.Amounts) bool {
 	r := g.table.Capacity()
 	return r.Open && need.Fits(r.Total.Sub(r.Used))
 }
 
-// wall turns simulated time into the type that package advertise takes.
-func wall(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
+// toTime converts simulated time into the type that package advertise takes.
+func toTime(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
--- a/bench/replay/large.go
+++ b/bench/replay/large.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Loads of hundreds of hosts: 55 entries in six data centres, some with the callers of
-// four client addresses and some with none, and 240 runners of four or six tasks, so
-// that no runner holds all tasks of the widest jobs.
+// Loads of hundreds of hosts: 55 entries in six data centres, some of which receive the
+// callers of four addresses and some none, and 240 runners of four or six tasks, so
+// that no runner can hold all tasks of the widest jobs.
 
-// Rates that fill some 73 % of the runners.
+// Rates that use about 73 % of the runners.
 const (
-	largeWide = 334
-	largeLong = 75.9
-	largePair = 973
-	// largeTask is what a task takes, thousandths of a core.
-	largeTask = 7600
+	largeWideRate = 334
+	largeLongRate = 75.9
+	largePairRate = 973
+	// largeTaskCPU is what a task needs, in thousandths of a core.
+	largeTaskCPU = 7600
 )
 
-func manyHosts(name string) Load {
+func largeLoad(name string) Load {
 	const wait = 1500 * time.Millisecond
 	return Load{
 		Name:      name,
@@ -23,9 +23,9 @@
 		RunnerCPU: 32_000,
 		Sizes:     []float64{1, 1, 1.5},
 		Kinds: []Kind{
-			{Name: "wide", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: largeTask, PerSecond: largeWide, Deadline: wait, Urgency: 0},
-			{Name: "long", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: largeTask, PerSecond: largeLong, Deadline: 3 * wait, Urgency: 2},
-			{Name: "pair", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: largeTask, PerSecond: largePair, Deadline: wait, Urgency: 1},
+			{Name: "wide", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeWideRate, Deadline: wait, Urgency: 0},
+			{Name: "long", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeLongRate, Deadline: 3 * wait, Urgency: 2},
+			{Name: "pair", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largePairRate, Deadline: wait, Urgency: 1},
 		},
 		Zones: []Zone{
 			{Name: "a", Entries: 10, Runners: 40, Callers: 0.19, Clients: 16},
@@ -38,21 +38,21 @@
 	}
 }
 
-// fullLarge is the load at which these runners are just busy.
-const fullLarge = 1 / 0.73
+// fullLargeLoad scales the large load so that it just saturates its runners.
+const fullLargeLoad = 1 / 0.73
 
-func large() []Load {
-	calm := manyHosts("large-calm").times(1.1)
-	over := manyHosts("large-over").times(1.1 * fullLarge)
-	wave := manyHosts("large-wide-burst").times(1.1)
-	wave.Bursts = []Burst{{At: 2 * time.Second, For: 4 * time.Second, Times: 2.5, Kind: "wide"}}
-	burst := manyHosts("large-burst").times(1.1)
+func largeLoads() []Load {
+	calm := largeLoad("large-calm").scaled(1.1)
+	over := largeLoad("large-over").scaled(1.1 * fullLargeLoad)
+	wideBurst := largeLoad("large-wide-burst").scaled(1.1)
+	wideBurst.Bursts = []Burst{{At: 2 * time.Second, For: 4 * time.Second, Times: 2.5, Kind: "wide"}}
+	burst := largeLoad("large-burst").scaled(1.1)
 	burst.Bursts = []Burst{{At: 2 * time.Second, For: 4 * time.Second, Times: 1.35}}
-	failing := manyHosts("large-failing").times(1.1)
+	failing := largeLoad("large-failing").scaled(1.1)
 	failing.Troubles = []Trouble{{At: 2 * time.Second, For: 4 * time.Second, Wrong: Failing, Runners: 3}}
-	gone := manyHosts("large-gone").times(1.1)
+	gone := largeLoad("large-gone").scaled(1.1)
 	gone.Troubles = []Trouble{{At: 2 * time.Second, For: 3 * time.Second, Wrong: Gone, Runners: 6}}
-	back := manyHosts("large-restart").times(1.1)
-	back.Troubles = []Trouble{{At: 2 * time.Second, For: 1500 * time.Millisecond, Wrong: Gone, Runners: 40}}
-	return []Load{calm, over, wave, burst, failing, gone, back}
+	restart := largeLoad("large-restart").scaled(1.1)
+	restart.Troubles = []Trouble{{At: 2 * time.Second, For: 1500 * time.Millisecond, Wrong: Gone, Runners: 40}}
+	return []Load{calm, over, wideBurst, burst, failing, gone, restart}
 }
--- a/bench/replay/link.go
+++ b/bench/replay/link.go
@@ -9,14 +9,15 @@
 	"almondstand.dev/guard/runs"
 )
 
-// When entries with pending tasks confirm capacity; see entry/sessions.
+// Thresholds for the confirmations that entries with queued tasks send; see
+// entry/sessions.
 const (
 	confirmDelay = 10 * time.Millisecond
 	confirmAge   = 10 * time.Millisecond
 )
 
-// link is a guard's session with one entry; see guard/uplink.
-type link struct {
+// session is a guard's session with one entry; see guard/uplink.
+type session struct {
 	guard   *guard
 	entry   *entry
 	owner   runs.Owner
@@ -24,18 +25,18 @@
 	demand  int64
 
 	reports []runs.Report
-	// capacityDue is when capacity is to be sent, reportsDue when reports are; never for
-	// neither.
+	// capacityDue is the time at which capacity is to be sent, reportsDue that of the
+	// reports; never when there is nothing to send.
 	capacityDue, reportsDue time.Duration
 	capacitySent            time.Duration
 	sentCapacity            runs.Capacity
 	withReports             bool
-	// read is the clock of the newest message that the entry has confirmed; owed is true
-	// while capacity waits for that.
-	read time.Duration
-	owed bool
-	// flush is the newest flush that is planned, for flushAt: older ones are void.
-	flush   int
+	// read is the clock reading of the newest message whose receipt the entry has
+	// confirmed; awaitingRead is true while the next capacity is withheld until then.
+	read         time.Duration
+	awaitingRead bool
+	// flushID identifies the scheduled flush, at flushAt; older ones are ignored.
+	flushID int
 	flushAt time.Duration
 }
 
@@ -43,112 +44,113 @@
 const never = time.Duration(1<<63 - 1)
 
 func (g *guard) attach(e *entry) {
-	l := &link{guard: g, entry: e, owner: runs.Owner{Entry: fmt.Sprint("entry-", e.number), Incarnation: 1}, capacityDue: g.sim.now, reportsDue: never}
-	g.links = append(g.links, l)
-	l.plan()
-	g.sim.after(pingEvery, l.ping)
+	l := &session{guard: g, entry: e, owner: runs.Owner{Entry: fmt.Sprint("entry-", e.number), Incarnation: 1}, capacityDue: g.sim.now, reportsDue: never}
+	g.sessions = append(g.sessions, l)
+	l.scheduleFlush()
+	g.sim.after(pingInterval, l.ping)
 }
 
-func (g *guard) link(e *entry) *link {
-	i := slices.IndexFunc(g.links, func(l *link) bool { return l.entry == e })
-	return g.links[i]
+func (g *guard) session(e *entry) *session {
+	i := slices.IndexFunc(g.sessions, func(l *session) bool { return l.entry == e })
+	return g.sessions[i]
 }
 
-// ping keeps the guard's word of the entry fresh.
-func (l *link) ping() {
+// ping makes the entry send a message to the guard at every interval, so that the guard
+// knows it to be alive.
+func (l *session) ping() {
 	l.entry.cpu.run(0, func() { l.entry.send(l.guard, orders{}) })
-	l.guard.sim.after(pingEvery, l.ping)
+	l.guard.sim.after(pingInterval, l.ping)
 }
 
-func (l *link) setPending(w bool, demand int64) {
-	changed := w && !l.pending
-	l.pending, l.demand = w, demand
+func (l *session) setPending(pending bool, demand int64) {
+	changed := pending && !l.pending
+	l.pending, l.demand = pending, demand
 	if changed {
 		l.guard.deliver(nil)
 	}
 }
 
 // PendingDemand implements advertise.Session.
-func (l *link) PendingDemand() int64 { return l.demand }
+func (l *session) PendingDemand() int64 { return l.demand }
 
 // HasPending implements advertise.Session.
-func (l *link) HasPending() bool { return l.pending }
+func (l *session) HasPending() bool { return l.pending }
 
 // LastSent implements advertise.Session.
-func (l *link) LastSent() time.Time { return wall(l.capacitySent) }
+func (l *session) LastSent() time.Time { return toTime(l.capacitySent) }
 
 // Changed implements advertise.Session.
-func (l *link) Changed(r runs.Capacity) bool {
+func (l *session) Changed(r runs.Capacity) bool {
 	t := l.sentCapacity
 	return t.Open != r.Open || t.Cleared != r.Cleared || t.Incarnation != r.Incarnation || t.Total != r.Total
 }
 
 // SendAt implements advertise.Session.
-func (l *link) SendAt(at time.Time) {
+func (l *session) SendAt(at time.Time) {
 	l.capacityDue = time.Duration(at.UnixNano())
-	l.plan()
+	l.scheduleFlush()
 }
 
 // SendAfter implements advertise.Session.
-func (l *link) SendAfter(pace time.Duration, contended bool) {
-	l.capacityDue = min(l.capacityDue, l.capacitySent+pace)
+func (l *session) SendAfter(interval time.Duration, contended bool) {
+	l.capacityDue = min(l.capacityDue, l.capacitySent+interval)
 	l.withReports = l.withReports || !contended
-	l.plan()
+	l.scheduleFlush()
 }
 
 // Withhold implements advertise.Session.
-func (l *link) Withhold() { l.capacityDue = never }
+func (l *session) Withhold() { l.capacityDue = never }
 
 // Unread implements advertise.Session.
-func (l *link) Unread() bool { return l.read < l.capacitySent }
+func (l *session) Unread() bool { return l.read < l.capacitySent }
 
 // SendOnceRead implements advertise.Session.
-func (l *link) SendOnceRead() { l.capacityDue, l.owed = never, true }
+func (l *session) SendOnceRead() { l.capacityDue, l.awaitingRead = never, true }
 
-// confirm takes note of what the entry has read.
-func (l *link) confirm(read time.Duration) {
+// confirmRead records up to which message the entry has received.
+func (l *session) confirmRead(read time.Duration) {
 	l.read = max(l.read, read)
-	if l.owed && !l.Unread() {
-		l.owed = false
+	if l.awaitingRead && !l.Unread() {
+		l.awaitingRead = false
 		l.guard.deliver(nil)
 	}
 }
 
-func (l *link) push(r runs.Report) {
+func (l *session) queueReport(r runs.Report) {
 	at := l.guard.sim.now
 	if r.State == runs.Running {
-		at += startsDelay
+		at += startReportDelay
 	} else {
 		l.reports = slices.DeleteFunc(l.reports, func(old runs.Report) bool { return old.Run == r.Run })
 	}
 	l.reports = append(l.reports, r)
 	l.reportsDue = min(l.reportsDue, at)
 	l.withReports = l.withReports || r.State == runs.NotStarted
-	l.plan()
+	l.scheduleFlush()
 }
 
-// plan has the next message sent when it is due.
-func (l *link) plan() {
+// scheduleFlush schedules the next message for the time at which it is due.
+func (l *session) scheduleFlush() {
 	next := min(l.capacityDue, l.reportsDue)
 	if next == l.flushAt {
 		return
 	}
-	l.flush++
+	l.flushID++
 	l.flushAt = next
-	mine := l.flush
+	current := l.flushID
 	if next == never {
 		return
 	}
 	l.guard.sim.at(next, func() {
-		if l.flush == mine {
+		if l.flushID == current {
 			l.flushAt = 0
-			l.message()
+			l.sendMessage()
 		}
 	})
 }
 
-// message sends the reports, and the capacity if it is due or goes along.
-func (l *link) message() {
+// sendMessage sends the reports, and the capacity if it is due or accompanies them.
+func (l *session) sendMessage() {
 	now := l.guard.sim.now
 	due := l.capacityDue <= now || l.withReports && l.reportsDue <= now
 	reports := l.reports
@@ -161,15 +163,15 @@
 	}
 	l.guard.sim.result.Messages++
 	e := l.entry
-	l.guard.sim.after(messageTime, func() {
-		e.cpu.run(readCost, func() { e.hear(l.guard.id, now, reports, capacity) })
+	l.guard.sim.after(messageDelay, func() {
+		e.cpu.run(readCost, func() { e.receive(l.guard.id, now, reports, capacity) })
 	})
-	l.plan()
+	l.scheduleFlush()
 }
 
-// hear takes a guard's message.
-func (e *entry) hear(guard string, sent time.Duration, reports []runs.Report, capacity *planner.Room) {
-	e.clocks[guard] = reading{sent, e.sim.now}
+// receive handles a guard's message.
+func (e *entry) receive(guard string, sent time.Duration, reports []runs.Report, capacity *planner.Room) {
+	e.clocks[guard] = clockReading{sent, e.sim.now}
 	for _, r := range reports {
 		if r.State == runs.Crashed {
 			e.plan.Crash(e.sim.now, guard, r.Run, r.Ran(sent), planner.Crash{Others: r.Crash.Others, Newest: r.Crash.Newest})
@@ -180,17 +182,17 @@
 	if capacity != nil {
 		e.plan.Describe(e.sim.now, guard, *capacity)
 	}
-	e.act()
+	e.runPlanner()
 	if capacity != nil {
-		e.confirm(guard, sent)
+		e.confirmCapacity(guard, sent)
 	}
 }
 
-// confirm tells a guard a moment later that its capacity has been read, unless a message
-// to it does by then; see entry/sessions.
-func (e *entry) confirm(guard string, sent time.Duration) {
+// confirmCapacity tells a guard after a short delay that its capacity was received,
+// unless another message to the guard has done so by then; see entry/sessions.
+func (e *entry) confirmCapacity(guard string, sent time.Duration) {
 	pending, _ := e.plan.Waiting(e.sim.now, guard)
-	if !pending || e.sim.now-sent-messageTime > confirmAge {
+	if !pending || e.sim.now-sent-messageDelay > confirmAge {
 		return
 	}
 	e.sim.after(confirmDelay, func() {
--- a/bench/replay/load.go
+++ b/bench/replay/load.go
@@ -1,7 +1,7 @@
-// Package replay plays loads against the deciding packages alone: planners as
-// entries use them, and the guards' accounts of their runners, in simulated time.
-// It shows what a way of deciding gives to callers, in seconds and repeatably.
-// Processor time counts for entries on hosts with a share of a core; see cpu.go.
+// Package replay simulates loads against the scheduling packages alone: planners as
+// entries use them, and the guards' run tables, in simulated time. It shows what a
+// scheduling policy gives to callers, within seconds and reproducibly. Processor time
+// is simulated for entries on hosts with a share of a core; see cpu.go.
 package replay
 
 import (
@@ -9,56 +9,60 @@
 	"time"
 )
 
-// Kind of jobs.
+// Kind describes one kind of jobs.
 type Kind struct {
 	Name string
-	// Tasks of a job, how long each runs, and what it takes, thousandths of a core.
+	// Tasks is the number of tasks of a job, Run how long each runs, and CPUMilli what
+	// each needs, in thousandths of a core.
 	Tasks    int
 	Run      time.Duration
 	CPUMilli int64
-	// PerSecond is the rate of jobs, all zones together.
+	// PerSecond is the rate of jobs in all data centres together.
 	PerSecond float64
 	// Deadline is how long the caller waits.
 	Deadline time.Duration
-	// Urgency of its contract; 0 comes first.
+	// Urgency is that of the contract; 0 is the most urgent.
 	Urgency int
 }
 
-// Zone holds entries and runners, and a share of the callers.
+// Zone is a data centre with its entries and runners and its share of the callers.
 type Zone struct {
 	Name             string
 	Entries, Runners int
 	Callers          float64
-	// Clients are the addresses from which the callers come; each stays with one entry,
-	// so that entries have uneven loads. Zero spreads the callers evenly.
+	// Clients is the number of addresses from which the callers come. Each address
+	// always uses the same entry, so that entries have uneven loads. Zero spreads the
+	// callers evenly.
 	Clients int
-	// Share of a core that each entry host has; zero takes no processor time into account.
+	// Share is the share of a core that each entry host has; zero disables the
+	// simulation of processor time.
 	Share float64
 }
 
-// Burst multiplies the rate of one kind, or of all for "".
+// Burst multiplies the rate of one kind, or of all kinds if Kind is empty.
 type Burst struct {
 	At, For time.Duration
 	Times   float64
 	Kind    string
 }
 
-// Wrong is what goes wrong with runners.
+// Wrong is a kind of runner fault.
 type Wrong int
 
-// Troubles of runners.
+// Runner faults.
 const (
 	// Slow: runs take Times as long.
 	Slow Wrong = iota + 1
 	// Failing: runs fail at once.
 	Failing
-	// Hanging: runs don't end by themselves.
+	// Hanging: runs don't end unless they are stopped.
 	Hanging
-	// Gone: the runner is away with all its runs, and comes back empty.
+	// Gone: the runner and all its runs disappear; the runner returns without runs.
 	Gone
 )
 
-// Trouble of the first Runners of each zone.
+// Trouble is a fault of the first Runners runners of each data centre, from At on and
+// for the duration For.
 type Trouble struct {
 	At, For time.Duration
 	Wrong   Wrong
@@ -66,8 +70,9 @@
 	Times   float64
 }
 
-// Poison is Jobs of one kind, spread over a second, each of which has one task that crashes
-// every runner that starts it, After its start. The runner is back a few seconds later.
+// Poison submits Jobs jobs of one kind, spread over a second. Each has one task that
+// crashes every runner on which it starts, After its start. The runner returns a few
+// seconds later.
 type Poison struct {
 	At    time.Duration
 	Jobs  int
@@ -75,19 +80,21 @@
 	After time.Duration
 }
 
-// Held has the processors of all entries with a share of one run slower by Times.
+// Held slows the processors of all entries that have a share of a core by the factor
+// Times.
 type Held struct {
 	At, For time.Duration
 	Times   float64
 }
 
-// Load is one run's input.
+// Load is the input of one simulation.
 type Load struct {
 	Name string
 	For  time.Duration
-	// RunnerCPU is what a runner has, thousandths of a core.
+	// RunnerCPU is the capacity of a runner, in thousandths of a core.
 	RunnerCPU int64
-	// Sizes of the runners in turn, times RunnerCPU; all are alike without.
+	// Sizes are factors of RunnerCPU that the runners have in turn; if empty, all
+	// runners are alike.
 	Sizes    []float64
 	Kinds    []Kind
 	Zones    []Zone
@@ -97,7 +104,7 @@
 	Poison   []Poison
 }
 
-// runnerCPU is what the runner of a number has, thousandths of a core.
+// runnerCPU returns the capacity of the n-th runner, in thousandths of a core.
 func (l Load) runnerCPU(n int) int64 {
 	if len(l.Sizes) == 0 {
 		return l.RunnerCPU
@@ -105,25 +112,26 @@
 	return int64(float64(l.RunnerCPU) * l.Sizes[n%len(l.Sizes)])
 }
 
-// What callers want: Stretch times the work and Allowance more.
+// The target response time of callers is targetFactor times the run time plus
+// targetAllowance.
 const (
-	stretch   = 1.6
-	allowance = 60 * time.Millisecond
+	targetFactor    = 1.6
+	targetAllowance = 60 * time.Millisecond
 )
 
-// aim is the time in which the answer of a job of this size is wanted.
-func (k Kind) aim(size float64) time.Duration {
-	return time.Duration(float64(k.Run)*size*stretch) + allowance
+// target returns the target response time of a job of this size.
+func (k Kind) target(size float64) time.Duration {
+	return time.Duration(float64(k.Run)*size*targetFactor) + targetAllowance
 }
 
-// Rates that fill some 85 % of the runners: 40 of 32 cores.
+// Rates that use about 85 % of the runners: 40 runners of 32 cores.
 const (
 	narrowRate = 145
 	longRate   = 33
 	pairRate   = 420
 )
 
-// base is a day without trouble: three kinds, four zones.
+// base returns the load of a day without faults: three kinds, four data centres.
 func base(name string) Load {
 	return Load{
 		Name:      name,
@@ -143,13 +151,13 @@
 	}
 }
 
-// Standard returns the loads that the tests and the page use.
+// Standard returns the loads that the tests and the documentation use.
 func Standard() []Load {
 	calm := base("calm")
 	burst := base("burst")
 	burst.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 1.8}}
-	wave := base("narrow-burst")
-	wave.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 4, Kind: "narrow"}}
+	narrowBurst := base("narrow-burst")
+	narrowBurst.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 4, Kind: "narrow"}}
 	slow := base("slow")
 	slow.Troubles = []Trouble{{At: 4 * time.Second, For: 5 * time.Second, Wrong: Slow, Runners: 1, Times: 5}}
 	failing := base("failing")
@@ -158,5 +166,5 @@
 	hanging.Troubles = []Trouble{{At: 4 * time.Second, For: 5 * time.Second, Wrong: Hanging, Runners: 1}}
 	gone := base("gone")
 	gone.Troubles = []Trouble{{At: 4 * time.Second, For: 3 * time.Second, Wrong: Gone, Runners: 3}}
-	return append([]Load{calm, burst, wave, slow, failing, hanging, gone}, slices.Concat(travel(), large(), thin(), poison())...)
+	return append([]Load{calm, burst, narrowBurst, slow, failing, hanging, gone}, slices.Concat(smallLoads(), largeLoads(), thinEntryLoads(), crashLoads())...)
 }
--- a/bench/replay/poison.go
+++ b/bench/replay/poison.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Loads with jobs of which one task crashes every runner that starts it.
+// Loads with jobs of which one task crashes every runner on which it starts.
 
-// patientKind is the kind whose callers wait longest: their jobs crash most runners.
-const patientKind = 1
+// longestDeadlineKind is the index of the kind whose callers wait longest: its jobs
+// have the time to crash the most runners.
+const longestDeadlineKind = 1
 
-// fresh is the time after a start at which most tasks that crash their runner do so.
-const fresh = 5 * time.Millisecond
+// usualCrashDelay is the time after the start of a task within which most crashing
+// tasks crash their runner.
+const usualCrashDelay = 5 * time.Millisecond
 
-// poisoned adds jobs that crash runners to a load, in its third second.
-func (l Load) poisoned(name string, jobs int, after time.Duration) Load {
+// withCrashingJobs adds jobs that crash runners to a load, in its third second.
+func (l Load) withCrashingJobs(name string, jobs int, after time.Duration) Load {
 	l.Name = name
 	l.Bursts = nil
-	l.Poison = []Poison{{At: 2 * time.Second, Jobs: jobs, Kind: patientKind, After: after}}
+	l.Poison = []Poison{{At: 2 * time.Second, Jobs: jobs, Kind: longestDeadlineKind, After: after}}
 	return l
 }
 
-func poison() []Load {
-	thirty := small("").times(30.0 / 11 * 0.95 * full)
+func crashLoads() []Load {
+	thirty := smallLoad("").scaled(30.0 / 11 * 0.95 * fullLoad)
 	thirty.For = 8 * time.Second
 	thirty.Zones = []Zone{
 		{Name: "a", Entries: 2, Runners: 10, Callers: 0.34},
 		{Name: "b", Entries: 2, Runners: 10, Callers: 0.33},
 		{Name: "c", Entries: 1, Runners: 10, Callers: 0.33},
 	}
-	many := manyHosts("").times(0.95 * fullLarge)
+	many := largeLoad("").scaled(0.95 * fullLargeLoad)
 	return []Load{
-		thirty.poisoned("poison-5", 5, fresh),
-		thirty.poisoned("poison-20", 20, fresh),
-		thirty.poisoned("poison-late-5", 5, 150*time.Millisecond),
-		many.poisoned("large-poison-20", 20, fresh),
+		thirty.withCrashingJobs("poison-5", 5, usualCrashDelay),
+		thirty.withCrashingJobs("poison-20", 20, usualCrashDelay),
+		thirty.withCrashingJobs("poison-late-5", 5, 150*time.Millisecond),
+		many.withCrashingJobs("large-poison-20", 20, usualCrashDelay),
 	}
 }
--- a/bench/replay/replay_test.go
+++ b/bench/replay/replay_test.go
@@ -17,28 +17,29 @@
 			return l
 		}
 	}
-	t.Fatalf("no load %s", name)
+	t.Fatalf("unknown load %s", name)
 	return replay.Load{}
 }
 
-// play plays a load in the product's way.
+// play simulates a load with the production policy.
 func play(t *testing.T, name string) *replay.Result {
 	t.Helper()
 	r := replay.Play(load(t, name), replay.Ways()[0], 1)
-	t.Logf("%s: in aim %.3f; late %d, refused %d, failed %d of %d", name, r.All.Share(), r.All.Late, r.All.Refused, r.All.Failed, r.All.Asked)
-	assert.Equal(t, r.Denied, 0, "jobs were told as not run of which a run had begun")
+	t.Logf("%s: on time %.3f; late %d, rejected %d, failed %d of %d", name, r.All.Share(), r.All.Late, r.All.Refused, r.All.Failed, r.All.Asked)
+	assert.Equal(t, r.Denied, 0, "jobs were reported as not run although a run had started")
 	return r
 }
 
-// simply plays a load in the order of arrival, none refused before its deadline.
-func simply(t *testing.T, name string) *replay.Result {
+// playSimple simulates a load in order of arrival, without rejections before the
+// deadline.
+func playSimple(t *testing.T, name string) *replay.Result {
 	t.Helper()
 	r := replay.Play(load(t, name), replay.Ways()[1], 1)
-	t.Logf("%s, the simple way: in aim %.3f", name, r.All.Share())
+	t.Logf("%s, the simple policy: on time %.3f", name, r.All.Share())
 	return r
 }
 
-// Without trouble nobody is refused, late or failed.
+// TestCalmDay: without faults no job is rejected, late or failed.
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
 	ours := play(t, "calm")
@@ -46,12 +47,13 @@
 	assert.Equal(t, ours.All.Refused+ours.All.Failed, 0)
 }
 
-// Callers come nearly twice as often as there is room for. Served in their order
-// and none refused, all wait and hardly anyone is answered in time, also seconds
-// after the burst. Those who can't be must be told within a second.
+// TestBurst: jobs arrive at nearly twice the rate that the runners can handle. Served
+// in order of arrival without rejections, all jobs wait and hardly any is answered on
+// time, even seconds after the burst. Jobs that can't be answered must be rejected
+// within a second.
 func TestBurst(t *testing.T) {
 	t.Parallel()
-	ours, simple := play(t, "burst"), simply(t, "burst")
+	ours, simple := play(t, "burst"), playSimple(t, "burst")
 	assert.Assert(t, ours.All.Share() > 2*simple.All.Share())
 	assert.Assert(t, ours.All.Share() > 0.8)
 	assert.Assert(t, ours.All.Late < ours.All.Asked/40)
@@ -59,28 +61,28 @@
 	assert.Assert(t, ours.Slowest(0.99) < time.Second, "%s", ours.Slowest(0.99))
 	for _, part := range []map[string]*replay.Count{ours.Sizes, ours.Zones, ours.Kinds} {
 		for name, c := range part {
-			assert.Assert(t, c.Share() > 0.7, "%s is left out for others: %.3f", name, c.Share())
+			assert.Assert(t, c.Share() > 0.7, "%s is neglected in favour of others: %.3f", name, c.Share())
 		}
 	}
 }
 
-// Jobs of eight short tasks come in a burst. They must not be started so late that
-// one of the eight ends after the time wanted: each of these takes the room of a
-// job that would have been in time.
+// TestNarrowBurst: a burst of jobs of eight short tasks. They must not be started so
+// late that one of the eight tasks ends after the target response time: every such job
+// takes the capacity of a job that would have been on time.
 func TestNarrowBurst(t *testing.T) {
 	t.Parallel()
-	ours, simple := play(t, "narrow-burst"), simply(t, "narrow-burst")
+	ours, simple := play(t, "narrow-burst"), playSimple(t, "narrow-burst")
 	assert.Assert(t, ours.All.Share() > 0.85)
 	assert.Assert(t, ours.Kinds["narrow"].Share() > 0.75)
 	assert.Assert(t, ours.All.Late < ours.All.Asked/50)
 	assert.Assert(t, ours.All.Share() > simple.All.Share()+0.2)
 	for _, kind := range []string{"long", "pair"} {
-		assert.Assert(t, ours.Kinds[kind].Share() > 0.85, "%s pays for the burst of another kind", kind)
+		assert.Assert(t, ours.Kinds[kind].Share() > 0.85, "%s suffers from the burst of another kind", kind)
 	}
 }
 
-// One runner of ten goes wrong, in each zone: it takes five times as long, fails at
-// once and so looks free, or ends nothing. Callers see hardly any of it.
+// TestRunnersGoWrong: in each data centre one runner of ten takes five times as long,
+// fails at once and so looks free, or ends no run. Callers must hardly be affected.
 func TestRunnersGoWrong(t *testing.T) {
 	for _, name := range []string{"slow", "failing", "hanging"} {
 		t.Run(name, func(t *testing.T) {
@@ -92,16 +94,17 @@
 	}
 }
 
-// Three runners of ten are gone for three seconds with all that runs there.
+// TestRunnersGone: three runners of ten disappear for three seconds with all their
+// runs.
 func TestRunnersGone(t *testing.T) {
 	t.Parallel()
-	ours, simple := play(t, "gone"), simply(t, "gone")
+	ours, simple := play(t, "gone"), playSimple(t, "gone")
 	assert.Assert(t, ours.All.Share() > 0.9)
 	assert.Assert(t, ours.All.Share() > simple.All.Share()+0.1)
 	assert.Assert(t, ours.Windows["  10 s"].Share() > 0.97)
 }
 
-// The same seed gives the same run.
+// TestReplayRepeats: the same seed gives the same result.
 func TestReplayRepeats(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"hanging", "gone", "poison-20", "thin-slow"} {
@@ -114,27 +117,30 @@
 	}
 }
 
-// held is what the product gives against the yardstick, in aim.
-func held(ours *replay.Result, l replay.Load) float64 {
+// shareOfOracle returns the share of jobs that production answers on time, relative to
+// the oracle's.
+func shareOfOracle(ours *replay.Result, l replay.Load) float64 {
 	best := replay.Best(ours, replay.Yardstick(l, 1), func(r *replay.Result) float64 { return r.All.Share() })
 	return ours.All.Share() / best
 }
 
-// Half as much again comes as can be done, for as long as the load lasts. Nearly all
-// that could be served in time is, and no kind pays for the others: first come, the
-// wide urgent jobs would hardly ever find room for all their tasks at once.
+// TestOverloadThatLasts: up to one and a half times the capacity is asked for during
+// the whole load. Nearly all jobs that could be answered on time must be, and no kind
+// may suffer for the others: in order of arrival, the wide urgent jobs would hardly
+// ever find capacity for all their tasks at once.
 func TestOverloadThatLasts(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"over-1.2", "over-1.5"} {
 		ours := play(t, name)
-		share := held(ours, load(t, name))
-		assert.Assert(t, share > 0.93 && share <= 1, "%s: %.3f of the yardstick", name, share)
-		assert.Assert(t, ours.Kinds["hold"].Share() >= ours.Kinds["quote"].Share()-0.05, "the urgent are served no worse than the others")
+		share := shareOfOracle(ours, load(t, name))
+		assert.Assert(t, share > 0.93 && share <= 1, "%s: %.3f of the oracle", name, share)
+		assert.Assert(t, ours.Kinds["hold"].Share() >= ours.Kinds["quote"].Share()-0.05, "the urgent jobs are served worse than the others")
 	}
 }
 
-// Everything is away for 1.5 s at full load, and all who came meanwhile wait. Kept
-// through that moment, some are late; refused, they would have had no answer.
+// TestRestartAtFullLoad: all runners disappear for 1.5 s at full load, and the jobs
+// that arrive meanwhile wait. When they are kept, some are late; if they were rejected,
+// they would get no answer.
 func TestRestartAtFullLoad(t *testing.T) {
 	t.Parallel()
 	ours := play(t, "restart")
@@ -142,7 +148,7 @@
 	assert.Assert(t, ours.Windows["  10 s"].Share() > 0.8)
 }
 
-// Without trouble the yardstick serves all.
+// TestYardstick: without faults the oracle serves all jobs.
 func TestYardstick(t *testing.T) {
 	t.Parallel()
 	for _, r := range replay.Yardstick(load(t, "calm"), 1) {
@@ -150,75 +156,80 @@
 	}
 }
 
-// Some entries have the callers of four addresses and some none, and each sees a fifth of
-// the runners. Nobody may be turned away while all runners together have room, and a
-// burst of the widest kind leaves the others most of what they had.
+// TestManyHosts: some entries receive the callers of four addresses and some none, and
+// each sees a fifth of the runners. No job may be rejected while all runners together
+// have capacity, and a burst of the widest kind must leave the other kinds most of what
+// they had.
 func TestManyHosts(t *testing.T) {
 	t.Parallel()
-	calm, wave := load(t, "large-calm"), load(t, "large-wide-burst")
-	calm.For, wave.For = 1500*time.Millisecond, 3*time.Second
+	calm, wideBurst := load(t, "large-calm"), load(t, "large-wide-burst")
+	calm.For, wideBurst.For = 1500*time.Millisecond, 3*time.Second
 	w := replay.Ways()[0]
 	ours := replay.Play(calm, w, 1)
 	assert.Assert(t, ours.All.Share() > 0.995, "%.3f", ours.All.Share())
 	assert.Equal(t, ours.All.Refused+ours.All.Failed, 0)
-	ours = replay.Play(wave, w, 1)
+	ours = replay.Play(wideBurst, w, 1)
 	assert.Assert(t, ours.Kinds["pair"].Served() > 0.85, "%.3f", ours.Kinds["pair"].Served())
 	assert.Assert(t, ours.Kinds["wide"].Served() > 0.85, "%.3f", ours.Kinds["wide"].Served())
 }
 
-// A data centre has two entries on small hosts, and one of them most of its callers. For
-// four seconds callers come more often, and tasks wait there. The others' tasks don't, so
-// each guard sends every change of its capacity to this one entry: thousands of messages a
-// second that it has no processor time to read. What it orders is seconds late by then and
-// rejected, so its tasks go on waiting, and callers are turned away for the rest of the
-// day: the other entries' runs keep it going, not its own load. A lost entry's lines of
-// entry.lag: 459 messages read and 497 starts in a second before the burst; 5,389 read and
-// 288 starts, 273 of them not taken, message_age_ms 1466, nine seconds after it.
+// TestThinEntriesAreServedAfterABurst guards against a congestion collapse. One data
+// centre has two entries on small hosts, and one of them receives most of its callers.
+// During a burst of four seconds tasks are queued at this entry. No tasks are queued at
+// the other entries, so each guard sends every change of its capacity to this one
+// entry: thousands of messages a second that it has no processor time to read. Its
+// start orders are then based on capacity that is seconds old and are rejected, so its
+// tasks stay queued and its callers are rejected for the rest of the day: the runs of
+// the other entries sustain the overload, not its own load. The entry.lag lines of such
+// an entry: 459 messages read and 497 starts in a second before the burst; 5,389 read
+// and 288 starts, 273 of them not taken, message_age_ms 1466, nine seconds after it.
 func TestThinEntriesAreServedAfterABurst(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			servedAgain(t, "thin-burst", seed)
+			assertRecovered(t, "thin-burst", seed)
 		})
 	}
 }
 
-// The same entries' hosts are slowed to a sixth for three seconds, or three times as many
-// callers come as there is room for. Both leave entries seconds late, and must not outlast
-// themselves.
+// TestThinEntriesAreServedAfterSlowHosts: the hosts of the same entries run at a sixth
+// of their speed for three seconds, or three times as many jobs arrive as there is
+// capacity for. Both leave entries seconds behind, and neither effect may outlast its
+// cause.
 func TestThinEntriesAreServedAfterSlowHosts(t *testing.T) {
 	for _, name := range []string{"thin-slow", "thin-flood"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servedAgain(t, name, 1)
+			assertRecovered(t, name, 1)
 		})
 	}
 }
 
-// servedAgain fails unless the thin data centre is served like the others from 2 s after the
-// end of a load's trouble on, at 6 s.
-func servedAgain(t *testing.T, name string, seed uint64) {
+// assertRecovered fails unless the data centre with the small entry hosts is served
+// like the others from 2 s after the end of a load's disturbance on, which ends at 6 s.
+func assertRecovered(t *testing.T, name string, seed uint64) {
 	t.Helper()
 	r := replay.Play(load(t, name), replay.Ways()[0], seed)
 	for _, w := range []string{"   8 s", "  10 s"} {
 		thin, all := *r.ZoneWindows["thin"+w], *r.Windows[w]
 		others := replay.Count{Asked: all.Asked - thin.Asked, InAim: all.InAim - thin.InAim}
-		t.Logf("%s: in aim %.3f, in the other data centres %.3f", w, thin.Share(), others.Share())
+		t.Logf("%s: on time %.3f, in the other data centres %.3f", w, thin.Share(), others.Share())
 		assert.Check(t, thin.Share() > others.Share()-0.03, "%s: the data centre is not served like the others", w)
 	}
 }
 
-// Five jobs come within a second of which one task crashes every runner that starts it, at
-// full load and beside nine others. Started again without end, each would take six runners
-// while its caller waits, and the others' callers pay. Three at most each, and no job that
-// merely stood beside is failed.
+// TestPoisonousJobsAreGivenUp: within a second five jobs arrive of which one task
+// crashes every runner on which it starts, at full load and beside nine other tasks.
+// Restarted without limit, each would crash six runners while its caller waits, at the
+// expense of the other callers. Each may crash at most three, and no job whose tasks
+// merely ran beside may fail.
 func TestPoisonousJobsAreGivenUp(t *testing.T) {
 	for _, name := range []string{"poison-5", "poison-late-5"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, name)
 			mean, most := r.CrashesEach()
-			t.Logf("runners crashed: %.2f by each, %d at most; sound jobs failed: %d", mean, most, r.GivenUp)
+			t.Logf("runners crashed: %.2f by each, %d at most; other jobs failed: %d", mean, most, r.GivenUp)
 			assert.Assert(t, most <= 3)
 			assert.Equal(t, r.GivenUp, 0)
 		})
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -13,43 +13,46 @@
 	"almondstand.dev/guard/runs"
 )
 
-// window of the table by time.
+// window is the length of the time windows in the table.
 const window = 2 * time.Second
 
-// Count of jobs by what became of them.
+// Count counts jobs by outcome.
 type Count struct {
 	Asked, InAim, Late, Refused, Failed int
 }
 
-// Share of the jobs answered in the time wanted.
+// Share is the share of jobs answered within their target response time.
 func (c Count) Share() float64 { return float64(c.InAim) / float64(max(c.Asked, 1)) }
 
-// Served is the share of the jobs answered at all.
+// Served is the share of jobs answered at all.
 func (c Count) Served() float64 { return float64(c.InAim+c.Late) / float64(max(c.Asked, 1)) }
 
-// Result of one run.
+// Result is the result of one simulation.
 type Result struct {
 	Load, Way string
 	All       Count
-	// By kind, size class, zone and window of arrival.
+	// Counts by kind, size class, data centre and time window of the arrival.
 	Kinds, Sizes, Zones, Windows map[string]*Count
-	// ZoneWindows are by zone and window of arrival.
+	// ZoneWindows holds counts by data centre and time window of the arrival.
 	ZoneWindows map[string]*Count
-	// RefusedIn are the times from arrival to refusal.
+	// RefusedIn holds the times from arrival to rejection of the rejected jobs.
 	RefusedIn []time.Duration
-	// RefusedWithRoom counts refusals while some runner had room for a task.
+	// RefusedWithRoom is the number of rejections while some runner had capacity for a
+	// task.
 	RefusedWithRoom int
-	// Misplaced counts orders that a guard turned down, by reason.
+	// Misplaced counts the start orders that a guard refused, by reason.
 	Misplaced map[string]int
-	// Denied counts jobs told as refused of which a run had begun.
+	// Denied is the number of jobs that were reported as rejected although one of their
+	// runs had started.
 	Denied int
-	// Orders that guards were given.
+	// Orders is the number of start orders that guards received.
 	Orders int
-	// Messages of guards to entries.
+	// Messages is the number of messages from guards to entries.
 	Messages int
-	// Crashes are the lives of runners that jobs have crashed, by the number of jobs that
-	// crashed so many. GivenUp counts sound jobs that were given up for crashes.
-	Crashes map[*submitted]int
+	// Crashes holds, for each job that crashes runners, the number of runner processes
+	// it has crashed. GivenUp is the number of other jobs that failed because of
+	// crashes.
+	Crashes map[*pendingJob]int
 	GivenUp int
 	kinds   []Kind
 }
@@ -58,15 +61,15 @@
 	return &Result{
 		Load: l.Name, Way: way, kinds: l.Kinds,
 		Kinds: map[string]*Count{}, Sizes: map[string]*Count{}, Zones: map[string]*Count{}, Windows: map[string]*Count{}, ZoneWindows: map[string]*Count{},
-		Misplaced: map[string]int{}, Crashes: map[*submitted]int{},
+		Misplaced: map[string]int{}, Crashes: map[*pendingJob]int{},
 	}
 }
 
-func (r *Result) misplaced(why runs.Refusal) { r.Misplaced[why.String()]++ }
+func (r *Result) countRefusedOrder(why runs.Refusal) { r.Misplaced[why.String()]++ }
 
-func (r *Result) crashed(by *submitted) { r.Crashes[by]++ }
+func (r *Result) countCrash(by *pendingJob) { r.Crashes[by]++ }
 
-// CrashesEach is the mean and the largest number of runners that a poisonous job crashed.
+// CrashesEach returns the mean and the maximum number of runners crashed by one job.
 func (r *Result) CrashesEach() (mean float64, most int) {
 	sum := 0
 	for _, n := range r.Crashes {
@@ -76,11 +79,11 @@
 	return float64(sum) / float64(max(len(r.Crashes), 1)), most
 }
 
-// ended counts a job's outcome.
-func (r *Result) ended(s *sim, e *entry, d planner.Ended) {
+// jobEnded counts the outcome of a job.
+func (r *Result) jobEnded(s *sim, e *entry, d planner.Ended) {
 	j := e.jobs[d.Job]
 	if j.crashAfter > 0 {
-		// Nobody is owed anything for it.
+		// Jobs that crash runners don't count: their callers are owed no answer.
 		return
 	}
 	if d.Outcome == planner.Failed {
@@ -88,27 +91,27 @@
 	}
 	r.count(j.arrival, s.now, d.Outcome)
 	if d.Outcome == planner.Refused {
-		r.refused(s, j)
+		r.jobRejected(s, j)
 	}
 }
 
-// count takes what became of a job at a time.
+// count counts a job by its outcome and the time at which it ended.
 func (r *Result) count(a arrival, at time.Duration, o planner.Outcome) {
 	k := r.kinds[a.kind]
 	took := at - a.at
-	began := fmt.Sprintf("%4.0f s", ((a.at - begin) / window * window).Seconds())
+	arrivedIn := fmt.Sprintf("%4.0f s", ((a.at - simStart) / window * window).Seconds())
 	sets := []*Count{
 		&r.All,
 		count(r.Kinds, k.Name),
 		count(r.Sizes, sizeClass(a.size)),
-		count(r.Zones, a.zone),
-		count(r.Windows, began),
-		count(r.ZoneWindows, a.zone+began),
+		count(r.Zones, a.dataCentre),
+		count(r.Windows, arrivedIn),
+		count(r.ZoneWindows, a.dataCentre+arrivedIn),
 	}
 	for _, c := range sets {
 		c.Asked++
 		switch {
-		case o == planner.Completed && took <= k.aim(a.size):
+		case o == planner.Completed && took <= k.target(a.size):
 			c.InAim++
 		case o == planner.Completed:
 			c.Late++
@@ -120,14 +123,14 @@
 	}
 }
 
-func (r *Result) refused(s *sim, j *submitted) {
+func (r *Result) jobRejected(s *sim, j *pendingJob) {
 	k := r.kinds[j.kind]
 	r.RefusedIn = append(r.RefusedIn, s.now-j.at)
-	if j.began > 0 {
+	if j.startedRuns > 0 {
 		r.Denied++
 	}
 	need := work.Amounts{CPUMilli: k.CPUMilli}
-	if slices.ContainsFunc(s.guards, func(g *guard) bool { return g.free(need) }) {
+	if slices.ContainsFunc(s.guards, func(g *guard) bool { return g.hasCapacity(need) }) {
 		r.RefusedWithRoom++
 	}
 }
@@ -150,34 +153,34 @@
 	}
 }
 
-// Write prints the tables of the ways of one load beside one another.
+// Write prints the tables of all policies for one load.
 func Write(w io.Writer, results []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, r := range results {
-		_, _ = fmt.Fprintf(t, "\n%s: %s\t\t\t\t\t\t\n\tasked\tin aim\tlate\trefused\tfailed\t\n", r.Load, r.Way)
+		_, _ = fmt.Fprintf(t, "\n%s: %s\t\t\t\t\t\t\n\tsubmitted\ton time\tlate\trejected\tfailed\t\n", r.Load, r.Way)
 		row(t, "all", r.All)
 		for _, part := range []map[string]*Count{r.Kinds, r.Sizes, r.Zones, r.Windows} {
 			for _, key := range sorted(part) {
 				row(t, key, *part[key])
 			}
 		}
-		_, _ = fmt.Fprintf(t, "refused after, half and 99 of 100: %s, %s; with room somewhere: %d; denied though begun: %d\t\t\t\t\t\t\n",
+		_, _ = fmt.Fprintf(t, "rejected after, p50 and p99: %s, %s; while a runner had capacity: %d; although a run had started: %d\t\t\t\t\t\t\n",
 			quantile(r.RefusedIn, 0.5), quantile(r.RefusedIn, 0.99), r.RefusedWithRoom, r.Denied)
 		if len(r.Crashes) > 0 {
 			mean, most := r.CrashesEach()
-			_, _ = fmt.Fprintf(t, "runners crashed by each poisonous job: %.2f, %d at most; sound jobs failed: %d\t\t\t\t\t\t\n", mean, most, r.GivenUp)
+			_, _ = fmt.Fprintf(t, "runners crashed by each crashing job: %.2f, %d at most; other jobs failed: %d\t\t\t\t\t\t\n", mean, most, r.GivenUp)
 		}
-		_, _ = fmt.Fprintf(t, "orders turned down by guards: %s; messages to entries: %d\t\t\t\t\t\t\n", reasons(r.Misplaced), r.Messages)
+		_, _ = fmt.Fprintf(t, "start orders refused by guards: %s; messages to entries: %d\t\t\t\t\t\t\n", reasons(r.Misplaced), r.Messages)
 	}
 	return t.Flush()
 }
 
-// WriteShares prints what a way gives against the yardstick, a line a load: shares of
-// the jobs answered in the time wanted, of those answered at all, and of those
-// answered in the time wanted in the window in which that share is least.
+// WriteShares prints one line per load that compares a policy with the oracle: the
+// shares of jobs answered on time, of those answered at all, and of those answered on
+// time in the window in which that share is lowest.
 func WriteShares(w io.Writer, pairs [][]*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(t, "load\tin aim\tserved\tworst kind\tof yardstick: in aim\tserved\tworst 2 s\trefused after\tturned down\tidle\t")
+	_, _ = fmt.Fprintln(t, "load\ton time\tserved\tworst kind\tof oracle: on time\tserved\tworst 2 s\trejected after\torders refused\tidle\t")
 	for _, p := range pairs {
 		ours, best := p[0], p[1:]
 		inAim := ours.All.Share() / Best(ours, best, func(r *Result) float64 { return r.All.Share() })
@@ -188,7 +191,7 @@
 	return t.Flush()
 }
 
-// worstKind is the least share of a kind in the time wanted.
+// worstKind returns the lowest on-time share of any kind.
 func (r *Result) worstKind() float64 {
 	worst := 1.0
 	for _, c := range r.Kinds {
@@ -213,7 +216,7 @@
 	return worst
 }
 
-// TurnedDown is the share of the orders that guards turned down for want of room.
+// TurnedDown is the share of start orders that guards refused for lack of capacity.
 func (r *Result) TurnedDown() float64 {
 	return float64(r.Misplaced[runs.Full.String()]) / float64(max(r.Orders, 1))
 }
@@ -252,5 +255,5 @@
 	return sorted[int(q*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
-// Slowest is the time within which the share q of the refused were told so.
+// Slowest returns the time within which the share q of the rejected jobs was rejected.
 func (r *Result) Slowest(q float64) time.Duration { return quantile(r.RefusedIn, q) }
--- a/bench/replay/sim.go
+++ b/bench/replay/sim.go
@@ -11,70 +11,74 @@
 	"almondstand.dev/guard/subset"
 )
 
-// Delays, each way.
+// Delays, one way each.
 const (
-	// messageTime is between an entry and a guard.
-	messageTime = time.Millisecond
-	// startTime is from a guard's order to the runner's answer, and from the end of
-	// a run to the guard's knowledge of it.
-	startTime = 2 * time.Millisecond
-	// stopGrace is how long a run takes to end that is stopped.
+	// messageDelay is between an entry and a guard.
+	messageDelay = time.Millisecond
+	// runnerDelay is the time from a guard's order to the runner's answer, and from the
+	// end of a run until the guard knows of it.
+	runnerDelay = 2 * time.Millisecond
+	// stopGrace is how long a run takes to end after it was stopped.
 	stopGrace = 50 * time.Millisecond
-	// pingEvery is the pause after which a busy guard hears from an entry.
-	pingEvery = 150 * time.Millisecond
-	// sweepEvery paces the guards' check of what must end.
-	sweepEvery = 20 * time.Millisecond
+	// pingInterval is the interval at which an entry sends a message to a guard even if
+	// it has no orders.
+	pingInterval = 150 * time.Millisecond
+	// sweepInterval is the interval at which guards check for runs that must be
+	// stopped.
+	sweepInterval = 20 * time.Millisecond
 )
 
-// Way of deciding that is compared.
+// Way is a scheduling policy to compare.
 type Way struct {
 	Name string
-	// Terms turns the contract's terms into those that the planner is given.
+	// Terms converts the contract's terms into those passed to the planner.
 	Terms func(planner.Terms) planner.Terms
 }
 
-// Ways returns the product's way and the simple one that it is held against.
+// Ways returns the production policy and a simple one for comparison.
 func Ways() []Way {
 	return []Way{
 		{Name: "almondstand", Terms: func(t planner.Terms) planner.Terms { return t }},
-		{Name: "first come, none refused", Terms: patient},
+		{Name: "first come, none refused", Terms: deadlineOnly},
 	}
 }
 
-// patient gives every job until its caller's deadline, so that jobs start in the
-// order of their deadlines and none is turned away before.
-func patient(t planner.Terms) planner.Terms {
+// deadlineOnly lets every job wait until its caller's deadline, so that jobs start in
+// order of their deadlines and none is rejected earlier.
+func deadlineOnly(t planner.Terms) planner.Terms {
 	t.Allowance = time.Hour
 	return t
 }
 
-// sim is one run.
+// sim is the state of one simulation.
 type sim struct {
-	load    Load
-	way     Way
-	runs    *rand.Rand
-	now     time.Duration
-	queue   events
-	pushed  int
-	entries []*entry
-	guards  []*guard
-	byID    map[string]*guard
-	result  *Result
+	load     Load
+	policy   Way
+	runs     *rand.Rand
+	now      time.Duration
+	queue    events
+	eventSeq int
+	entries  []*entry
+	guards   []*guard
+	byID     map[string]*guard
+	result   *Result
 }
 
-// entrySeeds keeps the seeds of the entries of different runs apart.
+// entrySeeds is larger than the number of entries, so that entries of runs with
+// different seeds never share a seed.
 const entrySeeds = 100
 
-// begin is the time of the first event: planners take zero for never.
-const begin = time.Second
+// simStart is the time at which the simulation starts. It isn't zero because planners
+// interpret zero as never.
+const simStart = time.Second
 
-// Play runs a load in one way; the same seed gives the same run.
+// Play simulates a load with one policy; the same seed gives the same result.
 func Play(l Load, w Way, seed uint64) *Result {
 	s := &sim{
 		load:   l,
-		way:    w,
+		policy: w,
 		runs:   rand.New(rand.NewPCG(seed, runStream)),
-		now:    begin,
+		now:    simStart,
 		byID:   map[string]*guard{},
 		result: newResult(l, w.Name),
 	}
@@ -82,10 +86,10 @@
 	for _, a := range arrivals(l, seed) {
 		s.at(a.at, func() { s.submit(a) })
 	}
-	last := begin + l.For
+	last := simStart + l.For
 	for len(s.queue) > 0 {
 		e := s.queue.pop()
-		if e.at > last+settleFor {
+		if e.at > last+drainTime {
 			break
 		}
 		s.now = e.at
@@ -94,14 +98,14 @@
 	return s.result
 }
 
-// settleFor is how long jobs may go on after the last arrival.
-const settleFor = 4 * time.Second
+// drainTime is how long jobs may continue after the last arrival.
+const drainTime = 4 * time.Second
 
 func (s *sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
 func (s *sim) at(t time.Duration, do func()) {
-	s.pushed++
-	s.queue.push(event{max(t, s.now), s.pushed, do})
+	s.eventSeq++
+	s.queue.push(event{max(t, s.now), s.eventSeq, do})
 }
 
 func (s *sim) build(seed uint64) {
@@ -116,28 +120,28 @@
 		for range z.Entries {
 			n := len(s.entries)
 			s.entries = append(s.entries, &entry{
-				sim:       s,
-				number:    n,
-				zone:      z.Name,
-				plan:      planner.New(planner.Options{Zone: z.Name, Seed: seed*entrySeeds + uint64(n)}),
-				jobs:      map[string]*submitted{},
-				clocks:    map[string]reading{},
-				confirmed: map[string]time.Duration{},
-				cpu:       processor{sim: s, share: z.Share},
+				sim:        s,
+				number:     n,
+				dataCentre: z.Name,
+				plan:       planner.New(planner.Options{Zone: z.Name, Seed: seed*entrySeeds + uint64(n)}),
+				jobs:       map[string]*pendingJob{},
+				clocks:     map[string]clockReading{},
+				confirmed:  map[string]time.Duration{},
+				cpu:        processor{sim: s, share: z.Share},
 			})
 		}
 	}
 	for _, g := range s.guards {
 		for _, e := range s.subset(g) {
-			e.plan.Attach(g.id, g.zone, true)
+			e.plan.Attach(g.id, g.dataCentre, true)
 			g.attach(e)
 		}
 	}
 	for _, t := range s.load.Troubles {
-		s.trouble(t)
+		s.scheduleFault(t)
 	}
 	for _, h := range s.load.Held {
-		s.hold(h)
+		s.scheduleThrottle(h)
 	}
 }
 
@@ -157,59 +161,60 @@
 	return chosen
 }
 
-// trouble befalls the first runners of each zone.
-func (s *sim) trouble(t Trouble) {
-	hit := map[string]int{}
+// scheduleFault schedules a fault of the first runners of each data centre.
+func (s *sim) scheduleFault(t Trouble) {
+	faultyRunners := map[string]int{}
 	for _, g := range s.guards {
-		if hit[g.zone]++; hit[g.zone] > t.Runners {
+		if faultyRunners[g.dataCentre]++; faultyRunners[g.dataCentre] > t.Runners {
 			continue
 		}
-		s.at(begin+t.At, func() { g.suffer(t) })
-		s.at(begin+t.At+t.For, func() { g.recover(t) })
+		s.at(simStart+t.At, func() { g.injectFault(t) })
+		s.at(simStart+t.At+t.For, func() { g.clearFault(t) })
 	}
 }
 
-// hold slows the processors of entries for a while.
-func (s *sim) hold(h Held) {
+// scheduleThrottle schedules a temporary slowdown of the entries' processors.
+func (s *sim) scheduleThrottle(h Held) {
 	for _, e := range s.entries {
 		share := e.cpu.share
-		s.at(begin+h.At, func() { e.cpu.share = share / h.Times })
-		s.at(begin+h.At+h.For, func() { e.cpu.share = share })
+		s.at(simStart+h.At, func() { e.cpu.share = share / h.Times })
+		s.at(simStart+h.At+h.For, func() { e.cpu.share = share })
 	}
 }
 
-// submitted is a job whose caller waits.
-type submitted struct {
+// pendingJob is a job whose caller waits for the answer.
+type pendingJob struct {
 	arrival
-	// began counts the runs that have begun.
-	began int
+	// startedRuns is the number of its runs that have started.
+	startedRuns int
 }
 
-// reading of a guard's clock, and when it was read.
-type reading struct{ clock, at time.Duration }
+// clockReading is the value of a guard's clock and the time at which it was received.
+type clockReading struct{ clock, at time.Duration }
 
-// entry is one planner.
+// entry simulates an entry with its planner.
 type entry struct {
-	sim    *sim
-	number int
-	zone   string
-	plan   *planner.Planner
-	jobs   map[string]*submitted
-	made   int
-	cpu    processor
-	// clocks are the guards' clocks as last read, by guard.
-	clocks map[string]reading
-	// confirmed are the newest clocks that the guards know to have been read.
+	sim        *sim
+	number     int
+	dataCentre string
+	plan       *planner.Planner
+	jobs       map[string]*pendingJob
+	jobCount   int
+	cpu        processor
+	// clocks holds the last received clock reading of each guard.
+	clocks map[string]clockReading
+	// confirmed holds, by guard, the newest clock reading that the guard knows this
+	// entry has received.
 	confirmed map[string]time.Duration
-	// wake is the newest wake: older ones are void.
-	wake int
+	// timerID identifies the current timer; older timers are ignored.
+	timerID int
 }
 
-// submit has a job taken by its zone's entry.
+// submit passes a job to the entry chosen for it in its data centre.
 func (s *sim) submit(a arrival) {
 	n := 0
 	for _, e := range s.entries {
-		if e.zone != a.zone {
+		if e.dataCentre != a.dataCentre {
 			continue
 		}
 		if n == a.entry {
@@ -222,33 +227,33 @@
 
 func (e *entry) submit(a arrival) {
 	k := e.sim.load.Kinds[a.kind]
-	e.made++
-	id := fmt.Sprintf("%d-%d", e.number, e.made)
-	e.jobs[id] = &submitted{arrival: a}
+	e.jobCount++
+	id := fmt.Sprintf("%d-%d", e.number, e.jobCount)
+	e.jobs[id] = &pendingJob{arrival: a}
 	j := work.Job{ID: id, Steps: []work.Step{{
 		Count:    k.Tasks,
 		Need:     work.Amounts{CPUMilli: k.CPUMilli},
 		Declared: time.Duration(float64(k.Run) * a.declared),
 	}}}
-	terms := e.sim.way.Terms(planner.Terms{
-		Contract: k.Name, Service: service, Urgency: k.Urgency, MaxAttempts: 2, Stretch: stretch, Allowance: allowance,
+	terms := e.sim.policy.Terms(planner.Terms{
+		Contract: k.Name, Service: service, Urgency: k.Urgency, MaxAttempts: 2, Stretch: targetFactor, Allowance: targetAllowance,
 	})
 	e.plan.Submit(e.sim.now, e.sim.now+k.Deadline, j, terms)
-	e.act()
+	e.runPlanner()
 }
 
-// act carries the planner's orders out.
-func (e *entry) act() {
+// runPlanner carries out the planner's decisions and sets the timer for the next ones.
+func (e *entry) runPlanner() {
 	s := e.sim
 	out, next := e.plan.Act(s.now)
-	// The planner looks through its jobs in no order.
+	// The planner iterates over its jobs in no defined order.
 	slices.SortStableFunc(out.Stops, func(a, b planner.Stop) int { return byTask(a.Run.Task, b.Run.Task) })
 	byGuard := map[string]*orders{}
-	var touched []string
+	var guardIDs []string
 	of := func(id string) *orders {
 		if byGuard[id] == nil {
 			byGuard[id] = &orders{}
-			touched = append(touched, id)
+			guardIDs = append(guardIDs, id)
 		}
 		return byGuard[id]
 	}
@@ -261,38 +266,39 @@
 	for _, id := range out.Wake {
 		of(id)
 	}
-	for _, id := range touched {
+	for _, id := range guardIDs {
 		e.send(s.guard(id), *byGuard[id])
 	}
 	for _, ended := range out.Ended {
-		s.result.ended(s, e, ended)
+		s.result.jobEnded(s, e, ended)
 	}
-	e.wake++
-	mine := e.wake
+	e.timerID++
+	current := e.timerID
 	s.at(max(next, s.now+time.Millisecond), func() {
-		if e.wake == mine {
-			e.cpu.run(0, e.act)
+		if e.timerID == current {
+			e.cpu.run(0, e.runPlanner)
 		}
 	})
 }
 
-// orders of one message.
+// orders are the starts and stops of one message.
 type orders struct {
 	starts []planner.Start
 	stops  []work.RunID
 }
 
-// send puts a message to a guard on its way.
+// send sends a message to a guard.
 func (e *entry) send(g *guard, o orders) {
-	e.cpu.spend(sendCost)
-	sent, read := e.date(g.id), e.clocks[g.id].clock
+	e.cpu.addCost(sendCost)
+	sent, read := e.guardClock(g.id), e.clocks[g.id].clock
 	e.confirmed[g.id] = read
 	pending, demand := e.plan.Waiting(e.sim.now, g.id)
-	e.sim.after(messageTime, func() { g.receive(e, sent, read, pending, demand, o) })
+	e.sim.after(messageDelay, func() { g.receive(e, sent, read, pending, demand, o) })
 }
 
-// date is the guard's clock as the entry knows it: what it read last, and the time since.
-func (e *entry) date(guard string) time.Duration {
+// guardClock returns the guard's current clock as the entry estimates it: the last
+// reading plus the time since.
+func (e *entry) guardClock(guard string) time.Duration {
 	r := e.clocks[guard]
 	return r.clock + e.sim.now - r.at
 }
--- a/bench/replay/travel.go
+++ b/bench/replay/travel.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Loads of tasks that take a tenth of a runner, on few entries and runners: one
-// entry's mistake is a tenth of all room. The widest kind is the most urgent, the
-// longest the least.
+// Loads of tasks that take a tenth of a runner, with few entries and runners, so that
+// one entry's wrong decision affects a tenth of the capacity. The widest kind is the
+// most urgent, the longest the least.
 
-// Rates that fill some 72 % of eleven runners of ten tasks.
+// Rates that use about 72 % of eleven runners of ten tasks.
 const (
 	holdRate  = 34.4
 	quoteRate = 6.25
 	checkRate = 100
 )
 
-func small(name string) Load {
+func smallLoad(name string) Load {
 	const wait = 1500 * time.Millisecond
 	return Load{
 		Name:      name,
@@ -32,8 +32,8 @@
 	}
 }
 
-// times multiplies the rate of every kind.
-func (l Load) times(x float64) Load {
+// scaled multiplies the rate of every kind.
+func (l Load) scaled(x float64) Load {
 	kinds := make([]Kind, len(l.Kinds))
 	for i, k := range l.Kinds {
 		k.PerSecond *= x
@@ -43,9 +43,10 @@
 	return l
 }
 
-// mostly leaves a share of the other kinds' rates and multiplies that of one.
-func (l Load) mostly(kind string, x, others float64) Load {
-	l = l.times(others)
+// withKindScaled multiplies the rate of one kind by x and those of the others by
+// others.
+func (l Load) withKindScaled(kind string, x, others float64) Load {
+	l = l.scaled(others)
 	for i := range l.Kinds {
 		if l.Kinds[i].Name == kind {
 			l.Kinds[i].PerSecond *= x / others
@@ -54,26 +55,26 @@
 	return l
 }
 
-// full is the load at which the runners of the small deployment are just busy.
-const full = 1.0 / 0.72
+// fullLoad scales the small load so that it just saturates its runners.
+const fullLoad = 1.0 / 0.72
 
-func travel() []Load {
-	over := small("over-1.2").times(1.2 * full)
-	far := small("over-1.5").times(1.5 * full)
-	wave := small("small-burst")
-	wave.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 2}}
-	skewed := small("one-zone").times(1.1)
+func smallLoads() []Load {
+	over := smallLoad("over-1.2").scaled(1.2 * fullLoad)
+	heavier := smallLoad("over-1.5").scaled(1.5 * fullLoad)
+	burst := smallLoad("small-burst")
+	burst.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 2}}
+	skewed := smallLoad("one-zone").scaled(1.1)
 	skewed.Zones = []Zone{{Name: "a", Entries: 1, Runners: 4, Callers: 1}, {Name: "b", Entries: 1, Runners: 4}, {Name: "c", Entries: 1, Runners: 3}}
-	wide := small("wide").mostly("hold", 4, 0.7)
-	long := small("long").mostly("quote", 2.6, 0.8)
-	back := small("restart").times(0.95 * full)
-	back.Troubles = []Trouble{{At: 4 * time.Second, For: 1500 * time.Millisecond, Wrong: Gone, Runners: 11}}
-	grown := small("grown").times(6.5 * 1.1)
+	wide := smallLoad("wide").withKindScaled("hold", 4, 0.7)
+	long := smallLoad("long").withKindScaled("quote", 2.6, 0.8)
+	restart := smallLoad("restart").scaled(0.95 * fullLoad)
+	restart.Troubles = []Trouble{{At: 4 * time.Second, For: 1500 * time.Millisecond, Wrong: Gone, Runners: 11}}
+	grown := smallLoad("grown").scaled(6.5 * 1.1)
 	grown.Zones = []Zone{
 		{Name: "a", Entries: 4, Runners: 22, Callers: 0.34},
 		{Name: "b", Entries: 4, Runners: 22, Callers: 0.33},
 		{Name: "c", Entries: 3, Runners: 21, Callers: 0.33},
 	}
 	grown.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 1.5}}
-	return []Load{over, far, wave, skewed, wide, long, back, grown}
+	return []Load{over, heavier, burst, skewed, wide, long, restart, grown}
 }
