--- a/bench/result/result.go
+++ b/bench/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds what an experiment measured, as JSON and as a table,
-// and sets two results side by side.
+// Package result collects the measurements of an experiment, writes them as JSON and as
+// tables, and compares the results of two runs.
 package result
 
 import (
@@ -12,39 +12,40 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// End is how a job ended for its caller.
+// End is the outcome of a job as its caller sees it.
 type End string
 
-// Ends of a job.
+// Outcomes of a job.
 const (
 	Complete End = "complete"
 	Failed   End = "failed"
 	Refused  End = "refused"
 	NoAnswer End = "no_answer"
-	// Rejected is a refusal for good: it names no time to come back at.
+	// Rejected is a permanent rejection: the answer has no Retry-After.
 	Rejected End = "rejected"
 )
 
-// Observation is one job.
+// Observation is the measurement of one job.
 type Observation struct {
-	// At is the arrival, counted from the end of the warm-up.
+	// At is the time of arrival, relative to the end of the warm-up.
 	At       time.Duration
 	Customer string
 	End      End
 	Code     string
 	Tasks    int
-	// Took is the time from the first submission to the final answer; LastTook
-	// that of the last submission alone.
+	// Took is the time from the first submission to the final answer, LastTook that of
+	// the last submission alone.
 	Took, LastTook time.Duration
 	Ideal          time.Duration
 	Work           time.Duration
-	// Waited is the part of Took that the caller spent waiting as it was told to.
+	// Waited is the part of Took during which the caller waited for a Retry-After to
+	// pass.
 	Waited time.Duration
-	// Tries counts submissions.
+	// Tries is the number of submissions.
 	Tries int
 }
 
-// Spread describes a distribution.
+// Spread summarizes a distribution.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -53,61 +54,64 @@
 	P999 float64 `json:"p999"`
 }
 
-// Group is what came of one customer's jobs, or of all.
+// Group summarizes the jobs of one client, or of all.
 type Group struct {
 	Jobs       int            `json:"jobs"`
 	Ends       map[End]int    `json:"ends"`
 	Codes      map[string]int `json:"codes"`
 	Ratio      Spread         `json:"ratio"`
 	ResponseMs Spread         `json:"response_ms"`
-	// RefusalMs is how long a refusal took.
+	// RefusalMs is the response time of rejections.
 	RefusalMs Spread `json:"refusal_ms"`
-	// Late counts completed jobs that took more than five times their ideal.
+	// Late is the number of completed jobs that took more than five times their ideal
+	// response time.
 	Late int `json:"late"`
-	// Returned counts jobs that came back after a refusal as they were told to,
-	// Honoured those of them that were taken then.
+	// Returned is the number of jobs that were submitted again after a Retry-After,
+	// Honoured the number of those that were then admitted.
 	Returned int `json:"returned"`
 	Honoured int `json:"honoured"`
-	// Goodput is the work of complete jobs, in slots.
+	// Goodput is the work of the completed jobs per second, in slots.
 	Goodput float64 `json:"goodput"`
 	Tasks   int     `json:"tasks"`
 }
 
-// Process is what one process used.
+// Process is the resource usage of one process.
 type Process struct {
 	Cores float64 `json:"cores"`
 	RSS   int64   `json:"rss"`
 }
 
-// Result is what an experiment measured.
+// Result holds the measurements of one experiment.
 type Result struct {
 	Name string `json:"name"`
-	// Programs is the label of the build that ran, Seed that of the stream.
+	// Programs is the label of the build under test, Seed the seed of the job stream.
 	Programs  string             `json:"programs,omitempty"`
 	Seed      uint64             `json:"seed"`
 	All       Group              `json:"all"`
 	Customers map[string]Group   `json:"customers"`
 	Starts    int                `json:"starts"`
 	Messages  map[string]float64 `json:"messages"`
-	// WastedPerTask counts the messages beyond one start and one reply for each
-	// task that ran: refused and lost starts, questions, cancels, and callers'
-	// repeated submissions. Control traffic is in ControlPerTask.
+	// WastedPerTask is the number of messages per started task beyond one start and one
+	// reply: refused and lost starts, resolve and cancel calls, and resubmissions by
+	// callers. Control traffic is counted in ControlPerTask.
 	WastedPerTask  float64 `json:"wasted_per_task"`
 	ControlPerTask float64 `json:"control_per_task"`
-	// NearShare is the share of starts in the data centre of the job's entry.
+	// NearShare is the share of starts in the same data centre as the job's entry.
 	NearShare float64            `json:"near_share"`
 	Processes map[string]Process `json:"processes"`
-	// Cancels are the answers to calls that cancelled a job, BackAfter the time
-	// after a burst.
+	// Cancels summarizes the calls that cancelled a job, BackAfter the recovery after a
+	// burst.
 	Cancels   *Cancels        `json:"cancels,omitempty"`
 	BackAfter *Back           `json:"back_after,omitempty"`
 	Verdict   harness.Verdict `json:"verdict"`
 }
 
-// lateRatio is a response/ideal that a caller calls late.
+// lateRatio is the ratio of response time to ideal response time above which a job
+// counts as late.
 const lateRatio = 5
 
-// ratio is response/ideal, infinite for a job that did not complete.
+// ratio returns response time / ideal response time, infinite for a job that did not
+// complete.
 func (o Observation) ratio() float64 {
 	if o.End != Complete {
 		return math.Inf(1)
@@ -115,20 +119,22 @@
 	return o.Took.Seconds() / o.Ideal.Seconds()
 }
 
-// ratioScale keeps three digits of a ratio in the integers of a histogram.
+// ratioScale converts a ratio to the integers of a histogram, keeping three decimal
+// places.
 const ratioScale = 1000
 
 const (
-	highest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxRecorded = int64(10 * time.Minute / time.Microsecond)
+	digits      = 3
 )
 
-// Collector gathers observations.
+// Collector collects observations. It is safe for concurrent use.
 type Collector struct {
-	mu        sync.Mutex
-	all       *tally
-	customers map[string]*tally
-	// arrivals are the ratios of all jobs in time, infinite without an answer.
+	mu      sync.Mutex
+	all     *tally
+	clients map[string]*tally
+	// arrivals holds the ratios of all jobs with their arrival times, infinite without
+	// an answer.
 	arrivals []arrival
 	cancels  *Cancels
 }
@@ -142,28 +148,28 @@
 func newTally() *tally {
 	return &tally{
 		group:    Group{Ends: map[End]int{}, Codes: map[string]int{}},
-		ratio:    hdrhistogram.New(1, highest, digits),
-		response: hdrhistogram.New(1, highest, digits),
-		refusal:  hdrhistogram.New(1, highest, digits),
+		ratio:    hdrhistogram.New(1, maxRecorded, digits),
+		response: hdrhistogram.New(1, maxRecorded, digits),
+		refusal:  hdrhistogram.New(1, maxRecorded, digits),
 	}
 }
 
 // NewCollector returns an empty collector.
 func NewCollector() *Collector {
-	return &Collector{all: newTally(), customers: map[string]*tally{}}
+	return &Collector{all: newTally(), clients: map[string]*tally{}}
 }
 
-// Add takes one job.
+// Add adds the observation of one job.
 func (c *Collector) Add(o Observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one := c.customers[o.Customer]
-	if one == nil {
-		one = newTally()
-		c.customers[o.Customer] = one
+	clientTally := c.clients[o.Customer]
+	if clientTally == nil {
+		clientTally = newTally()
+		c.clients[o.Customer] = clientTally
 	}
 	c.all.add(o)
-	one.add(o)
+	clientTally.add(o)
 	c.arrivals = append(c.arrivals, arrival{at: o.At, ratio: o.ratio()})
 }
 
@@ -212,32 +218,32 @@
 	}
 }
 
-// Result returns what was gathered over the duration.
+// Result returns the results of the observations collected over the duration.
 func (c *Collector) Result(name string, duration time.Duration) *Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &Result{Name: name, All: c.all.finish(duration), Customers: map[string]Group{}, Cancels: c.cancels}
-	for customer, t := range c.customers {
-		r.Customers[customer] = t.finish(duration)
+	for client, t := range c.clients {
+		r.Customers[client] = t.finish(duration)
 	}
 	return r
 }
 
-// controlKinds are messages that no task causes.
+// controlKinds are the kinds of messages that are not caused by tasks.
 var controlKinds = map[string]bool{"messages.ping": true, "messages.hello": true, "messages.announce": true}
 
-// Count works out the messages for each task from the counters: submissions is
-// the number of calls that callers made.
+// Count computes the messages per task from the counters. submissions is the number of
+// calls made by callers.
 func (r *Result) Count(submissions int) {
 	if r.Starts == 0 {
 		return
 	}
 	starts := float64(r.Starts)
-	sent := r.Messages["messages.start"] - starts
-	replies := max(r.Messages["messages.reply"]-starts, 0)
-	asked := 2 * (r.Messages["messages.resolve"] + r.Messages["messages.cancel"])
-	repeats := 2 * float64(submissions-r.Verdict.Complete-r.Verdict.Failed)
-	r.WastedPerTask = (max(sent, 0) + replies + asked + max(repeats, 0)) / starts
+	extraStarts := r.Messages["messages.start"] - starts
+	extraReplies := max(r.Messages["messages.reply"]-starts, 0)
+	queryMessages := 2 * (r.Messages["messages.resolve"] + r.Messages["messages.cancel"])
+	resubmissions := 2 * float64(submissions-r.Verdict.Complete-r.Verdict.Failed)
+	r.WastedPerTask = (max(extraStarts, 0) + extraReplies + queryMessages + max(resubmissions, 0)) / starts
 	control := 0.0
 	for kind, n := range r.Messages {
 		if controlKinds[kind] || hasPrefix(kind, "control_calls.") || hasPrefix(kind, "store_calls.") {
--- a/bench/result/result_test.go
+++ b/bench/result/result_test.go
@@ -12,8 +12,9 @@
 	return Observation{At: at, Customer: "c", End: Complete, Took: time.Duration(ratio * float64(time.Second)), Ideal: time.Second}
 }
 
-// Jobs that arrive in the burst and just after it are slow, one is refused; the
-// first window whose median is near the old one again counts.
+// TestBackToNormal: jobs that arrive during the burst and just after it are slow, and
+// in the second part one is rejected. Recovery is the first window whose median is
+// close to that before the burst.
 func TestBackToNormal(t *testing.T) {
 	c := NewCollector()
 	for s := range 10 {
@@ -37,9 +38,9 @@
 	c := NewCollector()
 	c.Add(complete(0, 1))
 	c.Add(complete(0, 6))
-	again := complete(0, 2)
-	again.Tries = 2
-	c.Add(again)
+	retried := complete(0, 2)
+	retried.Tries = 2
+	c.Add(retried)
 	c.Add(Observation{Customer: "c", End: Refused, Tries: 3})
 	g := c.Result("x", time.Second).All
 	assert.Equal(t, g.Late, 1)
--- a/bench/result/summary.go
+++ b/bench/result/summary.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// figure is one number that results are compared by.
+// figure is one value by which results are compared.
 type figure struct {
 	name string
 	of   func(*Result) float64
@@ -27,13 +27,13 @@
 	{"near", func(r *Result) float64 { return r.NearShare }},
 }
 
-// group is the results of one experiment by one build.
+// group holds the results of one experiment with one build.
 type group struct {
 	name    string
 	results []*Result
 }
 
-// groups puts results of the same name together, in the order of their first.
+// groups groups the results by experiment and build, in order of first appearance.
 func groups(all []*Result) []*group {
 	var out []*group
 	byName := map[string]*group{}
@@ -58,7 +58,7 @@
 	return sum / float64(len(g.results))
 }
 
-// deviation is the standard deviation of the runs.
+// deviation returns the standard deviation over the runs.
 func (g *group) deviation(f figure) float64 {
 	if len(g.results) < 2 {
 		return 0
@@ -70,8 +70,8 @@
 	return math.Sqrt(sum / float64(len(g.results)-1))
 }
 
-// WriteSummary writes one line for each experiment and build: the mean of its
-// runs and, after ±, their standard deviation.
+// WriteSummary writes one line per experiment and build: the mean of its runs and,
+// after ±, their standard deviation.
 func WriteSummary(w io.Writer, all []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(t, "experiment\truns\t")
@@ -82,14 +82,15 @@
 	for _, g := range groups(all) {
 		_, _ = fmt.Fprintf(t, "%s\t%d\t", g.name, len(g.results))
 		for _, f := range figures {
-			_, _ = fmt.Fprintf(t, "%s±%s\t", short(g.mean(f)), short(g.deviation(f)))
+			_, _ = fmt.Fprintf(t, "%s±%s\t", formatFigure(g.mean(f)), formatFigure(g.deviation(f)))
 		}
 		_, _ = fmt.Fprintln(t)
 	}
 	return t.Flush()
 }
 
-// Compare writes the figures of two runs side by side, experiment by experiment.
+// Compare writes the figures of two sets of results side by side, one line per
+// experiment.
 func Compare(w io.Writer, before, after []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(t, "experiment\t")
@@ -108,15 +109,16 @@
 		}
 		_, _ = fmt.Fprintf(t, "%s\t", g.name)
 		for _, f := range figures {
-			_, _ = fmt.Fprintf(t, "%s → %s\t", short(g.mean(f)), short(other.mean(f)))
+			_, _ = fmt.Fprintf(t, "%s → %s\t", formatFigure(g.mean(f)), formatFigure(other.mean(f)))
 		}
 		_, _ = fmt.Fprintln(t)
 	}
 	return t.Flush()
 }
 
-// short writes three significant digits or all before the point.
-func short(x float64) string {
+// short formats a number with three decimal places, or fewer for larger numbers: one
+// from 10 on and none from 100 on.
+func formatFigure(x float64) string {
 	switch {
 	case math.Abs(x) >= 100:
 		return fmt.Sprintf("%.0f", x)
--- a/bench/result/table.go
+++ b/bench/result/table.go
@@ -7,12 +7,12 @@
 	"text/tabwriter"
 )
 
-const tableHeader = "experiment\tcustomer\tjobs\tdone\tfailed\trefused\trejected\tlost\t" +
-	"mean\tp50\tp90\tp99\tp99.9\t>5x\tgoodput\trefusal ms p99\tcame back\ttaken then\t" +
+const tableHeader = "experiment\tclient\tjobs\tdone\tfailed\trefused\trejected\tno answer\t" +
+	"mean\tp50\tp90\tp99\tp99.9\t>5x\tgoodput\trefusal ms p99\tretried\tadmitted on retry\t" +
 	"wasted/task\tcontrol/task\tentry cores\tentry MB\tguard cores\tguard MB\tfaults\t"
 
-// WriteTable writes one line for each result and one for each of its customers,
-// and below what only some experiments measure.
+// WriteTable writes one line per result and one for each of its clients, followed by
+// the measurements that only some experiments make.
 func WriteTable(w io.Writer, all []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, tableHeader)
@@ -21,7 +21,7 @@
 		writeGroup(t, r.title(), "all", r.All,
 			fmt.Sprintf("%.3f\t%.3f\t%.3f\t%.0f\t%.3f\t%.0f\t%d", r.WastedPerTask, r.ControlPerTask,
 				entry.Cores, megabytes(entry.RSS), guard.Cores, megabytes(guard.RSS), len(r.Verdict.Faults)))
-		for _, name := range r.names() {
+		for _, name := range r.clientNames() {
 			writeGroup(t, "", name, r.Customers[name], "\t\t\t\t\t\t")
 		}
 	}
@@ -31,18 +31,18 @@
 	return writeNotes(w, all)
 }
 
-func writeGroup(w io.Writer, name, customer string, g Group, rest string) {
+func writeGroup(w io.Writer, name, client string, g Group, rest string) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.3f\t%.2f\t%.2f\t%.2f\t%d\t%.1f\t%.1f\t%d\t%d\t%s\t\n",
-		name, customer, g.Jobs, g.Ends[Complete], g.Ends[Failed], g.Ends[Refused], g.Ends[Rejected], g.Ends[NoAnswer],
+		name, client, g.Jobs, g.Ends[Complete], g.Ends[Failed], g.Ends[Refused], g.Ends[Rejected], g.Ends[NoAnswer],
 		g.Ratio.Mean, g.Ratio.P50, g.Ratio.P90, g.Ratio.P99, g.Ratio.P999, g.Late, g.Goodput,
 		g.RefusalMs.P99, g.Returned, g.Honoured, rest)
 }
 
-// writeNotes writes what only some experiments measure.
+// writeNotes writes the measurements that only some experiments make.
 func writeNotes(w io.Writer, all []*Result) error {
 	for _, r := range all {
 		if b := r.BackAfter; b != nil {
-			_, _ = fmt.Fprintf(w, "%s: median %.3f before the burst of %.0f s; back within a tenth of it %s\n",
+			_, _ = fmt.Fprintf(w, "%s: median ratio %.3f before the burst of %.0f s; recovery to within a tenth of it: %s\n",
 				r.title(), b.Before, b.Burst, b.text())
 		}
 		if c := r.Cancels; c != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// title is the experiment with the label of its build.
+// title returns the name of the experiment with the label of its build.
 func (r *Result) title() string {
 	if r.Programs == "" {
 		return r.Name
@@ -81,16 +81,16 @@
 	return r.Name + " " + r.Programs
 }
 
-func (r *Result) names() []string {
-	var names []string
+func (r *Result) clientNames() []string {
+	var clientNames []string
 	for name := range r.Customers {
-		names = append(names, name)
+		clientNames = append(clientNames, name)
 	}
-	sort.Strings(names)
-	return names
+	sort.Strings(clientNames)
+	return clientNames
 }
 
-// meanOf is the mean use of the processes whose names begin like that.
+// meanOf returns the mean resource usage of the processes whose names have the prefix.
 func (r *Result) meanOf(prefix string) Process {
 	var sum Process
 	n := 0
--- a/bench/result/timeline.go
+++ b/bench/result/timeline.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// arrival is one job in time.
+// arrival is one job with its time of arrival.
 type arrival struct {
 	at    time.Duration
 	ratio float64
 }
 
-// Back is how the responses came back to normal after a burst, in seconds.
+// Back describes the recovery of response times after a burst, in seconds.
 type Back struct {
-	// Before is the median response/ideal before the burst.
+	// Before is the median of response time / ideal response time before the burst.
 	Before float64 `json:"before"`
 	Burst  float64 `json:"burst"`
-	// After is the time from the burst's end to the first window of jobs whose
-	// median is within a tenth of Before; negative when there was none.
+	// After is the time from the end of the burst to the first window whose median is
+	// within a tenth of Before; negative when there was none.
 	After float64 `json:"after"`
 }
 
 const (
 	window = time.Second
-	// normal is how near to the median before the burst a window has to be.
-	normal = 1.1
+	// recoveredFactor is the maximum ratio between the median of a window and that
+	// before the burst at which the window counts as recovered.
+	recoveredFactor = 1.1
 )
 
-// BackToNormal compares the jobs that arrived after a burst, in windows of a
-// second, with those before it. A job without an answer counts as endless.
+// BackToNormal compares the jobs that arrived after a burst, in windows of a second,
+// with those before it. A job without an answer counts as infinitely late.
 func (c *Collector) BackToNormal(begin, end, duration time.Duration) Back {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := Back{Before: c.median(0, begin), After: -1}
 	for at := end; at+window <= duration; at += window {
 		m := c.median(at, at+window)
-		if m > 0 && m <= normal*b.Before {
+		if m > 0 && m <= recoveredFactor*b.Before {
 			b.After = (at - end).Seconds()
 			return b
 		}
@@ -43,7 +44,8 @@
 	return b
 }
 
-// median is that of the jobs that arrived between two moments, zero for none.
+// median returns the median ratio of the jobs that arrived in the interval, zero when
+// there were none.
 func (c *Collector) median(from, to time.Duration) float64 {
 	var ratios []float64
 	for _, a := range c.arrivals {
@@ -58,14 +60,14 @@
 	return ratios[len(ratios)/2]
 }
 
-// Cancels are the answers to calls that cancelled a job.
+// Cancels summarizes the calls that cancelled a job.
 type Cancels struct {
 	Calls    int     `json:"calls"`
 	Answered int     `json:"answered"`
 	MaxMs    float64 `json:"max_ms"`
 }
 
-// AddCancel takes the answer to one call that cancelled a job.
+// AddCancel adds the result of one call that cancelled a job.
 func (c *Collector) AddCancel(took time.Duration, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
