--- a/bench/experiment/experiment.go
+++ b/bench/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs one experiment: a stream of jobs against real
-// processes, with faults on a time line, and what came of it.
+// Package experiment runs one experiment, which submits a stream of jobs to real
+// processes and injects faults at given times, and measures the results.
 package experiment
 
 import (
@@ -11,60 +11,63 @@
 	"almondstand.dev/settings"
 )
 
-// Experiment is one file of experiments/.
+// Experiment is the content of one file in experiments/.
 type Experiment struct {
 	Name string `json:"name" validate:"required"`
-	// Note says what the experiment is to show.
+	// Note describes what the experiment is meant to show.
 	Note string `json:"note,omitempty"`
 	Seed uint64 `json:"seed"`
-	// Entries, Guards and Bare count the processes and endpoints.
+	// Entries, Guards and Bare are the numbers of entries, guards and bare endpoints.
 	Entries     int `json:"entries"`
 	Guards      int `json:"guards"`
 	Bare        int `json:"bare"`
 	Slots       int `json:"slots"`
 	Connections int `json:"connections"`
-	// Queue is the length of a guard's queue; -1 for the product's default.
+	// Queue is the length of a guard's queue; -1 selects the production default.
 	Queue int `json:"queue"`
-	// Delay is the one-way time between processes, CallerDelay to callers.
+	// Delay is the one-way network delay between processes, CallerDelay that between
+	// callers and entries.
 	Delay       settings.Duration `json:"delay"`
 	CallerDelay settings.Duration `json:"caller_delay"`
-	// Load is the offered work as a share of all slots.
+	// Load is the offered work as a fraction of all slots.
 	Load float64 `json:"load"`
-	// Lumpy is the share of jobs that all go to the first entry.
+	// Lumpy is the fraction of jobs that is sent to the first entry in addition to its
+	// equal share.
 	Lumpy    float64           `json:"lumpy"`
 	Warmup   settings.Duration `json:"warmup"`
 	Duration settings.Duration `json:"duration"`
 	MinRun   settings.Duration `json:"min_run"`
 	MeanRun  settings.Duration `json:"mean_run"`
 	MaxRun   settings.Duration `json:"max_run"`
-	// DeclaredOff is the factor by which declared run times are wrong; 0: none
-	// are declared.
+	// DeclaredOff is the factor by which declared run times are wrong; with 0, no run
+	// times are declared.
 	DeclaredOff float64 `json:"declared_off"`
-	// Zones is the number of data centres that entries and endpoints are spread
-	// over in turn. Delay is added to every connection, within one too.
+	// Zones is the number of data centres over which entries and endpoints are
+	// distributed in turn. Delay applies to every connection, also within a data
+	// centre.
 	Zones int `json:"zones"`
-	// Impossible is the share of jobs that can never run: of a service that does
-	// not exist or with too many tasks.
+	// Impossible is the fraction of jobs that can never run: their service doesn't
+	// exist.
 	Impossible float64 `json:"impossible,omitempty"`
-	// Returns is how often a refused caller comes back when told to.
+	// Returns is how many times a caller retries a rejected job after its Retry-After.
 	Returns   int        `json:"returns"`
 	Customers []Customer `json:"customers"`
 	Bursts    []Burst    `json:"bursts,omitempty"`
 	Faults    []Fault    `json:"faults,omitempty"`
-	// CancelShare is the share of jobs that are cancelled, by a call that names
-	// their id, in the wave between CancelAt and CancelAt plus one second.
+	// CancelShare is the fraction of jobs that are cancelled, each by a call with its
+	// id, between CancelAt and one second later.
 	CancelShare float64           `json:"cancel_share,omitempty"`
 	CancelAt    settings.Duration `json:"cancel_at,omitempty"`
-	// Variant changes the decisions; empty for the product's own.
+	// Variant changes the scheduling policy; empty selects the production policy.
 	Variant baseline.Variant `json:"variant"`
 }
 
-// Customer is one customer's contract and its part of the load.
+// Customer is one client's contract and its share of the load.
 type Customer struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
-	// Urgency and AnswerTime are those of the contract; Rate, Burst and InFlight
-	// too, when set.
+	// Urgency and AnswerTime are those of the contract, and so are Rate, Burst and
+	// InFlight if they are set.
 	Urgency    int               `json:"urgency"`
 	AnswerTime settings.Duration `json:"answer_time"`
 	Rate       float64           `json:"rate,omitempty"`
@@ -72,14 +75,14 @@
 	InFlight   int               `json:"in_flight,omitempty"`
 }
 
-// Burst multiplies the load for a while, counted from the end of the warm-up.
+// Burst multiplies the load for a while; At is relative to the end of the warm-up.
 type Burst struct {
 	At     settings.Duration `json:"at"`
 	For    settings.Duration `json:"for"`
 	Factor float64           `json:"factor"`
 }
 
-// FaultKind names a fault.
+// FaultKind identifies a kind of fault.
 type FaultKind string
 
 // Faults of an experiment.
@@ -92,18 +95,18 @@
 	FreezeGuard FaultKind = "freeze_guard"
 )
 
-// Fault happens at a moment, counted from the end of the warm-up, and ends
-// after For when that is set and the fault can end.
+// Fault is injected at At, relative to the end of the warm-up, and cleared after For if
+// that is set and the fault can be cleared.
 type Fault struct {
 	At     settings.Duration `json:"at"`
 	For    settings.Duration `json:"for,omitempty"`
 	Kind   FaultKind         `json:"kind"`
 	Target int               `json:"target"`
-	// Factor is the slowness of a straggler.
+	// Factor is how many times longer runs take on a straggler.
 	Factor float64 `json:"factor,omitempty"`
 }
 
-// Default returns the size of today: eleven endpoints, four entries.
+// Default returns the size of the current installation: eleven endpoints, four entries.
 func Default() Experiment {
 	return Experiment{
 		Seed:        7,
@@ -130,7 +133,7 @@
 	}
 }
 
-// Load reads an experiment file; what it leaves out is Default's.
+// Load reads an experiment file. Settings missing there have the values of Default.
 func Load(path string) (Experiment, error) {
 	e := Default()
 	if err := settings.Load(path, &e); err != nil {
@@ -139,7 +142,7 @@
 	return e, nil
 }
 
-// spec returns the stream of the experiment, its warm-up included.
+// spec returns the description of the job stream, including the warm-up.
 func (e Experiment) spec() workload.Spec {
 	s := workload.Spec{
 		Seed:        e.Seed,
@@ -165,7 +168,7 @@
 
 func (e Experiment) slots() int { return (e.Guards + e.Bare) * e.Slots }
 
-// travel is the time that messages of a job need at least.
-func (e Experiment) travel() time.Duration {
+// networkTime returns the minimum time that the messages of a job take.
+func (e Experiment) networkTime() time.Duration {
 	return 2*e.CallerDelay.Std() + 2*e.Delay.Std()
 }
--- a/bench/experiment/near.go
+++ b/bench/experiment/near.go
@@ -4,21 +4,21 @@
 	"strings"
 )
 
-// nearShare is the share of starts in the data centre of the entry that
-// answered the job, among those whose caller got an answer.
+// nearShare returns the share of starts that ran in the data centre of the entry which
+// answered the job, counting only jobs whose caller got an answer.
 func (r *run) nearShare() float64 {
-	zones := r.entryZones()
+	dataCentres := r.entryDataCentres()
 	near, all := 0, 0
-	for i, one := range r.cluster.Runners {
-		zone := r.e.zoneOf(i)
-		for task, starts := range one.Runner.Starts().Tasks {
+	for i, runner := range r.cluster.Runners {
+		dataCentre := r.e.dataCentreOf(i)
+		for task, starts := range runner.Runner.Starts().Tasks {
 			submission, _, _ := strings.Cut(task, "/")
-			from, known := zones[submission]
+			from, known := dataCentres[submission]
 			if !known {
 				continue
 			}
 			all += starts
-			if from == zone {
+			if from == dataCentre {
 				near += starts
 			}
 		}
@@ -26,11 +26,12 @@
 	return float64(near) / float64(max(all, 1))
 }
 
-// entryZones is the data centre of each answered submission's entry.
-func (r *run) entryZones() map[string]int {
+// entryDataCentres returns, by submission, the data centre of the entry that answered
+// it.
+func (r *run) entryDataCentres() map[string]int {
 	ofEntry := map[string]int{}
 	for i, e := range r.cluster.Entries {
-		ofEntry[e.ID] = r.e.zoneOf(i)
+		ofEntry[e.ID] = r.e.dataCentreOf(i)
 	}
 	all := map[string]int{}
 	for _, reply := range r.replies {
@@ -41,5 +42,6 @@
 	return all
 }
 
-// zoneOf is the data centre of an entry or an endpoint, which are spread in turn.
-func (e Experiment) zoneOf(i int) int { return i % max(1, e.Zones) }
+// dataCentreOf returns the data centre of the i-th entry or endpoint; both are
+// distributed over the data centres in turn.
+func (e Experiment) dataCentreOf(i int) int { return i % max(1, e.Zones) }
--- a/bench/experiment/play.go
+++ b/bench/experiment/play.go
@@ -14,52 +14,53 @@
 	"almondstand.dev/standin/runner"
 )
 
-// caller is one job's caller under way.
+// caller simulates the caller of one job.
 type caller struct {
 	*run
 	job    workload.Job
 	client *harness.Client
-	// id is the submission's, for a job that will be cancelled.
+	// id is the submission id; it is set only for a job that will be cancelled.
 	id string
-	// late is how much longer the caller's own sleeps took than they should
-	// have: the bench's timers are no part of a response.
-	late time.Duration
-	// waited is the time spent waiting as it was told to.
+	// oversleep is how much longer the caller's sleeps took than requested. It is
+	// subtracted from the response time, because the timer errors of the benchmark are
+	// not part of it.
+	oversleep time.Duration
+	// waited is the time spent waiting for a Retry-After to pass.
 	waited time.Duration
 	tries  int
 }
 
-// play submits one job and comes back when it is told to.
-func (r *run) play(ctx context.Context, j workload.Job, begin time.Time) {
+// play submits one job and retries it after each Retry-After, up to the limit.
+func (r *run) play(ctx context.Context, j workload.Job, startedAt time.Time) {
 	ctx, stop := context.WithTimeout(ctx, callLimit)
 	defer stop()
 	c := &caller{run: r, job: j, client: r.clients[j.Customer]}
-	cancelled := r.isCancelled(j) && c.cancelIn(ctx, time.Until(begin.Add(r.cancelAt(j))))
-	left := time.Now()
+	cancelled := r.isCancelled(j) && c.cancelIn(ctx, time.Until(startedAt.Add(r.cancelAt(j))))
+	submittedAt := time.Now()
 	reply := c.submit(ctx)
-	for c.tries <= r.e.Returns && c.comesBack(ctx, reply) {
+	for c.tries <= r.e.Returns && c.waitForRetry(ctx, reply) {
 		reply = c.submit(ctx)
 	}
 	if j.At < r.e.Warmup.Std() || cancelled {
 		return
 	}
-	r.result.Add(c.observe(reply, time.Since(left)-c.late))
+	r.result.Add(c.observe(reply, time.Since(submittedAt)-c.oversleep))
 }
 
-// travel sleeps the time of a message to or from the caller.
-func (c *caller) travel() {
+// delay sleeps for the duration of a message to or from the caller.
+func (c *caller) delay() {
 	began := time.Now()
 	time.Sleep(c.e.CallerDelay.Std())
-	c.late += time.Since(began) - c.e.CallerDelay.Std()
+	c.oversleep += time.Since(began) - c.e.CallerDelay.Std()
 }
 
 // submit sends the job once.
 func (c *caller) submit(ctx context.Context) harness.Reply {
 	job := jobOf(c.job)
 	c.tries++
-	c.travel()
+	c.delay()
 	answer, err := c.call(ctx, job)
-	c.travel()
+	c.delay()
 	reply := harness.Reply{Answer: answer, Err: err, Job: job}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,9 +76,9 @@
 	return c.client.Run(ctx, address, job)
 }
 
-// comesBack waits as long as a refused caller was told to; false when the job
+// waitForRetry waits for the Retry-After of a rejection; it returns false when the job
 // has its final answer.
-func (c *caller) comesBack(ctx context.Context, reply harness.Reply) bool {
+func (c *caller) waitForRetry(ctx context.Context, reply harness.Reply) bool {
 	if reply.Err != nil || reply.Answer.RetryAfter == "" || reply.Answer.Ran() != "no" {
 		return false
 	}
@@ -95,13 +96,14 @@
 	}
 }
 
-// cancelAt is the moment of a job's cancel: one within the second of the wave.
+// cancelAt returns the time at which a job is cancelled, within a second from CancelAt
+// on.
 func (r *run) cancelAt(j workload.Job) time.Duration {
 	return r.e.Warmup.Std() + r.e.CancelAt.Std() + j.At%time.Second
 }
 
-// isCancelled picks the jobs of the wave of cancellations: some of those that
-// came shortly before.
+// isCancelled selects the jobs to cancel: a random fraction of those that arrived
+// shortly before CancelAt.
 func (r *run) isCancelled(j workload.Job) bool {
 	wave := r.e.Warmup.Std() + r.e.CancelAt.Std()
 	if r.e.CancelShare == 0 || j.At < wave-cancelWindow || j.At > wave {
@@ -110,11 +112,11 @@
 	return rand.New(rand.NewPCG(r.e.Seed, uint64(j.At))).Float64() < r.e.CancelShare
 }
 
-// cancelWindow is how old the jobs are that a wave of cancellations meets.
+// cancelWindow is the maximum age of the jobs that are cancelled.
 const cancelWindow = 2 * time.Second
 
-// cancelIn fetches an id for the job and cancels that later; false when no id
-// came.
+// cancelIn requests an id for the job and schedules its cancellation; it returns false
+// when it got no id.
 func (c *caller) cancelIn(ctx context.Context, wait time.Duration) bool {
 	ids, err := c.client.Mint(ctx, c.entryFor(c.job.Entry).Callers, 1)
 	if err != nil || len(ids) == 0 {
@@ -162,7 +164,7 @@
 	case a.Status < http.StatusInternalServerError:
 		return result.Rejected
 	}
-	// Its answer time passed before any task had started.
+	// The answer time passed before any task had started.
 	return result.Failed
 }
 
@@ -173,7 +175,7 @@
 	return a.Error.Code
 }
 
-// missingService is a service that no endpoint offers.
+// missingService is a service that no endpoint serves.
 const missingService = "missing"
 
 func jobOf(j workload.Job) harness.Job {
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -18,13 +18,14 @@
 	"almondstand.dev/standin/store"
 )
 
-// VariantEnv carries the variant to the entries, as JSON.
+// VariantEnv is the environment variable that passes the variant to the entries, as
+// JSON.
 const VariantEnv = "ALMOND_BENCH_VARIANT"
 
-// callLimit bounds one job, so that a run always ends.
+// callLimit limits the time of one job, so that a run always ends.
 const callLimit = 2 * time.Minute
 
-// run is one experiment under way.
+// run is the state of one running experiment.
 type run struct {
 	e       Experiment
 	cluster *harness.Cluster
@@ -36,7 +37,7 @@
 	replies []harness.Reply
 }
 
-// Run runs the experiment with the given programs.
+// Run runs the experiment with the given builds of the programs.
 func Run(ctx context.Context, e Experiment, programs harness.Binaries) (*result.Result, error) {
 	dir, err := os.MkdirTemp("", "almondbench")
 	if err != nil {
@@ -88,9 +89,9 @@
 	return names
 }
 
-// joinHosts takes the delay away between guards and their runners, which share a
+// joinHosts removes the network delay between guards and their runners, which share a
 // host.
-func (r *run) joinHosts() error {
+func (r *run) removeHostDelay() error {
 	for _, one := range r.cluster.Runners[:r.e.Guards] {
 		if one.Relay == nil {
 			continue
@@ -103,7 +104,7 @@
 }
 
 func (r *run) prepare(ctx context.Context) error {
-	if err := r.joinHosts(); err != nil {
+	if err := r.removeHostDelay(); err != nil {
 		return err
 	}
 	for _, c := range r.e.Customers {
@@ -130,28 +131,30 @@
 	return nil
 }
 
-// measure plays the stream: jobs leave on time whatever the answers do.
+// measure submits the stream of jobs. Each job is submitted at its time of arrival,
+// regardless of earlier answers (open loop).
 func (r *run) measure(ctx context.Context) (*result.Result, error) {
 	jobs := workload.Make(r.e.spec())
 	before, err := readUsage(ctx, r.cluster)
 	if err != nil {
 		return nil, err
 	}
-	begin := time.Now()
+	startedAt := time.Now()
 	r.result = result.NewCollector()
-	faults := r.startFaults(begin)
-	var open sync.WaitGroup
+	faults := r.startFaults(startedAt)
+	var inFlight sync.WaitGroup
 	for _, j := range jobs {
-		time.Sleep(time.Until(begin.Add(j.At)))
-		open.Go(func() { r.play(ctx, j, begin) })
+		time.Sleep(time.Until(startedAt.Add(j.At)))
+		inFlight.Go(func() { r.play(ctx, j, startedAt) })
 	}
-	open.Wait()
+	inFlight.Wait()
 	faults.Wait()
 	r.cluster.WaitIdle(ctx)
-	return r.finish(ctx, before, time.Since(begin))
+	return r.finish(ctx, before, time.Since(startedAt))
 }
 
-// entryFor is the entry that the balancer picks: one that lives.
+// entryFor returns the entry that a load balancer would choose: the first live one from
+// i on.
 func (r *run) entryFor(i int) *harness.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,11 +164,11 @@
 	return r.cluster.Entries[i]
 }
 
-func (r *run) startFaults(begin time.Time) *sync.WaitGroup {
+func (r *run) startFaults(startedAt time.Time) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for _, f := range r.e.Faults {
 		all.Go(func() {
-			time.Sleep(time.Until(begin.Add(r.e.Warmup.Std() + f.At.Std())))
+			time.Sleep(time.Until(startedAt.Add(r.e.Warmup.Std() + f.At.Std())))
 			r.inject(f)
 		})
 	}
@@ -193,7 +196,7 @@
 	}
 }
 
-// killEntry kills an entry; the balancer's check finds that a second later.
+// killEntry kills an entry. The load balancer's health check notices it a second later.
 func (r *run) killEntry(i int) {
 	r.cluster.Entries[i].Kill()
 	time.Sleep(time.Second)
@@ -210,9 +213,9 @@
 	}
 }
 
-// Ideal is the ideal time of a job of the experiment.
+// Ideal returns the ideal response time of a job of the experiment.
 func Ideal(e Experiment, j workload.Job) time.Duration {
-	return workload.Ideal(j, e.slots(), e.travel())
+	return workload.Ideal(j, e.slots(), e.networkTime())
 }
 
 func (r *run) finish(ctx context.Context, before usage, took time.Duration) (*result.Result, error) {
--- a/bench/experiment/usage.go
+++ b/bench/experiment/usage.go
@@ -13,7 +13,7 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// counters are counts by kind.
+// counters holds counts by kind.
 type counters map[string]float64
 
 func (c counters) minus(other counters) map[string]float64 {
@@ -24,8 +24,8 @@
 	return out
 }
 
-// usage is what the processes have sent and used so far. A killed entry's
-// counts are lost with it.
+// usage holds the message counts and resource usage of the processes so far. Those of a
+// killed entry are lost.
 type usage struct {
 	messages  counters
 	processes map[string]harness.Usage
@@ -60,8 +60,9 @@
 	return u.scrape(ctx, address, prefix)
 }
 
-// kept are the metrics that count messages; their label becomes the kind.
-var kept = []string{
+// messageMetrics are the prefixes of the metrics that count messages; the value of
+// their label becomes the kind.
+var messageMetrics = []string{
 	"almondstand_messages{", "almondstand_control_calls{", "almondstand_store_calls{",
 	"almondguard_refusals{", "almondguard_resolves",
 }
@@ -78,26 +79,26 @@
 	defer response.Body.Close()
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		u.take(lines.Text(), prefix)
+		u.parseLine(lines.Text(), prefix)
 	}
 	return lines.Err()
 }
 
-func (u usage) take(line, prefix string) {
-	for _, k := range kept {
+func (u usage) parseLine(line, prefix string) {
+	for _, k := range messageMetrics {
 		if !strings.HasPrefix(line, k) {
 			continue
 		}
 		cut := strings.LastIndexByte(line, ' ')
 		value, err := strconv.ParseFloat(line[cut+1:], 64)
 		if err == nil {
-			u.messages[name(line[:cut], prefix)] += value
+			u.messages[kindOf(line[:cut], prefix)] += value
 		}
 	}
 }
 
-// name turns almondstand_messages{kind="start"} into messages.start.
-func name(metric, prefix string) string {
+// kindOf converts almondstand_messages{kind="start"} to messages.start.
+func kindOf(metric, prefix string) string {
 	metric = strings.TrimPrefix(metric, prefix)
 	base, label, found := strings.Cut(metric, "{")
 	if !found {
@@ -107,7 +108,7 @@
 	return base + "." + strings.TrimSuffix(value, `"}`)
 }
 
-// perProcess gives the processor time a second and the memory of each process.
+// perProcess returns the average processor cores and the memory used by each process.
 func (u usage) perProcess(before usage, took time.Duration) map[string]result.Process {
 	out := map[string]result.Process{}
 	for name, now := range u.processes {
