--- a/bench/workload/workload.go
+++ b/bench/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload makes the jobs of an experiment from a seed: when each
-// arrives, from whom, at which entry, and how long its tasks really run.
+// Package workload generates the jobs of an experiment from a seed: the arrival time,
+// client and entry of each job, and how long its tasks really run.
 package workload
 
 import (
@@ -12,36 +12,37 @@
 // Spec describes a stream of jobs.
 type Spec struct {
 	Seed uint64
-	// Slots is the number of slots that serve the stream.
+	// Slots is the number of slots available to the stream.
 	Slots int
-	// Load is the offered work as a share of Slots.
+	// Load is the offered work as a fraction of Slots.
 	Load float64
 	// Duration is the length of the stream.
 	Duration time.Duration
-	// Bursts multiply the load for a while.
+	// Bursts temporarily multiply the load.
 	Bursts []Burst
-	// Customers share the stream by weight.
+	// Customers lists the clients that share the stream by weight.
 	Customers []Share
-	// Entries is the number of entries; Lumpy is the share of all jobs that the
-	// first one gets above its equal part.
+	// Entries is the number of entries. Lumpy is the fraction of all jobs that is sent
+	// to the first one in addition to its equal share.
 	Entries int
 	Lumpy   float64
-	// MinRun, MeanRun and MaxRun describe the run times of tasks over all kinds.
+	// MinRun, MeanRun and MaxRun describe the distribution of run times over all kinds
+	// of tasks.
 	MinRun, MeanRun, MaxRun time.Duration
-	// Impossible is the share of jobs that can never run.
+	// Impossible is the fraction of jobs that can never run.
 	Impossible float64
-	// DeclaredOff is the factor by which declared run times are wrong, up or
-	// down at random; 0 declares none.
+	// DeclaredOff is the maximum factor by which declared run times are wrong, too long
+	// or too short at random; with 0, none are declared.
 	DeclaredOff float64
 }
 
-// Burst multiplies the load between two moments.
+// Burst multiplies the load from At on for the duration For.
 type Burst struct {
 	At, For time.Duration
 	Factor  float64
 }
 
-// Share is one customer's part of the stream.
+// Share is one client's weight in the stream.
 type Share struct {
 	Customer string
 	Weight   float64
@@ -52,7 +53,8 @@
 	At       time.Duration
 	Customer string
 	Entry    int
-	// Kinds, Runs and Declared are those of its tasks.
+	// Kinds, Runs and Declared hold the kind, run time and declared run time of each
+	// task.
 	Kinds    []string
 	Runs     []time.Duration
 	Declared []time.Duration
@@ -60,8 +62,8 @@
 	Impossible bool
 }
 
-// kinds are the kinds of tasks, how often they come, and their mean run time in
-// terms of that of all.
+// kinds lists the kinds of tasks with their frequencies and their mean run times
+// relative to the mean over all kinds.
 var kinds = []struct {
 	name   string
 	weight float64
@@ -72,7 +74,7 @@
 	{"card", 0.10, 3.325},
 }
 
-// Work is the sum of the run times.
+// Work returns the sum of the run times.
 func (j Job) Work() time.Duration {
 	var sum time.Duration
 	for _, r := range j.Runs {
@@ -81,7 +83,7 @@
 	return sum
 }
 
-// sizes are the numbers of tasks of a job and how often they come.
+// sizes lists ranges of the number of tasks of a job with their frequencies.
 var sizes = []struct {
 	weight   float64
 	from, to int
@@ -92,7 +94,7 @@
 	{0.05, 41, 100},
 }
 
-// meanSize is the mean number of tasks of a job, from sizes.
+// meanSize returns the mean number of tasks of a job according to sizes.
 func meanSize() float64 {
 	sum := 0.0
 	for _, s := range sizes {
@@ -101,7 +103,7 @@
 	return sum
 }
 
-// Make returns the jobs in the order of their arrival.
+// Make returns the jobs in order of arrival.
 func Make(s Spec) []Job {
 	rng := rand.New(rand.NewPCG(s.Seed, s.Seed))
 	mean := meanSize() * s.MeanRun.Seconds()
@@ -130,19 +132,19 @@
 }
 
 func makeJob(rng *rand.Rand, s Spec, at time.Duration) Job {
-	j := Job{At: at, Customer: pickCustomer(rng, s.Customers), Entry: pickEntry(rng, s)}
+	j := Job{At: at, Customer: pickClient(rng, s.Customers), Entry: pickEntry(rng, s)}
 	j.Impossible = s.Impossible > 0 && rng.Float64() < s.Impossible
 	for range pickSize(rng) {
 		kind, mean := pickKind(rng)
 		run := pickRun(rng, s, mean)
 		j.Kinds = append(j.Kinds, kind)
 		j.Runs = append(j.Runs, run)
-		j.Declared = append(j.Declared, declare(rng, run, s.DeclaredOff))
+		j.Declared = append(j.Declared, declaredRunTime(rng, run, s.DeclaredOff))
 	}
 	return j
 }
 
-func pickCustomer(rng *rand.Rand, all []Share) string {
+func pickClient(rng *rand.Rand, all []Share) string {
 	sum := 0.0
 	for _, c := range all {
 		sum += c.Weight
@@ -186,39 +188,40 @@
 	return kinds[0].name, kinds[0].mean
 }
 
-// pickRun draws a run time of a kind: the shortest plus an exponential part, cut
-// at the longest, so that most are under a second and a few take some seconds.
+// pickRun draws a run time of a kind: the minimum plus an exponentially distributed
+// part, truncated at the maximum. Most run times are below a second and a few are
+// several seconds.
 func pickRun(rng *rand.Rand, s Spec, mean float64) time.Duration {
 	extra := rng.ExpFloat64() * max(0, mean*float64(s.MeanRun)-float64(s.MinRun))
 	return min(s.MinRun+time.Duration(extra), s.MaxRun)
 }
 
-func declare(rng *rand.Rand, run time.Duration, off float64) time.Duration {
-	if off == 0 {
+func declaredRunTime(rng *rand.Rand, run time.Duration, maxError float64) time.Duration {
+	if maxError == 0 {
 		return 0
 	}
-	return time.Duration(float64(run) * math.Pow(off, 2*rng.Float64()-1))
+	return time.Duration(float64(run) * math.Pow(maxError, 2*rng.Float64()-1))
 }
 
-// Ideal is the time a job takes alone on idle slots with perfect knowledge of
-// its run times, longest first, on top of the time that messages travel.
-func Ideal(j Job, slots int, travel time.Duration) time.Duration {
+// Ideal returns the response time of a job that runs alone on idle slots, scheduled
+// longest task first with known run times, including the given time for messages.
+func Ideal(j Job, slots int, messageTime time.Duration) time.Duration {
 	runs := append([]time.Duration(nil), j.Runs...)
 	sort.Slice(runs, func(a, b int) bool { return runs[a] > runs[b] })
-	busy := make([]time.Duration, slots)
+	slotEnds := make([]time.Duration, slots)
 	var end time.Duration
 	for _, r := range runs {
-		i := least(busy)
-		busy[i] += r
-		end = max(end, busy[i])
+		i := leastLoaded(slotEnds)
+		slotEnds[i] += r
+		end = max(end, slotEnds[i])
 	}
-	return end + travel
+	return end + messageTime
 }
 
-func least(busy []time.Duration) int {
+func leastLoaded(slotEnds []time.Duration) int {
 	best := 0
-	for i, b := range busy {
-		if b < busy[best] {
+	for i, b := range slotEnds {
+		if b < slotEnds[best] {
 			best = i
 		}
 	}
--- a/bench/workload/workload_test.go
+++ b/bench/workload/workload_test.go
@@ -20,20 +20,20 @@
 	jobs := Make(spec())
 	assert.DeepEqual(t, jobs, Make(spec()))
 	var work time.Duration
-	first, ofA := 0, 0
+	atFirstEntry, ofClientA := 0, 0
 	for _, j := range jobs {
 		work += j.Work()
 		if j.Entry == 0 {
-			first++
+			atFirstEntry++
 		}
 		if j.Customer == "a" {
-			ofA++
+			ofClientA++
 		}
 	}
 	load := work.Seconds() / (20 * 60 * 88)
 	assert.Assert(t, math.Abs(load-0.8) < 0.04, "load %.3f", load)
-	assert.Assert(t, math.Abs(float64(first)/float64(len(jobs))-0.625) < 0.03)
-	assert.Assert(t, math.Abs(float64(ofA)/float64(len(jobs))-0.75) < 0.03)
+	assert.Assert(t, math.Abs(float64(atFirstEntry)/float64(len(jobs))-0.625) < 0.03)
+	assert.Assert(t, math.Abs(float64(ofClientA)/float64(len(jobs))-0.75) < 0.03)
 }
 
 func TestIdeal(t *testing.T) {
