--- a/bench/capacity/capacity_test.go
+++ b/bench/capacity/capacity_test.go
@@ -19,9 +19,10 @@
 	return dir
 }
 
-// An operator sizes hosts by the page. Each figure there must be that of a run: the
-// busiest host, not the middle one, and carried on by the run's own power; what fell as
-// hosts were added isn't taken to fall further.
+// TestTableIsOfTheRun guards against wrong figures on the page by which operators size
+// hosts. Each figure must come from a run: that of the busiest host, not the median
+// one, extrapolated by the exponent of that run. A quantity that fell as hosts were
+// added must not be extrapolated to fall further.
 func TestTableIsOfTheRun(t *testing.T) {
 	page, err := Update("before\n<!-- sweep 0a1b2c3d entry -->\nold\n<!-- end of table -->\n<!-- sweep 0a1b2c3d guard -->\n<!-- end of table -->\n"+
 		"<!-- sweep 0a1b2c3d served -->\n<!-- end of table -->\nafter", journal(t))
@@ -36,7 +37,8 @@
 	assert.Assert(t, strings.HasPrefix(page, "before\n") && strings.HasSuffix(page, "\nafter") && !strings.Contains(page, "old"))
 }
 
-// A run that isn't there, or no sweep, must not leave an older table in place unnoticed.
+// TestMissingRunIsAnError guards against silently leaving an outdated table on the page
+// when the run doesn't exist or isn't a sweep.
 func TestMissingRunIsAnError(t *testing.T) {
 	dir := journal(t)
 	for _, marker := range []string{"ffffffff entry", "0a1b2c3d nobody"} {
@@ -45,7 +47,8 @@
 	}
 }
 
-// The page's tables are those that the program prints from the journal.
+// TestPageIsOfTheJournal checks that the tables on the page are those generated from
+// the journal.
 func TestPageIsOfTheJournal(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/CAPACITY.md")
 	assert.NilError(t, err)
--- a/bench/capacity/page.go
+++ b/bench/capacity/page.go
@@ -9,28 +9,30 @@
 	"strings"
 )
 
-// Hosts is the size that users expect in two years.
+// Hosts is the number of hosts that users expect in two years.
 const Hosts = 3300
 
-// leastPower and mostPower bound the power by which a figure is carried on: a quantity
-// that fell as hosts were added is not taken to fall further.
+// minExponent and maxExponent limit the exponent of the extrapolation. Because of the
+// minimum, a quantity that fell as hosts were added is not extrapolated to fall
+// further.
 const (
-	leastPower = 0
-	mostPower  = 2
+	minExponent = 0
+	maxExponent = 2
 )
 
-// ErrPage means a page whose table can't be printed.
+// ErrPage means that a table of the page can't be generated.
 var ErrPage = errors.New("capacity: page")
 
-// block is a table on the page: its sweep's id and the role, or "served".
-var block = regexp.MustCompile(`(?s)<!-- sweep (\S+) (\S+) -->\n.*?<!-- end of table -->`)
+// tableBlock matches a table on the page, with the id of its sweep and either a role or
+// "served".
+var tableBlock = regexp.MustCompile(`(?s)<!-- sweep (\S+) (\S+) -->\n.*?<!-- end of table -->`)
 
-// Update returns the page with every table printed anew from the journal.
+// Update returns the page with every table regenerated from the journal.
 func Update(page, journal string) (string, error) {
 	var failed error
-	text := block.ReplaceAllStringFunc(page, func(old string) string {
-		m := block.FindStringSubmatch(old)
-		table, err := tableOf(journal, m[1], m[2])
+	text := tableBlock.ReplaceAllStringFunc(page, func(old string) string {
+		m := tableBlock.FindStringSubmatch(old)
+		table, err := generateTable(journal, m[1], m[2])
 		if err != nil {
 			failed = err
 			return old
@@ -40,7 +42,7 @@
 	return text, failed
 }
 
-func tableOf(journal, id, part string) (string, error) {
+func generateTable(journal, id, part string) (string, error) {
 	s, err := Read(journal, id)
 	if err != nil {
 		return "", err
@@ -51,7 +53,7 @@
 	return s.role(part)
 }
 
-// served is the table of what callers got, by size.
+// served returns the table of the service that callers got, by number of hosts.
 func (s Sweep) served() string {
 	var b strings.Builder
 	b.WriteString("| hosts | served | of the smallest | rules broken |\n|---|---|---|---|\n")
@@ -61,7 +63,7 @@
 	return b.String()
 }
 
-// role is the table of one role's quantities.
+// role returns the table of the quantities of one role.
 func (s Sweep) role(name string) (string, error) {
 	var b strings.Builder
 	b.WriteString("| quantity, busiest host |")
@@ -79,7 +81,7 @@
 		for _, v := range r.Busiest {
 			fmt.Fprintf(&b, " %s |", number(v))
 		}
-		fmt.Fprintf(&b, " %.2f | %s |\n", r.Power, number(s.carried(r)))
+		fmt.Fprintf(&b, " %.2f | %s |\n", r.Power, number(s.extrapolate(r)))
 	}
 	if rows == 0 {
 		return "", fmt.Errorf("%w: sweep %s knows no role %q", ErrPage, s.ID, name)
@@ -87,14 +89,15 @@
 	return b.String(), nil
 }
 
-// carried is a row's value at Hosts, by its power from the largest size on.
-func (s Sweep) carried(r Row) float64 {
+// extrapolate returns a row's value at Hosts, extrapolated from the largest measured
+// size by the row's power law.
+func (s Sweep) extrapolate(r Row) float64 {
 	last := len(s.Hosts) - 1
-	power := min(max(r.Power, leastPower), mostPower)
+	power := min(max(r.Power, minExponent), maxExponent)
 	return r.Busiest[last] * math.Pow(float64(Hosts)/float64(s.Hosts[last]), power)
 }
 
-// number prints three digits.
+// number formats a value with three significant digits.
 func number(v float64) string {
 	if v >= 100 {
 		return strconv.FormatFloat(math.Round(v), 'f', 0, 64)
--- a/bench/capacity/sweep.go
+++ b/bench/capacity/sweep.go
@@ -1,5 +1,6 @@
-// Package capacity prints the tables of docs/CAPACITY.md from the sweeps in journal/, so
-// that the page and the runs can't differ. It measures nothing.
+// Package capacity generates the tables of docs/CAPACITY.md from the sweeps in
+// journal/, so that the page always matches the runs. It doesn't measure anything
+// itself.
 package capacity
 
 import (
@@ -14,32 +15,34 @@
 	"strings"
 )
 
-// ErrSweep means a journal entry that holds no sweep, or one that can't be read.
+// ErrSweep means that a journal entry isn't a sweep or can't be read.
 var ErrSweep = errors.New("capacity: no sweep")
 
-// Sweep is one journal entry: a day at several sizes.
+// Sweep is one journal entry: the same day simulated at several sizes.
 type Sweep struct {
 	ID   string
 	Site string
-	// Hosts are the sizes, ascending.
+	// Hosts holds the sizes in ascending order.
 	Hosts []int
-	// Served is the credit of callers against what they were owed, by size.
+	// Served is the fraction of the answers owed to callers that they were credited
+	// with, by size.
 	Served []float64
-	// Broken counts the rules that were broken, by size.
+	// Broken is the number of rules violated, by size.
 	Broken []int
 	Rows   []Row
 }
 
-// Row is one quantity of one role.
+// Row holds the values of one quantity of one role.
 type Row struct {
 	Role, Quantity string
-	// Busiest is the value of the busiest host, by size.
+	// Busiest is the value at the busiest host, by size.
 	Busiest []float64
-	// Power with which the busiest grows as hosts are added.
+	// Power is the exponent with which the value at the busiest host grows with the
+	// number of hosts.
 	Power float64
 }
 
-// entry is what of a journal file is read.
+// entry holds the fields of a journal file that are used.
 type entry struct {
 	ID     string `json:"id"`
 	Verb   string `json:"cmd"`
@@ -52,10 +55,10 @@
 	} `json:"days"`
 }
 
-// dayName begins the names of a sweep's days; the number of hosts follows.
-const dayName = "sweep-"
+// dayPrefix starts the names of the days of a sweep; the number of hosts follows.
+const dayPrefix = "sweep-"
 
-// Read reads the sweep of an id from a journal.
+// Read reads the sweep with an id from a journal.
 func Read(journal, id string) (Sweep, error) {
 	files, err := filepath.Glob(filepath.Join(journal, "*-"+id+".json"))
 	if err != nil || len(files) != 1 {
@@ -78,7 +81,7 @@
 		return s, fmt.Errorf("%w: %s is of %q", ErrSweep, e.ID, e.Verb)
 	}
 	for _, d := range e.Days {
-		hosts, err := strconv.Atoi(strings.TrimPrefix(d.Name, dayName))
+		hosts, err := strconv.Atoi(strings.TrimPrefix(d.Name, dayPrefix))
 		if err != nil {
 			return s, fmt.Errorf("%w: %s: day %q", ErrSweep, e.ID, d.Name)
 		}
@@ -90,7 +93,7 @@
 		return s, fmt.Errorf("%w: %s: sizes %v", ErrSweep, e.ID, s.Hosts)
 	}
 	for _, line := range strings.Split(e.Digest, "\n") {
-		if row, ok := rowOf(line, len(s.Hosts)); ok {
+		if row, ok := parseRow(line, len(s.Hosts)); ok {
 			s.Rows = append(s.Rows, row)
 		}
 	}
@@ -100,11 +103,11 @@
 	return s, nil
 }
 
-// rowLine is "role: quantity", then a pair "middle / busiest" for each size, the power,
-// and the value carried on, which isn't read.
+// rowLine matches "role: quantity", followed by a pair "median / busiest" for each
+// size, the exponent, and the extrapolated value, which is ignored.
 var rowLine = regexp.MustCompile(`^([a-z]+): (.+?)  +(.*)$`)
 
-func rowOf(line string, sizes int) (Row, bool) {
+func parseRow(line string, sizes int) (Row, bool) {
 	m := rowLine.FindStringSubmatch(line)
 	if m == nil {
 		return Row{}, false
