--- a/bench/overhead/overhead.go
+++ b/bench/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what an entry adds to a task: the time of a call
-// against that of a direct call to the runner, and the task starts a second
-// that one entry carries.
+// Package overhead measures the overhead that an entry adds to a task: the response
+// time of a call through an entry compared with a direct call to the runner, and the
+// rate of task starts that one entry sustains.
 package overhead
 
 import (
@@ -19,74 +19,76 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// Options of a measurement.
+// Options configures a measurement.
 type Options struct {
 	Binaries harness.Binaries
-	// Calls is the number of calls of each way, one after the other.
+	// Calls is the number of sequential calls per path.
 	Calls int
-	// Guards, Slots, Callers and Tasks describe the load of the throughput: that
-	// many callers submit jobs of Tasks tasks that run for Run each.
+	// Guards, Slots, Callers and Tasks describe the load of the throughput measurement:
+	// the given number of callers submit jobs of Tasks tasks, each of which runs for
+	// Run.
 	Guards  int
 	Slots   int
 	Callers int
 	Tasks   int
 	Run     time.Duration
-	// For is how long the throughput is measured.
+	// For is the duration of the throughput measurement.
 	For time.Duration
 }
 
-// Report is what was measured.
+// Report holds the measurements.
 type Report struct {
 	Direct, Guarded, Bare Latency
 	Throughput            Throughput
 }
 
-// Latency is a distribution of the times of calls.
+// Latency holds quantiles of response times.
 type Latency struct{ P50, P90, P99 time.Duration }
 
-// Throughput is what one entry carried.
+// Throughput holds the throughput of one entry.
 type Throughput struct {
-	// Starts is the number of task starts a second; failed counts jobs without
+	// Starts is the number of task starts per second, Failed the number of jobs without
 	// a complete answer.
 	Starts float64
 	Failed int64
-	// EntryCores and GuardCores are the processor time a second of the entry
-	// and of all guards together.
+	// EntryCores and GuardCores are the average processor cores used by the entry and
+	// by all guards together.
 	EntryCores float64
 	GuardCores float64
 }
 
 const (
-	customer   = "overhead"
-	warmCalls  = 200
-	warmFor    = 2 * time.Second
-	quickTask  = `{"run":"0s","echo":1}`
-	taskFormat = `{"run":%q,"echo":1}`
+	clientName  = "overhead"
+	warmupCalls = 200
+	warmupTime  = 2 * time.Second
+	quickTask   = `{"run":"0s","echo":1}`
+	taskFormat  = `{"run":%q,"echo":1}`
 )
 
-// Measure starts clusters without relays and measures in turn.
+// Measure starts clusters without network relays and runs the measurements one after
+// the other.
 func Measure(ctx context.Context, o Options) (Report, error) {
 	var r Report
-	err := o.with(ctx, harness.Options{Guards: 1}, func(c *harness.Cluster) error {
+	err := o.withCluster(ctx, harness.Options{Guards: 1}, func(c *harness.Cluster) error {
 		var err error
 		if r.Direct, err = o.direct(ctx, c); err != nil {
 			return err
 		}
-		r.Guarded, err = o.through(ctx, c)
+		r.Guarded, err = o.throughEntry(ctx, c)
 		return err
 	})
 	if err != nil {
 		return r, err
 	}
-	err = o.with(ctx, harness.Options{Bare: 1}, func(c *harness.Cluster) error {
+	err = o.withCluster(ctx, harness.Options{Bare: 1}, func(c *harness.Cluster) error {
 		var err error
-		r.Bare, err = o.through(ctx, c)
+		r.Bare, err = o.throughEntry(ctx, c)
 		return err
 	})
 	if err != nil {
 		return r, err
 	}
-	err = o.with(ctx, harness.Options{Guards: o.Guards, Slots: o.Slots, Connections: 2 * o.Slots}, func(c *harness.Cluster) error {
+	err = o.withCluster(ctx, harness.Options{Guards: o.Guards, Slots: o.Slots, Connections: 2 * o.Slots}, func(c *harness.Cluster) error {
 		var err error
 		r.Throughput, err = o.throughput(ctx, c)
 		return err
@@ -94,8 +96,8 @@
 	return r, err
 }
 
-// with runs a measurement on a cluster of one entry.
-func (o Options) with(ctx context.Context, h harness.Options, measure func(*harness.Cluster) error) error {
+// withCluster runs a measurement on a cluster with one entry.
+func (o Options) withCluster(ctx context.Context, h harness.Options, measure func(*harness.Cluster) error) error {
 	dir, err := os.MkdirTemp("", "overhead")
 	if err != nil {
 		return fmt.Errorf("overhead: %w", err)
@@ -111,16 +113,16 @@
 		return fmt.Errorf("overhead: %w", err)
 	}
 	defer c.Stop()
-	if err := c.Apply(ctx, harness.Contract(customer)); err != nil {
+	if err := c.Apply(ctx, harness.Contract(clientName)); err != nil {
 		return err
 	}
-	if err := c.WaitSettled(ctx, customer); err != nil {
+	if err := c.WaitSettled(ctx, clientName); err != nil {
 		return err
 	}
 	return measure(c)
 }
 
-// direct calls the runner as a guard beside it would.
+// direct calls the runner directly, like a guard on the same host.
 func (o Options) direct(ctx context.Context, c *harness.Cluster) (Latency, error) {
 	client := &http.Client{}
 	return o.time(func(i int) error {
@@ -140,9 +142,9 @@
 	})
 }
 
-// through calls the runner through the entry.
-func (o Options) through(ctx context.Context, c *harness.Cluster) (Latency, error) {
-	client := harness.NewClient(customer)
+// throughEntry calls the runner through the entry.
+func (o Options) throughEntry(ctx context.Context, c *harness.Cluster) (Latency, error) {
+	client := harness.NewClient(clientName)
 	job := harness.Job{Service: harness.Service, Tasks: []harness.Task{{Kind: "quick", Payload: []byte(quickTask)}}}
 	return o.time(func(int) error {
 		answer, err := client.Run(ctx, c.Entries[0].Callers, job)
@@ -155,12 +157,12 @@
 
 func (o Options) time(call func(i int) error) (Latency, error) {
 	took := make([]time.Duration, 0, o.Calls)
-	for i := range warmCalls + o.Calls {
+	for i := range warmupCalls + o.Calls {
 		began := time.Now()
 		if err := call(i); err != nil {
 			return Latency{}, err
 		}
-		if i >= warmCalls {
+		if i >= warmupCalls {
 			took = append(took, time.Since(began))
 		}
 	}
@@ -169,7 +171,7 @@
 	return Latency{P50: at(0.5), P90: at(0.9), P99: at(0.99)}, nil
 }
 
-// throughput keeps the entry busy from many callers.
+// throughput measures the entry while many callers keep it busy.
 func (o Options) throughput(ctx context.Context, c *harness.Cluster) (Throughput, error) {
 	job := harness.Job{Service: harness.Service}
 	for range o.Tasks {
@@ -180,7 +182,7 @@
 	var callers sync.WaitGroup
 	for range o.Callers {
 		callers.Go(func() {
-			client := harness.NewClient(customer)
+			client := harness.NewClient(clientName)
 			for ctx.Err() == nil {
 				answer, err := client.Run(ctx, c.Entries[0].Callers, job)
 				if ctx.Err() == nil && (err != nil || !answer.OK()) {
@@ -189,8 +191,8 @@
 			}
 		})
 	}
-	time.Sleep(warmFor)
-	before, err := read(c)
+	time.Sleep(warmupTime)
+	before, err := readCounters(c)
 	if err != nil {
 		stop()
 		return Throughput{}, err
@@ -198,7 +200,7 @@
 	failedBefore := failed.Load()
 	began := time.Now()
 	time.Sleep(o.For)
-	after, err := read(c)
+	after, err := readCounters(c)
 	took := time.Since(began).Seconds()
 	failedAfter := failed.Load()
 	stop()
@@ -211,14 +213,14 @@
 	}, err
 }
 
-// reading is what has been started and used so far.
-type reading struct {
+// counters holds the task starts and the processor time used so far.
+type counters struct {
 	starts        int
 	entry, guards time.Duration
 }
 
-func read(c *harness.Cluster) (reading, error) {
-	r := reading{starts: c.Starts().Total}
+func readCounters(c *harness.Cluster) (counters, error) {
+	r := counters{starts: c.Starts().Total}
 	used, err := c.Entries[0].Usage()
 	if err != nil {
 		return r, err
@@ -236,7 +238,7 @@
 
 // Write writes the report as a table.
 func (r Report) Write(w io.Writer) error {
-	_, err := fmt.Fprintf(w, `way                     p50 ms  p90 ms  p99 ms  p50 over direct
+	_, err := fmt.Fprintf(w, `path                    p50 ms  p90 ms  p99 ms  p50 over direct
 direct                  %6.3f  %6.3f  %6.3f
 one entry, one guard    %6.3f  %6.3f  %6.3f  %6.3f
 one entry, bare runner  %6.3f  %6.3f  %6.3f  %6.3f
