--- a/bench/cmd/almondbench/compare.go
+++ b/bench/cmd/almondbench/compare.go
@@ -14,7 +14,7 @@
 func compareCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare FOLDER FOLDER",
-		Short: "Set the results of two runs side by side",
+		Short: "Compare the results of two runs",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			before, err := readAll(args[0])
@@ -33,7 +33,7 @@
 func summaryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "summary FOLDER",
-		Short: "Put the results of a run together, experiment by experiment",
+		Short: "Summarize the results of a run by experiment",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			all, err := readAll(args[0])
--- a/bench/cmd/almondbench/main.go
+++ b/bench/cmd/almondbench/main.go
@@ -1,5 +1,5 @@
-// Command almondbench runs experiments on real processes with stand-ins and
-// writes what came of them.
+// Command almondbench runs experiments on the real programs, with simulated runners and
+// a simulated store, and writes the results.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	defer stop()
 	root := &cobra.Command{
 		Use:           "almondbench",
-		Short:         "Experiments on the real processes",
+		Short:         "Run experiments on the real programs",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/bench/cmd/almondbench/overhead.go
+++ b/bench/cmd/almondbench/overhead.go
@@ -10,19 +10,19 @@
 )
 
 func overheadCommand() *cobra.Command {
-	var builds []string
+	var buildArgs []string
 	o := overhead.Options{}
 	cmd := &cobra.Command{
 		Use:   "overhead",
-		Short: "Measure what an entry adds to a task, and the starts a second it carries",
+		Short: "Measure the overhead of an entry per task and the task starts per second it sustains",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, clean, err := named(builds)
+			builds, removeBuilds, err := loadBuilds(buildArgs)
 			if err != nil {
 				return err
 			}
-			defer clean()
-			for _, b := range all {
+			defer removeBuilds()
+			for _, b := range builds {
 				o.Binaries = b.Binaries
 				r, err := overhead.Measure(cmd.Context(), o)
 				if err != nil {
@@ -37,13 +37,13 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringArrayVar(&builds, "programs", nil, "LABEL=FOLDER of a build; several are run in turn")
-	f.IntVar(&o.Calls, "calls", 3000, "calls of each way, one after the other")
-	f.IntVar(&o.Guards, "guards", 8, "guards of the throughput")
-	f.IntVar(&o.Slots, "slots", 64, "slots of each")
-	f.IntVar(&o.Callers, "callers", 64, "callers at a time")
-	f.IntVar(&o.Tasks, "tasks", 20, "tasks of a job")
+	f.StringArrayVar(&buildArgs, "programs", nil, "build to test as LABEL=FOLDER; may be repeated, the builds are run in turn")
+	f.IntVar(&o.Calls, "calls", 3000, "sequential calls per path")
+	f.IntVar(&o.Guards, "guards", 8, "guards in the throughput measurement")
+	f.IntVar(&o.Slots, "slots", 64, "slots of each guard")
+	f.IntVar(&o.Callers, "callers", 64, "concurrent callers")
+	f.IntVar(&o.Tasks, "tasks", 20, "tasks per job")
 	f.DurationVar(&o.Run, "run", 20*time.Millisecond, "run time of a task")
-	f.DurationVar(&o.For, "for", 8*time.Second, "length of the throughput measurement")
+	f.DurationVar(&o.For, "for", 8*time.Second, "duration of the throughput measurement")
 	return cmd
 }
--- a/bench/cmd/almondbench/programs.go
+++ b/bench/cmd/almondbench/programs.go
@@ -11,9 +11,9 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// programs are one build of the programs under test.
+// programs is one build of the programs under test.
 type programs struct {
-	// label tells builds apart in the results; empty for the only one.
+	// label identifies the build in the results; empty when there is only one.
 	label string
 	harness.Binaries
 }
@@ -44,9 +44,9 @@
 
 func benchEntry(dir string) string { return filepath.Join(dir, "benchentry") }
 
-// named reads LABEL=FOLDER arguments; without any the present sources are built
-// into a folder that is removed by the returned function.
-func named(args []string) ([]programs, func(), error) {
+// loadBuilds parses LABEL=FOLDER arguments. Without any, it builds the current sources
+// into a temporary folder, which the returned function removes.
+func loadBuilds(args []string) ([]programs, func(), error) {
 	if len(args) == 0 {
 		dir, err := os.MkdirTemp("", "almondbench-bin")
 		if err != nil {
--- a/bench/cmd/almondbench/run.go
+++ b/bench/cmd/almondbench/run.go
@@ -15,7 +15,7 @@
 	"almondstand.dev/settings"
 )
 
-// plan is what one call of run does.
+// plan holds the options of one run command.
 type plan struct {
 	out      string
 	repeat   int
@@ -33,21 +33,21 @@
 			return p.run(cmd.Context(), args)
 		},
 	}
-	cmd.Flags().StringVar(&p.out, "out", "", "folder for the results as JSON")
-	cmd.Flags().IntVar(&p.repeat, "repeat", 1, "rounds over all experiments, in turn, with a new seed each")
-	cmd.Flags().DurationVar(&p.duration, "duration", 0, "length of each run after its warm-up, in place of the experiment's own")
-	cmd.Flags().StringArrayVar(&p.programs, "programs", nil, "LABEL=FOLDER of a build; several are run in turn")
+	cmd.Flags().StringVar(&p.out, "out", "", "folder to which the results are written as JSON")
+	cmd.Flags().IntVar(&p.repeat, "repeat", 1, "number of rounds over all experiments, each with a new seed")
+	cmd.Flags().DurationVar(&p.duration, "duration", 0, "duration of each run after its warm-up; overrides the experiment's own")
+	cmd.Flags().StringArrayVar(&p.programs, "programs", nil, "build to test as LABEL=FOLDER; may be repeated, the builds are run in turn")
 	return cmd
 }
 
-// run runs everything in turn, so that a noisy moment of the machine meets all
-// variants alike.
+// run runs all experiments and builds in turn, so that a temporary disturbance of the
+// machine affects all variants alike.
 func (p plan) run(ctx context.Context, paths []string) error {
-	builds, clean, err := named(p.programs)
+	builds, removeBuilds, err := loadBuilds(p.programs)
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer removeBuilds()
 	var all []*result.Result
 	for round := range p.repeat {
 		for _, path := range paths {
--- a/bench/cmd/almondcapacity/main.go
+++ b/bench/cmd/almondcapacity/main.go
@@ -1,4 +1,5 @@
-// Command almondcapacity prints the tables of docs/CAPACITY.md from the journal's sweeps.
+// Command almondcapacity regenerates the tables of docs/CAPACITY.md from the sweeps in
+// the journal.
 package main
 
 import (
@@ -14,7 +15,7 @@
 	var page, journal string
 	root := &cobra.Command{
 		Use:           "almondcapacity",
-		Short:         "Bring the tables of the capacity page up to date",
+		Short:         "Update the tables of the capacity page",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -30,8 +31,8 @@
 			return os.WriteFile(page, []byte(text), 0o644)
 		},
 	}
-	root.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "page whose tables are printed anew")
-	root.Flags().StringVar(&journal, "journal", "journal", "folder of the runs")
+	root.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "page whose tables are regenerated")
+	root.Flags().StringVar(&journal, "journal", "journal", "folder of the journal")
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "almondcapacity:", err)
 		os.Exit(1)
--- a/bench/cmd/almondreplay/main.go
+++ b/bench/cmd/almondreplay/main.go
@@ -1,5 +1,5 @@
-// Command almondreplay plays loads against the deciding packages in simulated time
-// and prints what each way of deciding gives to callers.
+// Command almondreplay simulates loads against the scheduling packages and prints what
+// each policy gives to callers.
 package main
 
 import (
@@ -14,19 +14,19 @@
 	"almondstand.dev/bench/replay"
 )
 
-// errUnknown means a load that isn't there.
-var errUnknown = errors.New("almondreplay: no such load")
+// errUnknown is returned for a load name that doesn't exist.
+var errUnknownLoad = errors.New("almondreplay: unknown load")
 
 func main() {
 	var seed uint64
 	var shares bool
 	root := &cobra.Command{
 		Use:           "almondreplay [LOAD...]",
-		Short:         "Play loads against the ways of deciding; all without an argument",
+		Short:         "Simulate loads with each scheduling policy; all loads if none is named",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, names []string) error {
-			loads, err := chosen(names)
+			loads, err := selectLoads(names)
 			if err != nil {
 				return err
 			}
@@ -45,29 +45,29 @@
 			return nil
 		},
 	}
-	root.Flags().Uint64Var(&seed, "seed", 1, "seed of the arrivals, sizes and choices")
-	root.Flags().BoolVar(&shares, "shares", false, "only what the product gives against the yardstick, a line a load")
+	root.Flags().Uint64Var(&seed, "seed", 1, "seed of the random numbers")
+	root.Flags().BoolVar(&shares, "shares", false, "print only one line per load that compares production with the oracle")
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "almondreplay:", err)
 		os.Exit(1)
 	}
 }
 
-// writeShares plays the loads beside one another, and prints them in their order.
+// writeShares simulates the loads concurrently and prints their results in order.
 func writeShares(cmd *cobra.Command, loads []replay.Load, seed uint64) error {
 	pairs := make([][]*replay.Result, len(loads))
 	var all sync.WaitGroup
 	for i, l := range loads {
 		all.Go(func() {
-			ours := replay.Play(l, replay.Ways()[0], seed)
-			pairs[i] = append([]*replay.Result{ours}, replay.Yardstick(l, seed)...)
+			production := replay.Play(l, replay.Ways()[0], seed)
+			pairs[i] = append([]*replay.Result{production}, replay.Yardstick(l, seed)...)
 		})
 	}
 	all.Wait()
 	return replay.WriteShares(cmd.OutOrStdout(), pairs)
 }
 
-func chosen(names []string) ([]replay.Load, error) {
+func selectLoads(names []string) ([]replay.Load, error) {
 	all := replay.Standard()
 	if len(names) == 0 {
 		return all, nil
@@ -76,7 +76,7 @@
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(l replay.Load) bool { return l.Name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("%w: %s", errUnknown, name)
+			return nil, fmt.Errorf("%w: %s", errUnknownLoad, name)
 		}
 		loads = append(loads, all[i])
 	}
--- a/bench/cmd/benchentry/main.go
+++ b/bench/cmd/benchentry/main.go
@@ -1,5 +1,5 @@
-// Command benchentry is the entry with the decisions that an experiment asks
-// for, so that ways of deciding can be compared on real processes.
+// Command benchentry is an entry whose scheduling policy is selected by an experiment,
+// so that policies can be compared on real processes.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// run takes the arguments of `almondstand entry --settings FILE`.
+// run expects the arguments of `almondstand entry --settings FILE`.
 func run() error {
 	if len(os.Args) != 4 {
 		return fmt.Errorf("usage: benchentry entry --settings FILE")
