--- a/entry/fleet/announce.go
+++ b/entry/fleet/announce.go
@@ -20,27 +20,27 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// InvalidError says what is wrong with an announcement.
+// InvalidError describes an invalid field of an announcement.
 type InvalidError struct{ Field, Problem string }
 
 // Error implements error.
 func (e *InvalidError) Error() string { return fmt.Sprintf("announcement: %s: %s", e.Field, e.Problem) }
 
-// Announce takes a guard's announcement and answers when to come back and which
-// entries to announce to. Errors are *InvalidError and ErrClosed.
+// Announce handles a guard's announcement. The response says when to announce again and
+// to which entries. Errors are *InvalidError and ErrClosed.
 func (f *Fleet) Announce(ctx context.Context, r *wirev1.AnnounceRequest) (*wirev1.AnnounceResponse, error) {
 	if err := checkAnnouncement(r); err != nil {
 		eventAnnouncementRejected.Log(ctx, f.logger, slog.String("from", r.GetGuardId()), slog.Any("error", err))
 		return nil, err
 	}
-	entries := f.o.Attach()
-	chosen := attach.Choose(r.GetGuardId(), r.GetZone(), entries, f.o.AttachPolicy)
-	if err := f.learn(r, f.leftToOthers(entries, chosen)); err != nil {
+	entries := f.opts.Attach()
+	chosen := attach.Choose(r.GetGuardId(), r.GetZone(), entries, f.opts.AttachPolicy)
+	if err := f.applyAnnouncement(r, f.isAttachedElsewhere(entries, chosen)); err != nil {
 		return nil, err
 	}
 	resp := &wirev1.AnnounceResponse{
-		EntryId:          f.o.EntryID,
-		EntryIncarnation: f.o.Incarnation,
+		EntryId:          f.opts.EntryID,
+		EntryIncarnation: f.opts.Incarnation,
 		Attach:           chosen,
 	}
 	each := proto.Size(r) + proto.Size(resp) + callOverhead
@@ -50,7 +50,7 @@
 }
 
 func (f *Fleet) announceInterval(bytesEach int) time.Duration {
-	return attach.Interval(int(f.guards.Load())+f.bare.count(), bytesEach, f.o.Pace)
+	return attach.Interval(int(f.guards.Load())+f.bare.count(), bytesEach, f.opts.Pace)
 }
 
 func checkAnnouncement(r *wirev1.AnnounceRequest) error {
@@ -73,31 +73,31 @@
 	return nil
 }
 
-// learn adds the guard when it is new and takes its load.
-func (f *Fleet) learn(r *wirev1.AnnounceRequest, others bool) error {
-	g, err := f.guardOf(r, others)
+// applyAnnouncement adds the guard if it is new and applies its load.
+func (f *Fleet) applyAnnouncement(r *wirev1.AnnounceRequest, attachesElsewhere bool) error {
+	g, err := f.findOrAddGuard(r, attachesElsewhere)
 	if err != nil || g == nil {
 		return err
 	}
 	if r.GetLeaving() {
-		g.leave()
+		g.setLeaving()
 	}
-	g.noteAnnounced()
-	g.loadFromAnnouncement(r.GetLoad())
+	g.markAnnounced()
+	g.applyAnnouncedLoad(r.GetLoad())
 	return nil
 }
 
-// guardOf finds or adds the incarnation that announces itself; nil when it is not
-// worth adding.
-func (f *Fleet) guardOf(r *wirev1.AnnounceRequest, others bool) (*guard, error) {
+// findOrAddGuard returns the announced incarnation, adding it if necessary. It returns
+// nil if the incarnation should not be added.
+func (f *Fleet) findOrAddGuard(r *wirev1.AnnounceRequest, attachesElsewhere bool) (*guard, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return nil, ErrClosed
 	}
-	newest := f.overNamed(f.newest[r.GetGuardId()], r)
+	newest := f.overrideHint(f.newest[r.GetGuardId()], r)
 	if newest != nil && newest.incarnation >= r.GetGuardIncarnation() {
-		// An older incarnation is taken up only if its session is held still.
+		// An older incarnation is accepted only while it is still known here.
 		known, _ := (*f.endpoints.Load())[endpointID(r.GetGuardId(), r.GetGuardIncarnation())].(*guard)
 		return known, nil
 	}
@@ -105,36 +105,37 @@
 		eventGuardReplaced.Log(f.ctx, f.logger, newest.attrs()...)
 		newest.supersede()
 	}
-	if r.GetLeaving() || others {
+	if r.GetLeaving() || attachesElsewhere {
 		return nil, nil
 	}
-	return f.add(r, nil), nil
+	return f.addGuard(r, nil), nil
 }
 
-// leftToOthers reports whether a guard is to announce itself to other entries
-// only. It came here through the balancer, which leads it to any entry in turn:
-// kept, every entry would hold a session with every guard in the end, and pings
-// and memory would grow with the whole fleet. A draining entry is no candidate
-// itself and takes what comes: its open jobs may need it.
-func (f *Fleet) leftToOthers(entries, chosen []*wirev1.EntryInfo) bool {
-	isSelf := func(e *wirev1.EntryInfo) bool { return e.GetId() == f.o.EntryID }
+// isAttachedElsewhere reports whether a guard should announce itself to other entries
+// only. Its announcement arrived through the load balancer, which routes it to any
+// entry in turn. If each of them kept the guard, eventually every entry would hold a
+// session with every guard, and pings and memory would grow with the whole fleet. A
+// draining entry is never chosen itself and accepts every guard, because its open jobs
+// may need it.
+func (f *Fleet) isAttachedElsewhere(entries, chosen []*wirev1.EntryInfo) bool {
+	isSelf := func(e *wirev1.EntryInfo) bool { return e.GetId() == f.opts.EntryID }
 	self := slices.IndexFunc(entries, isSelf)
 	return self >= 0 && !entries[self].GetDraining() && !slices.ContainsFunc(chosen, isSelf)
 }
 
-// add starts keeping a guard; f.mu is held.
-func (f *Fleet) add(r *wirev1.AnnounceRequest, h *handshake) *guard {
+// addGuard adds a guard and starts its session goroutine. The caller holds f.mu.
+func (f *Fleet) addGuard(r *wirev1.AnnounceRequest, h *handshake) *guard {
 	g := newGuard(f, r)
 	g.handshake = h
 	f.newest[g.name] = g
 	f.addEndpoint(g.id, g)
 	f.guards.Add(1)
-	f.wg.Go(func() { g.keep(f.ctx) })
+	f.wg.Go(func() { g.maintainSession(f.ctx) })
 	return g
 }
 
-// forget takes a guard out for good; its open starts go on by themselves.
-func (f *Fleet) forget(g *guard) {
+// removeGuard removes a guard permanently. Its open starts continue on their own.
+func (f *Fleet) removeGuard(g *guard) {
 	f.mu.Lock()
 	f.dropEndpoint(g.id, g)
 	if f.newest[g.name] == g {
@@ -143,9 +144,9 @@
 	f.mu.Unlock()
 	f.guards.Add(-1)
 	g.withdraw()
-	g.handshake.settle()
-	if g.named() {
-		g.droppedUnconfirmed()
+	g.handshake.finish()
+	if g.unconfirmedHint() {
+		g.logHintDropped()
 		return
 	}
 	if f.ctx.Err() == nil && !g.isLeaving() && !g.superseded.Load() {
@@ -153,18 +154,18 @@
 	}
 }
 
-// Handler returns the connect service for guards' announcements and its path.
+// Handler returns the path and the connect handler for guards' announcements.
 func (f *Fleet) Handler(o ...connect.HandlerOption) (string, http.Handler) {
 	path, handler := wirev1connect.NewEntryServiceHandler(entryService{f}, o...)
-	return path, f.authorized(handler)
+	return path, f.requireSecret(handler)
 }
 
-// authorized lets only holders of the cluster secret through.
-func (f *Fleet) authorized(next http.Handler) http.Handler {
-	if f.o.Secret == "" {
+// requireSecret rejects requests that do not carry the cluster secret.
+func (f *Fleet) requireSecret(next http.Handler) http.Handler {
+	if f.opts.Secret == "" {
 		return next
 	}
-	want := sha256.Sum256([]byte("Bearer " + f.o.Secret))
+	want := sha256.Sum256([]byte("Bearer " + f.opts.Secret))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := sha256.Sum256([]byte(r.Header.Get("Authorization")))
 		if subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
@@ -175,7 +176,7 @@
 	})
 }
 
-// entryService serves the fleet by connect.
+// entryService exposes the fleet as a connect service.
 type entryService struct{ f *Fleet }
 
 // Announce implements wirev1connect.EntryServiceHandler.
--- a/entry/fleet/bare.go
+++ b/entry/fleet/bare.go
@@ -12,14 +12,14 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Bounds of a bare runner's announcement.
+// Limits on a bare runner's announcement.
 const (
-	minBareTTL        = time.Second
-	maxBareTTL        = time.Minute
-	maxBareSlots      = 1 << 16
-	maxAnnounceBytes  = 64 << 10
-	announcesPerTTL   = 3
-	dialFailuresBound = 3
+	minBareTTL       = time.Second
+	maxBareTTL       = time.Minute
+	maxBareSlots     = 1 << 16
+	maxAnnounceBytes = 64 << 10
+	announcesPerTTL  = 3
+	maxDialFailures  = 3
 )
 
 // Bare is the announcement of a runner without a guard.
@@ -30,7 +30,7 @@
 	Zone        string
 	Slots       int
 	Connections int
-	// TTL is how long the announcement holds.
+	// TTL is how long the announcement is valid.
 	TTL     time.Duration
 	Leaving bool
 }
@@ -49,15 +49,15 @@
 	return checkAddress(b.Address)
 }
 
-// bareRecord is what is known of one address. A leaving one is kept for the
-// longest time to live, so that an older announcement that a peer still passes
-// on doesn't bring it back.
+// bareRecord is the state of one address. A leaving record is kept for the maximum TTL,
+// so that an older announcement that a peer still forwards does not restore the
+// endpoint.
 type bareRecord struct {
 	Bare
 	stamp   uint64
 	expires time.Time
-	// forgetAt is when the record itself may go.
-	forgetAt time.Time
+	// deleteAt is when the record itself may be deleted.
+	deleteAt time.Time
 	endpoint *bareEndpoint
 }
 
@@ -66,15 +66,16 @@
 	f       *Fleet
 	entries atomic.Int64
 
-	mu      sync.Mutex
-	records map[string]*bareRecord
-	size    atomic.Int64
-	// reports numbers the reports to the scheduler.
-	reports atomic.Uint64
+	mu            sync.Mutex
+	records       map[string]*bareRecord
+	endpointCount atomic.Int64
+	// reportVersion is the version of the latest report to the scheduler.
+	reportVersion atomic.Uint64
 
-	// divisions is by service; it is read on the path of a start's end.
-	divisions sync.Map
-	// live are the entries that divide; under mu.
+	// allocations maps a service to its slot allocation. It is read at the end of every
+	// start.
+	allocations sync.Map
+	// live are the entries that share the slots; guarded by mu.
 	live []share.Entry
 }
 
@@ -84,10 +85,10 @@
 	return t
 }
 
-func (t *bareTable) count() int { return int(t.size.Load()) }
+func (t *bareTable) count() int { return int(t.endpointCount.Load()) }
 
-// AnnounceBare takes a runner's announcement at this entry and returns when to
-// come back. The error is an *InvalidError.
+// AnnounceBare handles a runner's announcement at this entry and returns the time until
+// the next one is due. The error is an *InvalidError.
 func (f *Fleet) AnnounceBare(now time.Time, b Bare) (time.Duration, error) {
 	if err := b.check(); err != nil {
 		return 0, err
@@ -97,23 +98,23 @@
 	return min(next, b.TTL/announcesPerTTL), nil
 }
 
-// Bare lists the bare endpoints for the exchange with peers, by address.
-func (f *Fleet) Bare() []*wirev1.BareEndpoint { return f.bare.list(f.o.Now()) }
+// Bare returns the bare endpoints sorted by address, for the exchange with peers.
+func (f *Fleet) Bare() []*wirev1.BareEndpoint { return f.bare.snapshot(f.opts.Now()) }
 
-// ApplyBare takes what a peer knows of bare endpoints.
+// ApplyBare applies a peer's records of bare endpoints.
 func (f *Fleet) ApplyBare(all []*wirev1.BareEndpoint) {
-	now := f.o.Now()
+	now := f.opts.Now()
 	for _, b := range all {
 		f.bare.apply(now, b)
 	}
 }
 
-// SetEntries tells which entries are live, this one included: they divide the
-// slots and connections of the bare endpoints.
+// SetEntries sets the live entries, including this one, among which the slots and
+// connections of the bare endpoints are divided.
 func (f *Fleet) SetEntries(all []*wirev1.EntryInfo) {
 	n := int64(max(len(all), 1))
 	if f.bare.entries.Swap(n) != n {
-		f.bare.reshare()
+		f.bare.updateConnections()
 	}
 	f.bare.setEntries(all)
 }
@@ -123,18 +124,20 @@
 	defer t.mu.Unlock()
 	stamp := uint64(now.UnixMicro())
 	if r := t.records[b.Address]; r != nil {
-		// Entries' clocks differ: the word heard last at this entry is the newer.
+		// Clocks of entries differ: the announcement received last at this entry is the
+		// newest.
 		stamp = max(stamp, r.stamp+1)
 	}
 	keep := b.TTL
 	if b.Leaving {
 		keep = maxBareTTL
 	}
-	news := changes(t.records[b.Address], b)
-	t.put(now, b, stamp, keep)
-	if news {
-		// This entry alone has heard it; it tells all others, and they need not.
-		t.f.o.Changed(true)
+	significant := isSignificant(t.records[b.Address], b)
+	t.putRecord(now, b, stamp, keep)
+	if significant {
+		// Only this entry received the announcement. It reports the change to all
+		// peers, which need not forward it.
+		t.f.opts.Changed(true)
 	}
 }
 
@@ -157,65 +160,67 @@
 	if r := t.records[b.Address]; r != nil && r.stamp >= w.GetStamp() {
 		return
 	}
-	t.put(now, b, w.GetStamp(), ttl)
+	t.putRecord(now, b, w.GetStamp(), ttl)
 }
 
-// put replaces the record of an address, to be kept for a time; t.mu is held.
-func (t *bareTable) put(now time.Time, b Bare, stamp uint64, keep time.Duration) {
+// putRecord replaces the record of an address and keeps it for the given time. The
+// caller holds t.mu.
+func (t *bareTable) putRecord(now time.Time, b Bare, stamp uint64, keep time.Duration) {
 	old := t.records[b.Address]
-	// A notice of leaving is not kept anew by each entry that hears of it, else it
-	// would go round for good.
-	r := &bareRecord{Bare: b, stamp: stamp, expires: now.Add(min(keep, b.TTL)), forgetAt: now.Add(keep)}
+	// A leaving record does not get a new full TTL at each entry that receives it,
+	// otherwise it would circulate forever.
+	r := &bareRecord{Bare: b, stamp: stamp, expires: now.Add(min(keep, b.TTL)), deleteAt: now.Add(keep)}
 	if old != nil {
 		r.endpoint = old.endpoint
 	}
-	if r.endpoint != nil && r.endpoint.differs(b) {
-		t.drop(r)
+	if r.endpoint != nil && r.endpoint.identityChanged(b) {
+		t.dropEndpoint(r)
 	}
 	t.records[b.Address] = r
 	if r.endpoint == nil && !b.Leaving {
-		r.endpoint = t.add(b)
+		r.endpoint = t.addEndpoint(b)
 	}
 	if r.endpoint != nil {
-		r.endpoint.refresh(b, int(t.entries.Load()))
+		r.endpoint.update(b, int(t.entries.Load()))
 	}
-	t.regroup(b.Service)
+	t.updateEndpoints(b.Service)
 }
 
-// changes reports whether an announcement is news: a runner comes or leaves.
-func changes(old *bareRecord, b Bare) bool {
+// isSignificant reports whether an announcement must be forwarded early: a runner is
+// new, is leaving, or has changed its service or slots.
+func isSignificant(old *bareRecord, b Bare) bool {
 	if old == nil {
 		return true
 	}
 	return old.Leaving != b.Leaving || old.Service != b.Service || old.Slots != b.Slots
 }
 
-// add makes the endpoint of an address; t.mu is held.
-func (t *bareTable) add(b Bare) *bareEndpoint {
+// addEndpoint creates the endpoint of an address. The caller holds t.mu.
+func (t *bareTable) addEndpoint(b Bare) *bareEndpoint {
 	e := newBareEndpoint(t.f, b)
 	t.f.mu.Lock()
 	t.f.addEndpoint(e.id, e)
 	t.f.mu.Unlock()
-	t.size.Add(1)
+	t.endpointCount.Add(1)
 	eventBareJoined.Log(t.f.ctx, t.f.logger, e.attrs()...)
 	return e
 }
 
-// drop takes the endpoint of a record out; t.mu is held.
-func (t *bareTable) drop(r *bareRecord) {
+// dropEndpoint removes the endpoint of a record. The caller holds t.mu.
+func (t *bareTable) dropEndpoint(r *bareRecord) {
 	e := r.endpoint
 	r.endpoint = nil
 	t.f.mu.Lock()
 	t.f.dropEndpoint(e.id, e)
 	t.f.mu.Unlock()
-	t.size.Add(-1)
+	t.endpointCount.Add(-1)
 	e.withdraw()
 	e.close()
-	t.regroup(e.service)
+	t.updateEndpoints(e.service)
 }
 
-// sweep takes out what has lapsed.
-func (t *bareTable) sweep(now time.Time) {
+// expire removes expired endpoints and records.
+func (t *bareTable) expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for address, r := range t.records {
@@ -223,32 +228,32 @@
 			if !r.Leaving {
 				eventBareLost.Log(t.f.ctx, t.f.logger, r.endpoint.attrs()...)
 			}
-			t.drop(r)
+			t.dropEndpoint(r)
 		}
-		if now.After(r.forgetAt) {
+		if now.After(r.deleteAt) {
 			delete(t.records, address)
 		}
 	}
 }
 
-func (t *bareTable) reshare() {
+func (t *bareTable) updateConnections() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
 		if r.endpoint != nil {
-			r.endpoint.refresh(r.Bare, int(t.entries.Load()))
+			r.endpoint.update(r.Bare, int(t.entries.Load()))
 		}
 	}
 }
 
-func (t *bareTable) list(now time.Time) []*wirev1.BareEndpoint {
+func (t *bareTable) snapshot(now time.Time) []*wirev1.BareEndpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := make([]*wirev1.BareEndpoint, 0, len(t.records))
 	for _, r := range t.records {
 		left := r.expires.Sub(now)
 		if r.Leaving {
-			left = r.forgetAt.Sub(now)
+			left = r.deleteAt.Sub(now)
 		}
 		if left < time.Millisecond {
 			continue
@@ -273,7 +278,7 @@
 	defer t.mu.Unlock()
 	for _, r := range t.records {
 		if r.endpoint != nil {
-			t.drop(r)
+			t.dropEndpoint(r)
 		}
 	}
 }
--- a/entry/fleet/bare_test.go
+++ b/entry/fleet/bare_test.go
@@ -23,7 +23,7 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// bareFixture is a fleet with a clock of its own and a runner.
+// bareFixture is a fleet with a controllable clock and one runner.
 type bareFixture struct {
 	fleet  *Fleet
 	sink   *fakeSink
@@ -77,7 +77,7 @@
 		runner http.HandlerFunc
 		code   task.Code
 		ran    task.Ran
-		// replies are the answers that are counted, refusals among them.
+		// replies is the expected count of replies, including refusals.
 		replies int64
 	}{
 		{"completed", echoRunner, "", task.RanYes, 1},
@@ -98,9 +98,9 @@
 	}
 }
 
-// A bare runner takes the call and never answers: at the deadline the outcome is
-// unknown and final, as nobody can be asked.
-func TestBareSilentRunnerEndsUnknown(t *testing.T) {
+// A bare runner accepts the call and never answers. At the deadline the outcome is
+// unknown and final, because it can't be queried.
+func TestBareUnresponsiveRunnerEndsUnknown(t *testing.T) {
 	b := newBareFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -111,17 +111,17 @@
 	assert.Equal(t, o.Ran, task.RanUnknown)
 }
 
-// Something between the entry and the runner loses track of every open connection,
-// while new ones work. The start that meets it ends as unknown; those that follow
-// must not each take another of the silent connections.
-func TestBareSilentConnectionCostsOneStart(t *testing.T) {
-	var both sync.WaitGroup
-	both.Add(2)
+// A device between the entry and the runner drops the state of every open connection,
+// while new connections work. The first start on such a connection ends as unknown; the
+// starts that follow must not each use up another dead connection.
+func TestBareDeadConnectionFailsOneStart(t *testing.T) {
+	var bothCalls sync.WaitGroup
+	bothCalls.Add(2)
 	var calls atomic.Int64
 	b := newBareFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) <= 2 {
-			both.Done()
-			both.Wait()
+			bothCalls.Done()
+			bothCalls.Wait()
 		}
 		echoRunner(w, r)
 	})
@@ -141,20 +141,20 @@
 	first.Wait()
 	r.Forget(true, true)
 
-	silent := b.fleet.Start(context.Background(), callOn(b.id, "part 4711", 100*time.Millisecond))
+	lostCall := b.fleet.Start(context.Background(), callOn(b.id, "part 4711", 100*time.Millisecond))
 	next := b.fleet.Start(context.Background(), callOn(b.id, "part 4712", budget))
 
-	assert.Equal(t, silent.Ran, task.RanUnknown)
+	assert.Equal(t, lostCall.Ran, task.RanUnknown)
 	assert.Assert(t, next.OK(), "%+v", next)
 }
 
-// A runner dies: its refused connections are true refusals, and after a few the
-// endpoint is out of use until it announces itself again.
-func TestBareDeadRunnerIsTakenOut(t *testing.T) {
+// A runner dies. The refused connections prove that its tasks did not run, and after a
+// few of them the endpoint is withdrawn until it announces itself again.
+func TestBareDeadRunnerIsWithdrawn(t *testing.T) {
 	b := newBareFixture(t, echoRunner)
 	b.announce(t)
 	b.runner.Close()
-	for range dialFailuresBound {
+	for range maxDialFailures {
 		o := b.fleet.Start(context.Background(), callOn(b.id, "part 4711", budget))
 		assert.Equal(t, o.Code, task.CodeRefused)
 		assert.Equal(t, o.Ran, task.RanNo)
@@ -174,8 +174,8 @@
 	return all
 }
 
-// Each of n entries uses an nth of the connections, and one at least. This entry
-// keeps to it by itself, whatever the scheduler does.
+// Each of n entries uses one nth of the connections, but at least one. The entry
+// enforces this itself, regardless of the scheduler.
 func TestBareConnections(t *testing.T) {
 	release := make(chan struct{})
 	b := newBareFixture(t, func(w http.ResponseWriter, r *http.Request) {
@@ -191,7 +191,7 @@
 	}
 	done := make(chan task.Outcome, 1)
 	go func() { done <- b.fleet.Start(context.Background(), callOn(b.id, "first", budget)) }()
-	eventually(t, func() bool { return b.fleet.Endpoints()[0].Open == 1 }, "first runs")
+	eventually(t, func() bool { return b.fleet.Endpoints()[0].Open == 1 }, "first task runs")
 	second := b.fleet.Start(context.Background(), callOn(b.id, "second", budget))
 	close(release)
 	assert.Equal(t, second.Ran, task.RanNo)
@@ -199,11 +199,11 @@
 	assert.Assert(t, first.OK(), "%+v", first)
 }
 
-// allowed is the number of own starts that the scheduler was told of.
-func (b *bareFixture) allowed() int { return b.bare.Slots - b.sink.report(b.id).OthersOpen }
+// slotLimit is the number of this entry's starts that was reported to the scheduler.
+func (b *bareFixture) slotLimit() int { return b.bare.Slots - b.sink.report(b.id).OthersOpen }
 
-// A peer with all the work gets nearly all slots while its tasks wait, and gives
-// them back when they don't. A refusal stops this entry's starts at once.
+// A peer with all the work gets nearly all slots while its tasks wait, and returns them
+// when they don't. A refusal immediately stops this entry's starts.
 func TestBareSlotsFollowDemand(t *testing.T) {
 	const spare = 2
 	b := newBareFixture(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -212,7 +212,7 @@
 	}, func(o *Options) { o.SpareSlots = spare })
 	b.announce(t)
 	b.fleet.SetEntries(live(2))
-	assert.Assert(t, b.allowed() >= 5, "%d", b.allowed())
+	assert.Assert(t, b.slotLimit() >= 5, "%d", b.slotLimit())
 	digest := b.fleet.Use()[0].GetEndpoints()
 	tell := func(waiting bool, demand uint32) {
 		b.fleet.ApplyUse("other1", []*wirev1.BareUse{{
@@ -220,29 +220,30 @@
 		}})
 	}
 	tell(true, 700)
-	assert.Equal(t, b.allowed(), 1)
+	assert.Equal(t, b.slotLimit(), 1)
 	tell(false, 0)
-	assert.Equal(t, b.allowed(), 8-spare)
+	assert.Equal(t, b.slotLimit(), 8-spare)
 
 	o := b.fleet.Start(context.Background(), callOn(b.id, "part 4711", budget))
 	assert.Equal(t, o.Ran, task.RanNo)
-	assert.Assert(t, b.allowed() <= 1, "%d", b.allowed())
+	assert.Assert(t, b.slotLimit() <= 1, "%d", b.slotLimit())
 }
 
-// A report of the division that is under way when the runner leaves must not
-// follow the notice, since a report of an endpoint that does not leave undoes it.
-func TestBareLeavingIsNotUndoneByTheDivision(t *testing.T) {
+// A report of the slot allocation that is in progress when the runner leaves must not
+// follow the leaving notification, because a report of an endpoint that is not leaving
+// undoes it.
+func TestBareLeavingIsNotUndoneByAllocation(t *testing.T) {
 	b := newBareFixture(t, echoRunner)
 	b.announce(t)
 	b.announce(t, leaving)
 	before := b.sink.report(b.id).Version
 	b.fleet.SetEntries(live(2))
-	b.fleet.bare.divide()
+	b.fleet.bare.rebalance()
 	assert.Equal(t, b.sink.report(b.id).Version, before)
 }
 
-// A runner leaves, then its announcement from before arrives late by a peer. It
-// must not come back; when it announces itself anew, it must.
+// A runner leaves, then an earlier announcement of it arrives late through a peer. The
+// runner must not come back before it announces itself again.
 func TestBareLeavingIsNotUndoneByAPeer(t *testing.T) {
 	b := newBareFixture(t, echoRunner)
 	b.announce(t)
@@ -252,7 +253,7 @@
 	assert.Assert(t, e.Leaving)
 
 	b.now.Add(int64(b.bare.TTL + time.Second))
-	eventually(t, func() bool { _, ok := b.sink.get(b.id); return !ok }, "lapses")
+	eventually(t, func() bool { _, ok := b.sink.get(b.id); return !ok }, "record expires")
 	b.fleet.ApplyBare(before)
 	_, ok := b.sink.get(b.id)
 	assert.Assert(t, !ok)
@@ -262,9 +263,9 @@
 	assert.Assert(t, ok && !e.Leaving)
 }
 
-// Entries pass a notice of leaving on to each other. If each kept it for the full
-// time, it would go round for as long as entries come and go.
-func TestBareLeavingIsForgotten(t *testing.T) {
+// Entries forward a leaving record to each other. If each of them kept it for the full
+// TTL, it would circulate for as long as entries come and go.
+func TestBareLeavingRecordExpires(t *testing.T) {
 	first, second := newBareFixture(t, echoRunner), newBareFixture(t, echoRunner)
 	first.announce(t, leaving)
 	first.now.Add(int64(maxBareTTL / 2))
@@ -275,9 +276,10 @@
 	assert.Equal(t, len(second.fleet.Bare()), 0)
 }
 
-// An entry whose clock is behind hears that a runner leaves, after it learnt of
-// it from a peer whose clock is ahead. What was heard last must win everywhere.
-func TestBareStampsSurviveClocksThatDiffer(t *testing.T) {
+// An entry whose clock is behind learns of a runner from a peer whose clock is ahead,
+// and then receives the runner's leaving announcement. The latest announcement must win
+// at every entry.
+func TestBareStampsWithDifferingClocks(t *testing.T) {
 	ahead, behind := newBareFixture(t, echoRunner), newBareFixture(t, echoRunner)
 	behind.bare, behind.id = ahead.bare, ahead.id
 	ahead.now.Add(int64(time.Hour))
@@ -293,12 +295,12 @@
 	assert.Assert(t, e.Leaving)
 }
 
-func TestBareLapses(t *testing.T) {
+func TestBareRecordExpires(t *testing.T) {
 	b := newBareFixture(t, echoRunner)
 	b.announce(t)
 	assert.Equal(t, b.fleet.Bare()[0].GetTtlMs(), uint32(10_000))
 	b.now.Add(int64(b.bare.TTL + time.Millisecond))
-	eventually(t, func() bool { _, ok := b.sink.get(b.id); return !ok }, "lapses")
+	eventually(t, func() bool { _, ok := b.sink.get(b.id); return !ok }, "record expires")
 	assert.Equal(t, len(b.fleet.Bare()), 0)
 	o := b.fleet.Start(context.Background(), callOn(b.id, "part 4711", budget))
 	assert.Equal(t, o.Ran, task.RanNo)
@@ -315,7 +317,7 @@
 
 	w := post(good)
 	assert.Equal(t, w.Code, http.StatusOK, w.Body.String())
-	var answer bareAnswer
+	var answer bareAnnounceResponse
 	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &answer))
 	next, err := time.ParseDuration(answer.Next)
 	assert.NilError(t, err)
@@ -323,18 +325,18 @@
 	_, ok := b.sink.get(b.id)
 	assert.Assert(t, ok)
 
-	for _, spoil := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"slots":8`, `"slots":0`}, {`"slots":8`, `"slots":-1`}, {`"ttl":"9s"`, `"ttl":"9"`}, {`"ttl":"9s"`, `"ttl":"1h"`},
 		{`"connections":64`, `"connections":0`}, {`"service":"teardown"`, `"service":""`}, {`"leaving"`, `"leaves"`},
 		{b.bare.Address, "localhost:1"}, {`{`, ``},
 	} {
-		w := post(strings.Replace(good, spoil[0], spoil[1], 1))
-		assert.Equal(t, w.Code, http.StatusBadRequest, "%v", spoil)
+		w := post(strings.Replace(good, replacement[0], replacement[1], 1))
+		assert.Equal(t, w.Code, http.StatusBadRequest, "%v", replacement)
 	}
 }
 
-// What peers pass on is checked like what runners announce.
-func TestApplyBareRejectsNonsense(t *testing.T) {
+// Records from peers are validated like announcements from runners.
+func TestApplyBareRejectsInvalidRecords(t *testing.T) {
 	b := newBareFixture(t, echoRunner)
 	b.fleet.ApplyBare([]*wirev1.BareEndpoint{
 		{Service: "teardown", Address: "nowhere", Slots: 1, Connections: 1, TtlMs: 1000, Stamp: 1},
--- a/entry/fleet/bareannounce.go
+++ b/entry/fleet/bareannounce.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// bareAnnouncement is the JSON body of a runner's announcement.
-type bareAnnouncement struct {
+// bareAnnounceRequest is the JSON body of a runner's announcement.
+type bareAnnounceRequest struct {
 	Service     string `json:"service"`
 	Address     string `json:"address"`
 	Slots       int    `json:"slots"`
@@ -20,12 +20,12 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-type bareAnswer struct {
+type bareAnnounceResponse struct {
 	Next string `json:"next"`
 }
 
 // BareHandler serves POST /v1/announce for runners without a guard.
-func (f *Fleet) BareHandler() http.Handler { return f.authorized(http.HandlerFunc(f.serveBare)) }
+func (f *Fleet) BareHandler() http.Handler { return f.requireSecret(http.HandlerFunc(f.serveBare)) }
 
 func (f *Fleet) serveBare(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
@@ -33,7 +33,7 @@
 		http.Error(w, "only POST", http.StatusMethodNotAllowed)
 		return
 	}
-	next, err := f.takeBare(http.MaxBytesReader(w, r.Body, maxAnnounceBytes))
+	next, err := f.handleBareAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnounceBytes))
 	if err != nil {
 		eventAnnouncementRejected.Log(r.Context(), f.logger,
 			slog.String("from", r.RemoteAddr), slog.Any("error", err))
@@ -41,11 +41,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(bareAnswer{Next: next.String()})
+	_ = json.NewEncoder(w).Encode(bareAnnounceResponse{Next: next.String()})
 }
 
-func (f *Fleet) takeBare(body io.Reader) (time.Duration, error) {
-	var a bareAnnouncement
+func (f *Fleet) handleBareAnnouncement(body io.Reader) (time.Duration, error) {
+	var a bareAnnounceRequest
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&a); err != nil {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return 0, &InvalidError{Field: "ttl", Problem: fmt.Sprintf("%q is not a duration such as \"10s\"", a.TTL)}
 	}
-	return f.AnnounceBare(f.o.Now(), Bare{
+	return f.AnnounceBare(f.opts.Now(), Bare{
 		Service:     a.Service,
 		Address:     a.Address,
 		Zone:        a.Zone,
--- a/entry/fleet/bareendpoint.go
+++ b/entry/fleet/bareendpoint.go
@@ -14,36 +14,37 @@
 	"almondstand.dev/entry/task"
 )
 
-// bareEndpoint is a runner without a guard. Its id names no incarnation: nothing
-// can be resolved, so no outcome depends on which process answers.
+// bareEndpoint is a runner without a guard. Its ID contains no incarnation: starts
+// can't be resolved, so no outcome depends on which process answers.
 type bareEndpoint struct {
-	f       *Fleet
-	id      scheduler.EndpointID
-	service string
-	zone    string
-	address string
+	f          *Fleet
+	id         scheduler.EndpointID
+	service    string
+	dataCentre string
+	address    string
 
-	client atomic.Pointer[bare.Client]
-	limit  atomic.Int64
-	open   atomic.Int64
-	// unreached counts connections that failed in a row.
-	unreached atomic.Int64
+	client  atomic.Pointer[bare.Client]
+	maxOpen atomic.Int64
+	open    atomic.Int64
+	// dialFailures counts consecutive failed connection attempts.
+	dialFailures atomic.Int64
 
-	mu          sync.Mutex
-	published   bool
-	shown       scheduler.Endpoint
-	connections int
-	// allowed is the most own starts that may be open, by the division.
-	allowed int
+	mu           sync.Mutex
+	published    bool
+	lastEndpoint scheduler.Endpoint
+	connections  int
+	// slotLimit is the maximum number of this entry's open starts according to the slot
+	// allocation.
+	slotLimit int
 }
 
 func newBareEndpoint(f *Fleet, b Bare) *bareEndpoint {
 	return &bareEndpoint{
-		f:       f,
-		id:      scheduler.EndpointID("bare@" + b.Address),
-		service: b.Service,
-		zone:    b.Zone,
-		address: b.Address,
+		f:          f,
+		id:         scheduler.EndpointID("bare@" + b.Address),
+		service:    b.Service,
+		dataCentre: b.Zone,
+		address:    b.Address,
 	}
 }
 
@@ -51,68 +52,72 @@
 	return []slog.Attr{
 		slog.String("endpoint", string(e.id)),
 		slog.String("service", e.service),
-		slog.String("zone", e.zone),
+		slog.String("zone", e.dataCentre),
 	}
 }
 
-// differs reports whether another kind of runner has taken the address.
-func (e *bareEndpoint) differs(b Bare) bool { return e.service != b.Service || e.zone != b.Zone }
+// identityChanged reports whether a different runner (another service or data centre)
+// has taken the address.
+func (e *bareEndpoint) identityChanged(b Bare) bool {
+	return e.service != b.Service || e.dataCentre != b.Zone
+}
 
-// equalPart is this entry's part of n connections, one at least.
-func equalPart(n, entries int) int { return max(1, n/max(entries, 1)) }
+// equalShare is this entry's share of n connections, at least one.
+func equalShare(n, entries int) int { return max(1, n/max(entries, 1)) }
 
-// refresh takes an announcement or a new number of entries. Connections are
-// divided equally, as there are many more of them than slots; how many of the
-// slots this entry may use is told by show.
-func (e *bareEndpoint) refresh(b Bare, entries int) {
+// update applies an announcement or a changed number of entries. Connections are
+// divided equally, because there are many more of them than slots; setSlotLimit sets
+// how many slots this entry may use.
+func (e *bareEndpoint) update(b Bare, entries int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	connections := equalPart(b.Connections, entries)
+	connections := equalShare(b.Connections, entries)
 	limit := min(b.Slots, connections)
-	e.limit.Store(int64(limit))
-	e.connect(connections)
-	if b.Leaving && !e.shown.Leaving {
+	e.maxOpen.Store(int64(limit))
+	e.setConnections(connections)
+	if b.Leaving && !e.lastEndpoint.Leaving {
 		eventBareLeaving.Log(e.f.ctx, e.f.logger, e.attrs()...)
 	}
-	next := scheduler.Endpoint{ID: e.id, Zone: e.zone, Slots: b.Slots, OwnLimit: limit, NoQueue: true, Leaving: b.Leaving}
-	if e.published && next == e.shown {
+	next := scheduler.Endpoint{ID: e.id, Zone: e.dataCentre, Slots: b.Slots, OwnLimit: limit, NoQueue: true, Leaving: b.Leaving}
+	if e.published && next == e.lastEndpoint {
 		return
 	}
-	e.unreached.Store(0)
+	e.dialFailures.Store(0)
 	e.published = true
-	e.shown = next
-	e.f.o.Sink.SetEndpoint(e.service, next)
-	e.report()
+	e.lastEndpoint = next
+	e.f.opts.Sink.SetEndpoint(e.service, next)
+	e.sendReport()
 }
 
-// show tells the scheduler how many own starts the endpoint may have open. A
-// scheduler takes a guard's word for what it holds for others; here the rest of
-// the slots stands for that.
-func (e *bareEndpoint) show(limit int) {
+// setSlotLimit reports to the scheduler how many of this entry's starts the endpoint
+// may have open. A guard reports the starts that it holds for other entries; for a bare
+// endpoint the slots beyond the limit are reported in their place.
+func (e *bareEndpoint) setSlotLimit(limit int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if limit == e.allowed {
+	if limit == e.slotLimit {
 		return
 	}
-	e.allowed = limit
-	e.report()
+	e.slotLimit = limit
+	e.sendReport()
 }
 
-// report sends the present limit; e.mu is held, so that a report never follows
-// the notice that the endpoint leaves, which it would undo.
-func (e *bareEndpoint) report() {
-	if !e.published || e.shown.Leaving {
+// sendReport reports the current limit. The caller holds e.mu, so that a report never
+// follows the notification that the endpoint is leaving, which it would undo.
+func (e *bareEndpoint) sendReport() {
+	if !e.published || e.lastEndpoint.Leaving {
 		return
 	}
-	e.f.o.Sink.ApplyReport(e.service, e.id, scheduler.Report{
-		Version:    e.f.bare.reports.Add(1),
-		OthersOpen: max(0, e.shown.Slots-e.allowed),
-		Slots:      e.shown.Slots,
+	e.f.opts.Sink.ApplyReport(e.service, e.id, scheduler.Report{
+		Version:    e.f.bare.reportVersion.Add(1),
+		OthersOpen: max(0, e.lastEndpoint.Slots-e.slotLimit),
+		Slots:      e.lastEndpoint.Slots,
 	})
 }
 
-// connect gives the endpoint a client with this many connections; e.mu is held.
-func (e *bareEndpoint) connect(connections int) {
+// setConnections replaces the client by one with this many connections. The caller
+// holds e.mu.
+func (e *bareEndpoint) setConnections(connections int) {
 	if connections == e.connections {
 		return
 	}
@@ -120,8 +125,8 @@
 	old := e.client.Swap(bare.New(bare.Options{
 		Address:     e.address,
 		Connections: connections,
-		MaxAnswer:   int64(e.f.o.MaxMessage),
-		Stalled:     e.f.o.Stalled,
+		MaxAnswer:   int64(e.f.opts.MaxMessage),
+		Stalled:     e.f.opts.Stalled,
 	}))
 	if old != nil {
 		old.Close()
@@ -133,14 +138,14 @@
 	defer e.mu.Unlock()
 	if e.published {
 		e.published = false
-		e.f.o.Sink.RemoveEndpoint(e.service, e.id)
+		e.f.opts.Sink.RemoveEndpoint(e.service, e.id)
 	}
 }
 
 func (e *bareEndpoint) usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.published && !e.shown.Leaving
+	return e.published && !e.lastEndpoint.Leaving
 }
 
 func (e *bareEndpoint) close() { e.client.Load().Close() }
@@ -151,31 +156,31 @@
 	return Status{
 		ID:      e.id,
 		Service: e.service,
-		Zone:    e.zone,
+		Zone:    e.dataCentre,
 		Address: e.address,
 		Bare:    true,
-		Slots:   e.shown.Slots,
-		Leaving: e.shown.Leaving,
-		Usable:  e.published && !e.shown.Leaving,
+		Slots:   e.lastEndpoint.Slots,
+		Leaving: e.lastEndpoint.Leaving,
+		Usable:  e.published && !e.lastEndpoint.Leaving,
 		Open:    int(e.open.Load()),
 	}
 }
 
-// start calls the runner once. Whatever breaks after the request was written
-// ends as unknown at once: nobody can tell whether the task ran.
+// start calls the runner once. Any failure after the request was written ends as
+// unknown immediately: it can't be determined whether the task ran.
 func (e *bareEndpoint) start(ctx context.Context, c task.Call) task.Outcome {
 	defer e.open.Add(-1)
-	if e.open.Add(1) > e.limit.Load() {
+	if e.open.Add(1) > e.maxOpen.Load() {
 		return failure(task.CodeRefused, task.RanNo, "this entry's part of the connections is in use")
 	}
-	d := e.f.bare.division(e.service)
+	d := e.f.bare.allocation(e.service)
 	d.started(e.address)
 	o, end := e.call(ctx, c)
 	d.ended(e.address, end, o.RunTime)
 	return o
 }
 
-// call makes the call and says what its end tells of the endpoint's slots.
+// call makes the call and also returns what its end reveals about the endpoint's slots.
 func (e *bareEndpoint) call(ctx context.Context, c task.Call) (task.Outcome, share.End) {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -187,26 +192,26 @@
 		RunLimit: c.RunLimit,
 		Payload:  c.Payload,
 	})
-	e.noteReach(ctx, err)
-	e.noteSilence(ctx, err)
-	if err == nil || answered(err) {
+	e.recordReachability(ctx, err)
+	e.closeIdleIfUnanswered(ctx, err)
+	if err == nil || runnerAnswered(err) {
 		e.f.meter.count(kindReply)
 	}
 	if err != nil {
-		return bareFailure(ctx, err), slotAfter(err)
+		return bareFailure(ctx, err), slotsAfterFailure(err)
 	}
 	o := task.Outcome{Ran: task.RanYes, Payload: answer.Payload, Digest: answer.Digest[:], RunTime: answer.RunTime}
 	return o, share.Ran
 }
 
-// answered reports whether the runner's whole answer was that failure.
-func answered(err error) bool {
+// runnerAnswered reports whether the failure was a complete response of the runner.
+func runnerAnswered(err error) bool {
 	return errors.Is(err, bare.ErrRefused) || errors.Is(err, bare.ErrFailed)
 }
 
-// slotAfter is what a failed call tells of the slots: a runner that refuses has
-// none, one that answers with an error has one free.
-func slotAfter(err error) share.End {
+// slotsAfterFailure returns what a failed call reveals about the slots: a runner that
+// refuses has no free slot, one that answers with an error has one.
+func slotsAfterFailure(err error) share.End {
 	switch {
 	case errors.Is(err, bare.ErrRefused):
 		return share.Refused
@@ -216,26 +221,28 @@
 	return share.Other
 }
 
-// noteReach takes an endpoint that refuses connections out until it announces
-// itself again: its refusals are true and fast, and would burn the retry budget.
-func (e *bareEndpoint) noteReach(ctx context.Context, err error) {
+// recordReachability withdraws an endpoint that refuses connections until it announces
+// itself again: its tasks surely did not run, but such fast refusals would use up the
+// retry budget.
+func (e *bareEndpoint) recordReachability(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if !errors.Is(err, bare.ErrNotSent) {
-		e.unreached.Store(0)
+		e.dialFailures.Store(0)
 		return
 	}
-	if e.unreached.Add(1) == dialFailuresBound {
+	if e.dialFailures.Add(1) == maxDialFailures {
 		e.withdraw()
-		e.f.bare.lostReach(e.service)
+		e.f.bare.onUnreachable(e.service)
 	}
 }
 
-// noteSilence closes the idle connections after a call that got no answer. Something
-// between may have lost track of every open connection while new ones work, and
-// each idle one would cost a task its outcome. A caller's cancel is no such sign.
-func (e *bareEndpoint) noteSilence(ctx context.Context, err error) {
+// closeIdleIfUnanswered closes the idle connections after a call that got no response.
+// A device on the network path may have dropped the state of every open connection
+// while new ones work, and each idle one would cost a task its outcome. A cancellation
+// by the caller is no such sign.
+func (e *bareEndpoint) closeIdleIfUnanswered(ctx context.Context, err error) {
 	unanswered := errors.Is(err, bare.ErrLost) || errors.Is(err, bare.ErrRunLimit)
 	if unanswered && !errors.Is(ctx.Err(), context.Canceled) {
 		e.client.Load().Close()
@@ -245,7 +252,7 @@
 func bareFailure(ctx context.Context, err error) task.Outcome {
 	switch {
 	case errors.Is(err, bare.ErrNotSent):
-		return bareEnded(ctx, task.CodeRefused, task.RanNo, err)
+		return bareInterrupted(ctx, task.CodeRefused, task.RanNo, err)
 	case errors.Is(err, bare.ErrRefused):
 		return failure(task.CodeRefused, task.RanNo, err.Error())
 	case errors.Is(err, bare.ErrFailed):
@@ -255,12 +262,13 @@
 	case errors.Is(err, bare.ErrRunLimit):
 		return failure(task.CodeRunLimit, task.RanUnknown, err.Error())
 	default:
-		return bareEnded(ctx, task.CodeLost, task.RanUnknown, err)
+		return bareInterrupted(ctx, task.CodeLost, task.RanUnknown, err)
 	}
 }
 
-// bareEnded names the cause when the caller or the deadline ended the call.
-func bareEnded(ctx context.Context, code task.Code, ran task.Ran, err error) task.Outcome {
+// bareInterrupted uses the code for the deadline or cancellation if that ended the
+// call.
+func bareInterrupted(ctx context.Context, code task.Code, ran task.Ran, err error) task.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		code = task.CodeDeadline
--- a/entry/fleet/bench_test.go
+++ b/entry/fleet/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStart runs starts of a small task through one guard that answers at
-// once, entry and guard in one process.
+// BenchmarkStart runs starts of a small task through one guard that answers
+// immediately, with entry and guard in one process.
 func BenchmarkStart(b *testing.B) {
 	sink := newFakeSink()
 	f := New(Options{EntryID: "e1", Incarnation: 1, Sink: sink})
--- a/entry/fleet/deadline.go
+++ b/entry/fleet/deadline.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// maxExtension bounds what a deadline is put off for the stalls of this process, as a
-// multiple of its time.
+// maxExtension bounds how far stalls of this process can extend a timeout, as a
+// multiple of its duration.
 const maxExtension = 4
 
-// deadline ends a context some time after it began, without the time for which this
-// process did not run: an answer that is there may not have been read.
-type deadline struct {
+// stallTimeout cancels a context after a duration that excludes the time during which
+// this process did not run, because a response may have arrived without having been
+// read.
+type stallTimeout struct {
 	stalled func() time.Duration
-	// before is the stalled time when the deadline was set.
-	before time.Duration
-	// left is what it may still be put off.
-	left time.Duration
-	end  context.CancelCauseFunc
+	// stalledBefore is the total stalled time when the timer was last set.
+	stalledBefore time.Duration
+	// extensionLeft is by how much the timeout may still be extended.
+	extensionLeft time.Duration
+	cancel        context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
 }
 
-// withTimeout is context.WithTimeout on the time for which this process runs.
+// withTimeout is like context.WithTimeout but counts only the time during which this
+// process runs.
 func (f *Fleet) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
-	ctx, end := context.WithCancelCause(ctx)
-	t := &deadline{stalled: f.o.Stalled, before: f.o.Stalled(), left: maxExtension * d, end: end}
+	ctx, cancel := context.WithCancelCause(ctx)
+	t := &stallTimeout{stalled: f.opts.Stalled, stalledBefore: f.opts.Stalled(), extensionLeft: maxExtension * d, cancel: cancel}
 	t.mu.Lock()
-	t.timer = time.AfterFunc(d, t.expire)
+	t.timer = time.AfterFunc(d, t.onTimer)
 	t.mu.Unlock()
 	return ctx, func() {
 		t.timer.Stop()
-		end(context.Canceled)
+		cancel(context.Canceled)
 	}
 }
 
-func (t *deadline) expire() {
+func (t *stallTimeout) onTimer() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.stalled()
-	late := min(now-t.before, t.left)
+	late := min(now-t.stalledBefore, t.extensionLeft)
 	if late <= 0 {
-		t.end(context.DeadlineExceeded)
+		t.cancel(context.DeadlineExceeded)
 		return
 	}
-	t.before = now
-	t.left -= late
+	t.stalledBefore = now
+	t.extensionLeft -= late
 	t.timer.Reset(late)
 }
 
-// awake is the time for which this process has run since its start.
-func (f *Fleet) awake() time.Duration { return monotonic() - f.o.Stalled() }
+// runningTime returns the time during which this process has run since its start.
+func (f *Fleet) runningTime() time.Duration { return monotonic() - f.opts.Stalled() }
--- a/entry/fleet/deadline_test.go
+++ b/entry/fleet/deadline_test.go
@@ -10,12 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against taking the time for which this process did not run for the silence of a
-// guard, and against a process that never runs in time and waits for ever.
-func TestDeadlineLeavesOutStalls(t *testing.T) {
+// Verifies that time during which this process did not run does not count as an
+// unresponsive guard, and that a process that is stalled all the time does not wait
+// forever.
+func TestTimeoutExcludesStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stalled atomic.Int64
-		f := &Fleet{o: Options{Stalled: func() time.Duration { return time.Duration(stalled.Load()) }}}
+		f := &Fleet{opts: Options{Stalled: func() time.Duration { return time.Duration(stalled.Load()) }}}
 		began := time.Now()
 		ctx, stop := f.withTimeout(t.Context(), 200*time.Millisecond)
 		defer stop()
@@ -26,7 +27,7 @@
 		assert.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 
 		began = time.Now()
-		f.o.Stalled = func() time.Duration { return time.Since(began) }
+		f.opts.Stalled = func() time.Duration { return time.Since(began) }
 		ctx, stop = f.withTimeout(t.Context(), 200*time.Millisecond)
 		defer stop()
 		<-ctx.Done()
--- a/entry/fleet/fakes_test.go
+++ b/entry/fleet/fakes_test.go
@@ -24,8 +24,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// fakeGuard is a ledger of a few lines behind the real protocol. Its hooks break
-// single calls.
+// fakeGuard is a minimal ledger behind the real protocol. Its hooks break individual
+// calls.
 type fakeGuard struct {
 	wirev1connect.UnimplementedGuardServiceHandler
 
@@ -34,25 +34,27 @@
 	server      *http.Server
 	address     string
 
-	mu       sync.Mutex
-	session  string
-	sessions int
-	barred   map[uint64]bool
-	started  map[uint64]int
-	arrived  map[uint64]int
-	results  map[uint64]*wirev1.TaskReport
-	pings    int
-	resolves int
-	// crossCancels answers so many cancels with the word on another start.
-	crossCancels int
-	cancels      int
-	low          uint64 // the highest watermark that a ping carried
-	load         wirev1.Load
-	lease        time.Duration
-
-	// run does the task; nil echoes the payload.
+	mu         sync.Mutex
+	session    string
+	sessions   int
+	tombstones map[uint64]bool
+	started    map[uint64]int
+	arrived    map[uint64]int
+	results    map[uint64]*wirev1.TaskReport
+	pings      int
+	resolves   int
+	// misdirectedCancels is the number of Cancels to answer with the report of another
+	// start.
+	misdirectedCancels int
+	cancels            int
+	lowWatermark       uint64 // the highest watermark that a ping carried
+	load               wirev1.Load
+	lease              time.Duration
+
+	// run executes the task; nil echoes the payload.
 	run func(ctx context.Context, r *wirev1.StartRequest) *wirev1.TaskReport
-	// beforeStart runs before the ledger is asked, afterStart before the reply is sent.
+	// beforeStart runs before the ledger is checked, afterStart before the reply is
+	// sent.
 	beforeStart func(r *wirev1.StartRequest)
 	afterStart  func(ctx context.Context, r *wirev1.StartRequest, reply *wirev1.StartResponse) error
 	onResolve   func(r *wirev1.ResolveRequest) *wirev1.ResolveResponse
@@ -64,7 +66,7 @@
 	g := &fakeGuard{
 		name:        name,
 		incarnation: incarnation,
-		barred:      map[uint64]bool{},
+		tombstones:  map[uint64]bool{},
 		started:     map[uint64]int{},
 		arrived:     map[uint64]int{},
 		results:     map[uint64]*wirev1.TaskReport{},
@@ -88,7 +90,7 @@
 	go func() { _ = g.server.Serve(listener) }()
 }
 
-// currentLoad returns a copy with a new version; g.mu is held.
+// currentLoad returns a copy with a new version. The caller holds g.mu.
 func (g *fakeGuard) currentLoad() *wirev1.Load {
 	g.load.Version++
 	return &wirev1.Load{
@@ -136,7 +138,8 @@
 	return connect.NewResponse(reply), nil
 }
 
-// admit writes the number into the ledger; nil when the task is to run.
+// admit records the sequence number in the ledger. It returns nil if the task is to
+// run.
 func (g *fakeGuard) admit(r *wirev1.StartRequest) *wirev1.TaskReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,7 +149,7 @@
 		return state(wirev1.TaskState_TASK_STATE_WRONG_INCARNATION)
 	case r.GetSession() != g.session:
 		return state(wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION)
-	case g.barred[r.GetSeq()]:
+	case g.tombstones[r.GetSeq()]:
 		return refused(wirev1.RefusalReason_REFUSAL_REASON_BARRED)
 	case g.started[r.GetSeq()] > 0:
 		return state(wirev1.TaskState_TASK_STATE_RUNNING)
@@ -179,13 +182,14 @@
 	return connect.NewResponse(&wirev1.ResolveResponse{
 		Session: r.GetSession(),
 		Seq:     r.GetSeq(),
-		Report:  g.look(r.GetSession(), r.GetSeq(), r.GetGuardIncarnation()),
+		Report:  g.lookUp(r.GetSession(), r.GetSeq(), r.GetGuardIncarnation()),
 		Load:    g.currentLoad(),
 	}), nil
 }
 
-// look answers a Resolve or a Cancel and bars what never arrived; g.mu is held.
-func (g *fakeGuard) look(session string, seq, incarnation uint64) *wirev1.TaskReport {
+// lookUp answers a Resolve or a Cancel. For a number that never arrived it records a
+// tombstone, so that a Start that arrives later is refused. The caller holds g.mu.
+func (g *fakeGuard) lookUp(session string, seq, incarnation uint64) *wirev1.TaskReport {
 	switch {
 	case incarnation != g.incarnation:
 		return state(wirev1.TaskState_TASK_STATE_WRONG_INCARNATION)
@@ -196,7 +200,7 @@
 	case g.started[seq] > 0:
 		return state(wirev1.TaskState_TASK_STATE_RUNNING)
 	}
-	g.barred[seq] = true
+	g.tombstones[seq] = true
 	return refused(wirev1.RefusalReason_REFUSAL_REASON_BARRED)
 }
 
@@ -204,8 +208,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cancels++
-	if g.crossCancels > 0 {
-		g.crossCancels--
+	if g.misdirectedCancels > 0 {
+		g.misdirectedCancels--
 		return connect.NewResponse(&wirev1.CancelResponse{
 			Session: c.Msg.GetSession(),
 			Seq:     c.Msg.GetSeq() + 1,
@@ -215,7 +219,7 @@
 	return connect.NewResponse(&wirev1.CancelResponse{
 		Session: c.Msg.GetSession(),
 		Seq:     c.Msg.GetSeq(),
-		Report:  g.look(c.Msg.GetSession(), c.Msg.GetSeq(), c.Msg.GetGuardIncarnation()),
+		Report:  g.lookUp(c.Msg.GetSession(), c.Msg.GetSeq(), c.Msg.GetGuardIncarnation()),
 		Load:    g.currentLoad(),
 	}), nil
 }
@@ -227,7 +231,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pings++
-	g.low = max(g.low, c.Msg.GetLowWatermark())
+	g.lowWatermark = max(g.lowWatermark, c.Msg.GetLowWatermark())
 	return connect.NewResponse(&wirev1.PingResponse{
 		Known:            c.Msg.GetSession() == g.session,
 		GuardIncarnation: g.incarnation,
@@ -241,8 +245,9 @@
 	f()
 }
 
-// startsOf returns the most starts of any number, which must be at most one.
-func (g *fakeGuard) startsOf() (most, total int) {
+// startCounts returns the maximum starts per sequence number, which must be at most
+// one, and the total.
+func (g *fakeGuard) startCounts() (most, total int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, n := range g.started {
@@ -271,7 +276,7 @@
 	}
 }
 
-// fakeSink keeps what the fleet reported.
+// fakeSink records what the fleet reported.
 type fakeSink struct {
 	mu        sync.Mutex
 	endpoints map[scheduler.EndpointID]scheduler.Endpoint
@@ -318,7 +323,7 @@
 	return s.reports[id]
 }
 
-// fastTiming keeps the tests short; the defaults differ in scale only.
+// fastTiming keeps the tests short; it differs from the defaults only in scale.
 func fastTiming() Timing {
 	return Timing{
 		Quiet:       60 * time.Millisecond,
@@ -337,7 +342,7 @@
 	}
 }
 
-// newTestFleet returns a running fleet that ends with the test.
+// newTestFleet returns a running fleet that is stopped when the test ends.
 func newTestFleet(t *testing.T, sink task.EndpointSink, change ...func(*Options)) *Fleet {
 	t.Helper()
 	o := Options{EntryID: "e1", Incarnation: 1, Zone: "zagreb", Sink: sink, Timing: fastTiming()}
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -1,7 +1,8 @@
-// Package fleet is an entry's side of every endpoint: it learns of endpoints
-// from their announcements, holds a session with each guard, starts tasks at
-// most once, resolves lost replies, and tells the job engine which endpoints
-// there are and what they hold. docs/design/starting.md describes the protocol.
+// Package fleet manages an entry's connections to all endpoints. It discovers endpoints
+// from their announcements, holds a session with each guard, starts each task at most
+// once, resolves starts whose replies were lost, and reports to the job engine which
+// endpoints exist and how loaded they are. docs/design/starting.md describes the
+// protocol.
 package fleet
 
 import (
@@ -26,51 +27,53 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// ErrClosed means that the fleet has stopped and takes no announcement.
+// ErrClosed means that the fleet has been closed and accepts no announcements.
 var ErrClosed = errors.New("fleet is closed")
 
-// Values of Options.SpareSlots.
+// Special values of Options.SpareSlots.
 const (
 	DefaultSpareSlots = 4
 	NoSpareSlots      = -1
 )
 
-// Options of a Fleet. EntryID, Incarnation and Sink are required; zero values of
-// the others take defaults.
+// Options configures a Fleet. EntryID, Incarnation and Sink are required; zero values
+// of the other fields select defaults.
 type Options struct {
-	// EntryID and Incarnation name this entry to guards.
+	// EntryID and Incarnation identify this entry to guards.
 	EntryID     string
 	Incarnation uint64
 	Zone        string
-	// Secret is the cluster secret; empty when none is used.
+	// Secret is the cluster secret; empty if the cluster uses none.
 	Secret string
-	// Sink is told of endpoints as they come, report and go.
+	// Sink is notified when endpoints are added, removed or report their load.
 	Sink task.EndpointSink
-	// SpareSlots are left free of a bare endpoint's slots where this entry uses more
-	// than its part of them; zero for DefaultSpareSlots, NoSpareSlots for none.
+	// SpareSlots is the number of slots that this entry leaves free on a bare endpoint
+	// when it exceeds its allocation there. Zero selects DefaultSpareSlots;
+	// NoSpareSlots leaves none free.
 	SpareSlots int
-	// Waiting returns how many tasks of a service wait at this entry.
+	// Waiting returns the number of tasks of a service that wait at this entry.
 	Waiting func(service string) int
-	// Changed is called when the peers should soon hear what Bare and Use return;
-	// urgent when an endpoint has come or leaves.
+	// Changed is called when the results of Bare and Use should be sent to peers soon.
+	// urgent is set when an endpoint was added or is leaving.
 	Changed func(urgent bool)
-	// Attach returns the live entries, this one included.
+	// Attach returns the live entries, including this one.
 	Attach func() []*wirev1.EntryInfo
-	// AttachPolicy and Pace are the same at every entry.
+	// AttachPolicy and Pace must be the same at every entry.
 	AttachPolicy attach.Policy
 	Pace         attach.Pace
 	Timing       Timing
-	// MaxMessage bounds an answer in bytes.
+	// MaxMessage is the maximum size of a response in bytes.
 	MaxMessage int
 	Logger     *slog.Logger
 	Scope      tally.Scope
 	// Control counts the bytes of calls that carry no task.
 	Control *telemetry.Control
-	// Now is the wall clock that stamps and expires bare endpoints.
+	// Now returns the wall-clock time that stamps and expires bare endpoint records.
 	Now func() time.Time
-	// Stalled is the time for which this process has not run; nil has the fleet measure it.
+	// Stalled returns the total time during which this process did not run. If nil, the
+	// fleet measures it.
 	Stalled func() time.Duration
-	// Rand returns a number in [0,1) that spreads retries and pings.
+	// Rand returns a random number in [0,1), used to jitter retries and pings.
 	Rand func() float64
 }
 
@@ -115,48 +118,48 @@
 	return o
 }
 
-// endpoint is one place that runs tasks: a guard or a bare runner.
+// endpoint runs tasks: a guard or a bare runner.
 type endpoint interface {
 	start(ctx context.Context, c task.Call) task.Outcome
 	status() Status
 }
 
-// endpointMap is an immutable snapshot.
+// endpointMap is an immutable snapshot of the endpoints by ID.
 type endpointMap map[scheduler.EndpointID]endpoint
 
-// Fleet holds every endpoint this entry knows. It implements task.Starter.
+// Fleet holds every endpoint that this entry knows. It implements task.Starter.
 type Fleet struct {
-	o      Options
+	opts   Options
 	logger *slog.Logger
 	meter  *meter
 
-	// ctx ends every goroutine and call of the fleet.
+	// ctx is cancelled to end every goroutine and call of the fleet.
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// endpoints is read on the path of every start and replaced under mu.
+	// endpoints is read lock-free by every start and replaced while mu is held.
 	endpoints atomic.Pointer[endpointMap]
 	guards    atomic.Int64
-	// handshakes bounds the first handshakes with guards that are under way.
+	// handshakes limits the concurrent first handshakes with guards.
 	handshakes *limit.Limit
-	// stalls is nil when the owner measures them.
-	stalls *stall.Meter
+	// stallMeter is nil if Options.Stalled was set.
+	stallMeter *stall.Meter
 
 	mu     sync.Mutex
 	closed bool
-	// newest is the highest incarnation announced of each guard that is known.
+	// newest maps the name of each known guard to its highest announced incarnation.
 	newest map[string]*guard
 
 	bare *bareTable
 }
 
-// New returns a fleet without endpoints. Run must be called to release it.
+// New returns a fleet without endpoints. Run must be called to release its resources.
 func New(o Options) *Fleet {
 	o = o.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
-		o:      o,
+		opts:   o,
 		logger: o.Logger,
 		meter:  newMeter(o.Scope, o.Control),
 		ctx:    ctx,
@@ -164,8 +167,8 @@
 		newest: map[string]*guard{},
 	}
 	if o.Stalled == nil {
-		f.stalls = stall.New()
-		f.o.Stalled = f.stalls.Total
+		f.stallMeter = stall.New()
+		f.opts.Stalled = f.stallMeter.Total
 	}
 	f.handshakes = newHandshakeLimit(o.Timing.CallTimeout)
 	f.endpoints.Store(&endpointMap{})
@@ -173,25 +176,25 @@
 	return f
 }
 
-// Run keeps the fleet until ctx ends, then closes every connection. Starts that
-// are open then end as lost: drain them first.
+// Run operates the fleet until ctx ends, then closes every connection. Starts that are
+// still open at that point end as lost, so drain them first.
 func (f *Fleet) Run(ctx context.Context) error {
-	if f.stalls != nil {
-		f.wg.Go(func() { _ = f.stalls.Run(f.ctx) })
+	if f.stallMeter != nil {
+		f.wg.Go(func() { _ = f.stallMeter.Run(f.ctx) })
 	}
-	sweep := time.NewTicker(f.o.Timing.Sweep)
+	sweep := time.NewTicker(f.opts.Timing.Sweep)
 	defer sweep.Stop()
-	divide := time.NewTicker(f.o.Timing.Divide)
-	defer divide.Stop()
+	rebalance := time.NewTicker(f.opts.Timing.Divide)
+	defer rebalance.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			f.close()
 			return nil
-		case <-divide.C:
-			f.bare.divide()
+		case <-rebalance.C:
+			f.bare.rebalance()
 		case <-sweep.C:
-			f.bare.sweep(f.o.Now())
+			f.bare.expire(f.opts.Now())
 			f.meter.guards.Update(float64(f.guards.Load()))
 			f.meter.bare.Update(float64(f.bare.count()))
 		}
@@ -228,7 +231,7 @@
 	return e.start(ctx, c)
 }
 
-// addEndpoint and dropEndpoint replace the snapshot; f.mu is held.
+// addEndpoint and dropEndpoint replace the endpoint snapshot. The caller holds f.mu.
 func (f *Fleet) addEndpoint(id scheduler.EndpointID, e endpoint) {
 	next := maps.Clone(*f.endpoints.Load())
 	next[id] = e
@@ -255,13 +258,13 @@
 	Bare    bool
 	Slots   int
 	Leaving bool
-	// Usable is false while no task may start there.
+	// Usable is false while no task may be started on the endpoint.
 	Usable bool
-	// Open counts this entry's own open starts.
+	// Open is the number of open starts of this entry.
 	Open int
 }
 
-// Endpoints lists every endpoint this entry knows.
+// Endpoints returns the status of every endpoint that this entry knows.
 func (f *Fleet) Endpoints() []Status {
 	current := *f.endpoints.Load()
 	all := make([]Status, 0, len(current))
--- a/entry/fleet/follow.go
+++ b/entry/fleet/follow.go
@@ -13,71 +13,73 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// follow asks the same guard what became of a start that got no reply, until it
-// says so or the budget is spent. Only the guard's word ends in "not run".
-func (t *start) follow(ctx context.Context) task.Outcome {
-	pauses := t.g.f.newBackoff()
+// resolveUntilFinal queries the same guard for the state of a start that got no reply,
+// until the state is final or the budget is spent. Only the guard's response can lead
+// to "not run".
+func (t *start) resolveUntilFinal(ctx context.Context) task.Outcome {
+	retry := t.g.f.newBackoff()
 	var hold time.Duration
 	for {
 		switch {
 		case ctx.Err() != nil:
-			return t.stop(ctx, t.g.f.o.Timing.CancelFor, task.CodeCancelled)
-		case time.Until(t.lateAt) <= 0:
-			return t.expire(ctx)
+			return t.cancelWithRetry(ctx, t.g.f.opts.Timing.CancelFor, task.CodeCancelled)
+		case time.Until(t.cancelAt) <= 0:
+			return t.cancelAtDeadline(ctx)
 		case t.g.f.ctx.Err() != nil:
-			return t.lost("entry is closing")
+			return t.lostOutcome("entry is closing")
 		}
-		report, err := t.resolve(ctx, hold)
+		report, err := t.resolveOnce(ctx, hold)
 		if err == nil {
-			if o, final := t.settle(report); final {
+			if o, final := t.handleReport(report); final {
 				return o
 			}
-			// It waits or runs: the guard may hold the next question.
-			hold = t.g.f.o.Timing.ResolveWait
-			pauses = t.g.f.newBackoff()
+			// The task waits or runs, so the guard may delay its response to the next
+			// query.
+			hold = t.g.f.opts.Timing.ResolveWait
+			retry = t.g.f.newBackoff()
 		}
-		if errors.Is(err, errMismatch) && t.damaged {
+		if errors.Is(err, errMismatch) && t.corrupt {
 			return failure(task.CodeTruncated, task.RanYes, "the result did not arrive whole")
 		}
-		if t.hopeless(err) {
-			return t.lost("guard's address refuses connections")
+		if t.guardGone(err) {
+			return t.lostOutcome("guard's address refuses connections")
 		}
-		t.pause(ctx, &pauses)
+		t.waitRetry(ctx, &retry)
 	}
 }
 
-func (t *start) lost(message string) task.Outcome {
+func (t *start) lostOutcome(message string) task.Outcome {
 	return failure(task.CodeLost, t.ran, message)
 }
 
-// pause waits for the next attempt, but not beyond lateAt.
-func (t *start) pause(ctx context.Context, pauses *backoff) {
-	d := min(pauses.pause(), time.Until(t.lateAt))
+// waitRetry waits until the next attempt, but not beyond cancelAt.
+func (t *start) waitRetry(ctx context.Context, retry *backoff) {
+	d := min(retry.nextDelay(), time.Until(t.cancelAt))
 	if d > 0 {
 		uptime.Sleep(ctx, d)
 	}
 }
 
-// hopeless reports whether nothing has listened at the guard's address for a
-// while: the process that held the ledger is dead and nobody can answer any more.
-func (t *start) hopeless(err error) bool {
-	if !refusesConnections(err) {
-		t.refusing = time.Time{}
+// guardGone reports whether nothing has listened at the guard's address for some time:
+// the process that held the ledger is dead, so nobody can answer any more.
+func (t *start) guardGone(err error) bool {
+	if !isConnRefused(err) {
+		t.refusedSince = time.Time{}
 		return false
 	}
 	if t.g.superseded.Load() {
 		return true
 	}
-	if t.refusing.IsZero() {
-		t.refusing = time.Now()
+	if t.refusedSince.IsZero() {
+		t.refusedSince = time.Now()
 	}
-	return time.Since(t.refusing) >= t.g.f.o.Timing.RefusedFor
+	return time.Since(t.refusedSince) >= t.g.f.opts.Timing.RefusedFor
 }
 
-// resolve asks once, over a connection that carries no starts.
-func (t *start) resolve(ctx context.Context, hold time.Duration) (*wirev1.TaskReport, error) {
-	timing := &t.g.f.o.Timing
-	left := time.Until(t.lateAt)
+// resolveOnce sends one Resolve over a connection that carries no starts.
+func (t *start) resolveOnce(ctx context.Context, hold time.Duration) (*wirev1.TaskReport, error) {
+	timing := &t.g.f.opts.Timing
+	left := time.Until(t.cancelAt)
 	hold = max(0, min(hold, left-timing.Margin))
 	ctx, cancel := context.WithTimeout(ctx, min(left, hold+timing.CallTimeout))
 	defer cancel()
@@ -85,68 +87,68 @@
 		Session:          t.s.id,
 		Seq:              t.seq,
 		GuardIncarnation: t.g.incarnation,
-		LowWatermark:     t.low,
+		LowWatermark:     t.lowWatermark,
 		WaitMs:           uint32(hold.Milliseconds()),
 	}
-	rescue := t.g.rescueLink()
+	fallback := t.g.fallbackLink()
 	sent := monotonic()
-	resp, err := rescue.Resolve(ctx, connect.NewRequest(req))
+	resp, err := fallback.Resolve(ctx, connect.NewRequest(req))
 	if err != nil {
 		t.g.f.meter.control(kindResolve, req, nil)
 		if !errors.Is(ctx.Err(), context.Canceled) {
-			t.g.dropRescue(rescue)
+			t.g.discardFallback(fallback)
 		}
 		return nil, err
 	}
 	m := resp.Msg
 	t.g.f.meter.control(kindResolve, req, m)
-	t.s.answered(sent)
-	t.g.loadFromSession(m.GetLoad())
-	return t.checked(m.GetSession(), m.GetSeq(), m.GetReport())
+	t.s.recordReply(sent)
+	t.g.applySessionLoad(m.GetLoad())
+	return t.validateReply(m.GetSession(), m.GetSeq(), m.GetReport())
 }
 
-// expire uses the rest of the budget to bar a task that would be late, so that
-// the caller learns whether it ran.
-func (t *start) expire(ctx context.Context) task.Outcome {
-	return t.stop(ctx, time.Until(t.call.Deadline), task.CodeDeadline)
+// cancelAtDeadline uses the remaining budget to cancel a task that would be late, so
+// that the caller learns whether it ran.
+func (t *start) cancelAtDeadline(ctx context.Context) task.Outcome {
+	return t.cancelWithRetry(ctx, time.Until(t.call.Deadline), task.CodeDeadline)
 }
 
-// stop bars the task or has it stopped, and gives the outcome the guard reports.
-// The caller's ctx may have ended already.
-func (t *start) stop(ctx context.Context, within time.Duration, code task.Code) task.Outcome {
+// cancelWithRetry prevents the task from starting or has it stopped, and returns the
+// outcome that the guard reports. The caller's ctx may have ended already.
+func (t *start) cancelWithRetry(ctx context.Context, within time.Duration, code task.Code) task.Outcome {
 	within = min(within, time.Until(t.call.Deadline))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), max(within, 0))
 	defer cancel()
 	defer context.AfterFunc(t.g.f.ctx, cancel)()
-	pauses := t.g.f.newBackoff()
-	// The main link first: usually it works, and it is open.
-	l := t.g.main.Load()
+	retry := t.g.f.newBackoff()
+	// Try the primary link first: it usually works and is already connected.
+	l := t.g.primary.Load()
 	for ctx.Err() == nil {
-		report, err := t.cancel(ctx, l)
+		report, err := t.cancelOnce(ctx, l)
 		if err == nil {
-			if o, final := t.stopped(report, code); final {
+			if o, final := t.cancelOutcome(report, code); final {
 				return o
 			}
 		}
-		if t.hopeless(err) {
+		if t.guardGone(err) {
 			break
 		}
-		l = t.g.rescueLink()
-		uptime.Sleep(ctx, pauses.pause())
+		l = t.g.fallbackLink()
+		uptime.Sleep(ctx, retry.nextDelay())
 	}
-	return t.unheard(code)
+	return t.noContactOutcome(code)
 }
 
-// unheard is the outcome when the guard could not be asked to stop the task.
-func (t *start) unheard(code task.Code) task.Outcome {
+// noContactOutcome is the outcome if the guard could not be asked to stop the task.
+func (t *start) noContactOutcome(code task.Code) task.Outcome {
 	if code == task.CodeDeadline && t.ran != task.RanYes {
 		code = task.CodeLost
 	}
 	return failure(code, t.ran, "no contact with the guard within the budget")
 }
 
-func (t *start) cancel(ctx context.Context, l *link.Link) (*wirev1.TaskReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.g.f.o.Timing.CallTimeout/2)
+func (t *start) cancelOnce(ctx context.Context, l *link.Link) (*wirev1.TaskReport, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.g.f.opts.Timing.CallTimeout/2)
 	defer cancel()
 	req := &wirev1.CancelRequest{
 		Session:          t.s.id,
@@ -157,33 +159,33 @@
 	resp, err := l.Cancel(ctx, connect.NewRequest(req))
 	if err != nil {
 		t.g.f.meter.control(kindCancel, req, nil)
-		t.failed(l)
+		t.linkFailed(l)
 		return nil, err
 	}
 	t.g.f.meter.control(kindCancel, req, resp.Msg)
-	t.s.answered(sent)
+	t.s.recordReply(sent)
 	m := resp.Msg
-	t.g.loadFromSession(m.GetLoad())
-	return t.checked(m.GetSession(), m.GetSeq(), m.GetReport())
+	t.g.applySessionLoad(m.GetLoad())
+	return t.validateReply(m.GetSession(), m.GetSeq(), m.GetReport())
 }
 
-// failed takes note of a link that did not answer a cancel.
-func (t *start) failed(l *link.Link) {
-	if l == t.g.main.Load() {
-		t.g.alarm()
+// linkFailed handles a link on which a Cancel got no response.
+func (t *start) linkFailed(l *link.Link) {
+	if l == t.g.primary.Load() {
+		t.g.requestPing()
 		return
 	}
-	t.g.dropRescue(l)
+	t.g.discardFallback(l)
 }
 
-// stopped turns the report after a cancel into the outcome. A task that runs is
-// being stopped. It was handed to the runner, which has not answered yet: the
-// guard can't tell whether it had begun.
-func (t *start) stopped(r *wirev1.TaskReport, code task.Code) (task.Outcome, bool) {
+// cancelOutcome converts the report of a Cancel into the outcome. A running task is
+// being stopped: it was handed to the runner, which has not answered yet, so the guard
+// can't tell whether execution had begun.
+func (t *start) cancelOutcome(r *wirev1.TaskReport, code task.Code) (task.Outcome, bool) {
 	if r.GetState() == wirev1.TaskState_TASK_STATE_RUNNING {
 		return failure(code, t.ran, "stopped while it ran"), true
 	}
-	o, final := t.settle(r)
+	o, final := t.handleReport(r)
 	if final && (o.Ran == task.RanNo || o.Code == task.CodeLost) {
 		o.Code = code
 	}
--- a/entry/fleet/greet.go
+++ b/entry/fleet/greet.go
@@ -13,55 +13,59 @@
 )
 
 const (
-	// MaxNamed bounds the guards that one peer may name to this entry.
+	// MaxNamed is the maximum number of guard hints accepted from one peer.
 	MaxNamed = 10_000
-	// maxNamedText bounds each text of a name, bytes.
-	maxNamedText = 256
-	// greetAtOnce bounds the first handshakes under way: each opens a connection.
-	greetAtOnce = 64
-	// greetFirst and greetLeast are the bound at the beginning, and the least to which
-	// slow answers take it.
-	greetFirst, greetLeast = 4, 2
-	// greetHold is how long one that gets no answer counts as under way, so that
-	// the silent guards of a lost rack do not hold up the others.
-	greetHold = 250 * time.Millisecond
-	// timeoutFactor times the usual time of an answer is added to CallTimeout.
+	// maxHintFieldLen is the maximum length of each text field of a hint in bytes.
+	maxHintFieldLen = 256
+	// maxHandshakes is the upper bound of the concurrent first handshakes, each of
+	// which opens a connection.
+	maxHandshakes = 64
+	// initialHandshakes is the limit on concurrent first handshakes at startup, and
+	// minHandshakes the least to which slow replies reduce it.
+	initialHandshakes, minHandshakes = 4, 2
+	// handshakeSlotTimeout is how long an unanswered handshake occupies its slot, so
+	// that unresponsive guards of a failed rack do not delay the handshakes with
+	// others.
+	handshakeSlotTimeout = 250 * time.Millisecond
+	// The Hello timeout is CallTimeout plus timeoutFactor times the typical response
+	// time.
 	timeoutFactor = 4
-	// Parts of CallTimeout within which an answer is fast, and above which it is slow.
-	fastPart, slowPart = 8, 4
+	// A response is fast within CallTimeout/fastDivisor and slow above
+	// CallTimeout/slowDivisor.
+	fastDivisor, slowDivisor = 8, 4
 )
 
 func newHandshakeLimit(callTimeout time.Duration) *limit.Limit {
 	return limit.New(limit.Options{
-		First: greetFirst, Least: greetLeast, Most: greetAtOnce,
-		Fast: callTimeout / fastPart, Slow: callTimeout / slowPart,
+		First: initialHandshakes, Least: minHandshakes, Most: maxHandshakes,
+		Fast: callTimeout / fastDivisor, Slow: callTimeout / slowDivisor,
 	})
 }
 
-// helloTimeout is longer than CallTimeout while all answers take long: the entry is late
-// then, and a handshake that is repeated opens a second session.
+// helloTimeout exceeds CallTimeout while all responses are slow: the entry itself is
+// then overloaded, and a repeated handshake would open a second session.
 func (f *Fleet) helloTimeout() time.Duration {
-	t := &f.o.Timing
+	t := &f.opts.Timing
 	return min(t.CallTimeout+timeoutFactor*f.handshakes.Typical(), max(t.Lost, t.CallTimeout))
 }
 
-// handshakeTurn is the place of one first handshake among those under way.
-type handshakeTurn struct {
-	limit *limit.Limit
-	hold  *time.Timer
+// handshakeSlot is one unit of the limit on concurrent first handshakes.
+type handshakeSlot struct {
+	limit  *limit.Limit
+	expiry *time.Timer
 }
 
-// handshakeTurn waits for a place; false when ctx ended first.
-func (f *Fleet) handshakeTurn(ctx context.Context) (handshakeTurn, bool) {
+// acquireHandshakeSlot waits for a slot. It returns false if ctx ended first.
+func (f *Fleet) acquireHandshakeSlot(ctx context.Context) (handshakeSlot, bool) {
 	if !f.handshakes.Acquire(ctx) {
-		return handshakeTurn{}, false
+		return handshakeSlot{}, false
 	}
-	return handshakeTurn{f.handshakes, time.AfterFunc(greetHold, f.handshakes.Release)}, true
+	return handshakeSlot{f.handshakes, time.AfterFunc(handshakeSlotTimeout, f.handshakes.Release)}, true
 }
 
-// end gives the place back, unless that was done when the hold ended.
-func (t handshakeTurn) end(answered bool, took time.Duration) {
-	held := t.hold.Stop()
+// release returns the slot unless handshakeSlotTimeout has returned it already.
+func (t handshakeSlot) release(answered bool, took time.Duration) {
+	held := t.expiry.Stop()
 	switch {
 	case held && answered:
 		t.limit.Answered(took)
@@ -72,61 +76,64 @@
 	}
 }
 
-// handshake is the first Hello to a guard that a peer named.
+// handshake tracks the first Hello to a guard that a peer's hint introduced.
 type handshake struct {
-	// confirmed: the guard answered as it was named, or announced itself.
+	// confirmed is true once the guard's Hello response matched the hint or the guard
+	// announced itself.
 	confirmed atomic.Bool
 	once      sync.Once
-	// settled is closed when the guard takes work or was dropped.
-	settled chan struct{}
+	// done is closed when the guard accepts work or was dropped.
+	done chan struct{}
 }
 
-// settle is for any guard: a nil handshake is none.
-func (h *handshake) settle() {
+// finish marks the handshake as done. It is a no-op on nil, so it can be called for any
+// guard.
+func (h *handshake) finish() {
 	if h != nil {
-		h.once.Do(func() { close(h.settled) })
+		h.once.Do(func() { close(h.done) })
 	}
 }
 
-// GuardsFor names the guards that this entry has in use and that
-// should attach to the given entry, no more than MaxNamed; everywhere means that
-// every guard attaches to every entry, so that another one would name the same.
-func (f *Fleet) GuardsFor(e *wirev1.EntryInfo) (named []*wirev1.GuardHint, everywhere bool) {
-	entries := withEntry(f.o.Attach(), e)
+// GuardsFor returns hints about the guards that this entry uses and that should attach
+// to the given entry, at most MaxNamed. allAttached is true if every guard attaches to
+// every entry, so that any other entry would return the same hints.
+func (f *Fleet) GuardsFor(e *wirev1.EntryInfo) (hints []*wirev1.GuardHint, allAttached bool) {
+	entries := withEntry(f.opts.Attach(), e)
 	isCaller := func(one *wirev1.EntryInfo) bool { return one.GetId() == e.GetId() }
 	for _, one := range *f.endpoints.Load() {
 		g, isGuard := one.(*guard)
-		if !isGuard || !g.worthNaming() {
+		if !isGuard || !g.hintable() {
 			continue
 		}
-		if slices.ContainsFunc(attach.Choose(g.name, g.zone, entries, f.o.AttachPolicy), isCaller) {
-			named = append(named, g.hint())
+		if slices.ContainsFunc(attach.Choose(g.name, g.dataCentre, entries, f.opts.AttachPolicy), isCaller) {
+			hints = append(hints, g.hint())
 		}
 	}
-	everywhere = len(entries) <= f.o.AttachPolicy.AllUpTo && len(named) <= MaxNamed
-	return named[:min(len(named), MaxNamed)], everywhere
+	allAttached = len(entries) <= f.opts.AttachPolicy.AllUpTo && len(hints) <= MaxNamed
+	return hints[:min(len(hints), MaxNamed)], allAttached
 }
 
-// withEntry returns the entries with e in the place of an older process of its id.
+// withEntry returns the entries with e replacing any older process that has its ID.
 func withEntry(entries []*wirev1.EntryInfo, e *wirev1.EntryInfo) []*wirev1.EntryInfo {
 	others := slices.DeleteFunc(slices.Clone(entries), func(one *wirev1.EntryInfo) bool { return one.GetId() == e.GetId() })
 	return append(others, e)
 }
 
-// worthNaming leaves out guards that leave or are silent, and those that only a
-// peer has named: names must not go round among entries that never met the guard.
-func (g *guard) worthNaming() bool {
-	return g.believed() && !g.named() && !g.suspect.Load() && !g.superseded.Load() && !g.isLeaving()
+// hintable excludes guards that are leaving or not responding, and guards known only
+// from a peer's hint: otherwise hints would circulate among entries that never
+// contacted the guard.
+func (g *guard) hintable() bool {
+	return g.recentlyHeard() && !g.unconfirmedHint() && !g.suspect.Load() && !g.superseded.Load() && !g.isLeaving()
 }
 
-// believed reports whether the guard was heard lately: by its session, or, while
-// that rests to save pings, by its announcements.
-func (g *guard) believed() bool {
-	if g.resting.Load() {
-		return g.sinceAnnounced() < g.f.o.Timing.Unannounced
+// recentlyHeard reports whether the guard is known to be alive: from its session or, in
+// idle mode (which saves pings), from its announcements.
+func (g *guard) recentlyHeard() bool {
+	if g.idleMode.Load() {
+		return g.sinceAnnouncement() < g.f.opts.Timing.Unannounced
 	}
 	s := g.session.Load()
-	return s != nil && s.fresh()
+	return s != nil && s.leaseValid()
 }
 
 func (g *guard) hint() *wirev1.GuardHint {
@@ -134,39 +141,41 @@
 		GuardId:          g.name,
 		GuardIncarnation: g.incarnation,
 		Address:          g.address,
-		Zone:             g.zone,
+		Zone:             g.dataCentre,
 		Service:          g.service,
 	}
 }
 
-// Greet opens sessions with guards that a peer named and returns when each has
-// answered or was dropped, or ctx ends. The order is random, and few are called
-// at a time: entries that join together would else call the guards in step.
-func (f *Fleet) Greet(ctx context.Context, named []*wirev1.GuardHint) {
-	named = slices.Clone(named[:min(len(named), MaxNamed)])
-	for i := range named {
-		j := i + int(f.o.Rand()*float64(len(named)-i))
-		named[i], named[j] = named[j], named[i]
+// Greet opens sessions with the guards that a peer's hints describe. It returns when
+// each guard has answered or was dropped, or when ctx ends. The order is random and the
+// concurrency limited, because entries that join at the same time would otherwise call
+// the guards in the same order.
+func (f *Fleet) Greet(ctx context.Context, hints []*wirev1.GuardHint) {
+	hints = slices.Clone(hints[:min(len(hints), MaxNamed)])
+	for i := range hints {
+		j := i + int(f.opts.Rand()*float64(len(hints)-i))
+		hints[i], hints[j] = hints[j], hints[i]
 	}
-	var taken []*guard
-	for _, h := range named {
-		if g := f.takeNamed(h); g != nil {
-			taken = append(taken, g)
+	var added []*guard
+	for _, h := range hints {
+		if g := f.addHinted(h); g != nil {
+			added = append(added, g)
 		}
 	}
-	for _, g := range taken {
+	for _, g := range added {
 		select {
-		case <-g.handshake.settled:
+		case <-g.handshake.done:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// takeNamed starts keeping a guard that a peer named; nil when it is known in any
-// incarnation, malformed or not for this entry. A name never displaces a guard:
-// a stale one would take the newer process out of use.
-func (f *Fleet) takeNamed(h *wirev1.GuardHint) *guard {
+// addHinted adds a guard from a peer's hint. It returns nil if the guard is known in
+// any incarnation, the hint is malformed, or the guard attaches to other entries. A
+// hint never replaces a known guard, because a stale hint would take the newer process
+// out of use.
+func (f *Fleet) addHinted(h *wirev1.GuardHint) *guard {
 	r := &wirev1.AnnounceRequest{
 		GuardId:          h.GetGuardId(),
 		GuardIncarnation: h.GetGuardIncarnation(),
@@ -175,11 +184,11 @@
 		Service:          h.GetService(),
 	}
 	longest := max(len(r.GetGuardId()), len(r.GetZone()), len(r.GetService()))
-	if checkAnnouncement(r) != nil || longest > maxNamedText {
+	if checkAnnouncement(r) != nil || longest > maxHintFieldLen {
 		return nil
 	}
-	entries := f.o.Attach()
-	if f.leftToOthers(entries, attach.Choose(r.GetGuardId(), r.GetZone(), entries, f.o.AttachPolicy)) {
+	entries := f.opts.Attach()
+	if f.isAttachedElsewhere(entries, attach.Choose(r.GetGuardId(), r.GetZone(), entries, f.opts.AttachPolicy)) {
 		return nil
 	}
 	f.mu.Lock()
@@ -187,18 +196,18 @@
 	if f.closed || f.newest[r.GetGuardId()] != nil {
 		return nil
 	}
-	return f.add(r, &handshake{settled: make(chan struct{})})
+	return f.addGuard(r, &handshake{done: make(chan struct{})})
 }
 
-// overNamed makes way for an announcement: it overrides a hint from a peer, whose
-// incarnation may be made up and would shut the guard out. It returns the guard
-// that counts as known; f.mu is held.
-func (f *Fleet) overNamed(newest *guard, r *wirev1.AnnounceRequest) *guard {
-	if newest == nil || !newest.named() {
+// overrideHint lets an announcement override an unconfirmed hint from a peer, whose
+// incarnation may be invented and would then lock out the real guard. It returns the
+// guard that still counts as known. The caller holds f.mu.
+func (f *Fleet) overrideHint(newest *guard, r *wirev1.AnnounceRequest) *guard {
+	if newest == nil || !newest.unconfirmedHint() {
 		return newest
 	}
 	same := newest.incarnation == r.GetGuardIncarnation() && newest.address == r.GetAddress() &&
-		newest.service == r.GetService() && newest.zone == r.GetZone()
+		newest.service == r.GetService() && newest.dataCentre == r.GetZone()
 	if same {
 		newest.handshake.confirmed.Store(true)
 		return newest
@@ -207,34 +216,35 @@
 	return nil
 }
 
-// named reports whether only a hint from a peer stands for the guard.
-func (g *guard) named() bool { return g.handshake != nil && !g.handshake.confirmed.Load() }
+// unconfirmedHint reports whether the guard is known only from a peer's hint.
+func (g *guard) unconfirmedHint() bool { return g.handshake != nil && !g.handshake.confirmed.Load() }
 
-// confirmed takes the guard's own answer to Hello, which alone decides; false when
-// the guard is another than was named, or leaves.
-func (g *guard) confirmed(r *wirev1.HelloResponse) bool {
+// confirmHint checks the guard's own Hello response, which alone is authoritative,
+// against the hint. It returns false if the guard differs from the hint or is leaving.
+func (g *guard) confirmHint(r *wirev1.HelloResponse) bool {
 	if g.handshake == nil {
 		return true
 	}
 	g.f.mu.Lock()
 	defer g.f.mu.Unlock()
-	if !g.named() {
+	if !g.unconfirmedHint() {
 		return true
 	}
-	if g.superseded.Load() || r.GetLoad().GetLeaving() || r.GetService() != g.service || r.GetZone() != g.zone {
+	if g.superseded.Load() || r.GetLoad().GetLeaving() || r.GetService() != g.service || r.GetZone() != g.dataCentre {
 		return false
 	}
 	g.handshake.confirmed.Store(true)
 	return true
 }
 
-// hintUnreachable reports whether nothing listens where a peer said the guard was. It
-// is not waited for: a guard that lives announces itself.
-func (g *guard) hintUnreachable(err error) bool { return g.named() && refusesConnections(err) }
+// hintUnreachable reports whether nothing listens at the address in a peer's hint. Such
+// a guard is not retried: if it is alive, it announces itself.
+func (g *guard) hintUnreachable(err error) bool { return g.unconfirmedHint() && isConnRefused(err) }
 
-// droppedUnconfirmed ends a guard that never answered as it was named.
-func (g *guard) droppedUnconfirmed() {
+// logHintDropped logs that a hinted guard was dropped because it never answered as
+// described.
+func (g *guard) logHintDropped() {
 	if g.f.ctx.Err() == nil {
-		eventNamedDropped.Log(g.f.ctx, g.f.logger, g.attrs()...)
+		eventHintDropped.Log(g.f.ctx, g.f.logger, g.attrs()...)
 	}
 }
--- a/entry/fleet/greet_test.go
+++ b/entry/fleet/greet_test.go
@@ -18,29 +18,30 @@
 	}
 }
 
-// greeted greets the guards and waits for the end of that.
-func greeted(t *testing.T, f *Fleet, named ...*wirev1.GuardHint) {
+// connectHints calls Greet with the hints and requires it to finish within a minute.
+func connectHints(t *testing.T, f *Fleet, hints ...*wirev1.GuardHint) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	f.Greet(ctx, named)
+	f.Greet(ctx, hints)
 	assert.NilError(t, ctx.Err())
 }
 
-// An entry joins and a peer names its guards, more than are greeted at a time.
-// None has announced itself here. Once Greet returns each of them takes starts,
-// on one session; an announcement that follows opens no second one.
+// A peer gives a joining entry hints about its guards, more than may be contacted
+// concurrently. None of them has announced itself here. Once Greet returns, each of
+// them accepts starts on one session, and an announcement that follows opens no second
+// one.
 func TestNamedGuardsTakeStartsAtOnce(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
-	var named []*wirev1.GuardHint
+	var hints []*wirev1.GuardHint
 	var guards []*fakeGuard
-	for i := range greetAtOnce + 10 {
+	for i := range maxHandshakes + 10 {
 		g := newFakeGuard(t, fmt.Sprint("g", i), 7)
 		guards = append(guards, g)
-		named = append(named, g.hint())
+		hints = append(hints, g.hint())
 	}
-	greeted(t, f, named...)
+	connectHints(t, f, hints...)
 	for _, g := range guards {
 		_, known := sink.get(g.id())
 		assert.Assert(t, known, g.name)
@@ -52,11 +53,10 @@
 	}
 }
 
-// What a peer names may be wrong by now: the guard leaves, another process has
-// its address, it has moved to another service, nothing listens there, or the
-// name is malformed. The guard's own answer decides, and each of these is
-// dropped: no endpoint remains.
-func TestWrongNamesAreDropped(t *testing.T) {
+// A peer's hint may be outdated: the guard is leaving, another process has its address,
+// it has moved to another service, nothing listens there, or the hint is malformed. The
+// guard's own answer decides. Each of these hints is dropped, and no endpoint remains.
+func TestWrongHintsAreDropped(t *testing.T) {
 	for name, change := range map[string]func(*fakeGuard, *wirev1.GuardHint){
 		"leaves":                   func(g *fakeGuard, _ *wirev1.GuardHint) { g.load.Leaving = true },
 		"newer process":            func(_ *fakeGuard, h *wirev1.GuardHint) { h.GuardIncarnation = 6 },
@@ -67,7 +67,7 @@
 		"nothing listens":          func(g *fakeGuard, _ *wirev1.GuardHint) { _ = g.server.Close() },
 		"malformed address":        func(_ *fakeGuard, h *wirev1.GuardHint) { h.Address = "guard:0" },
 		"no service":               func(_ *fakeGuard, h *wirev1.GuardHint) { h.Service = "" },
-		"longer than any name may": func(_ *fakeGuard, h *wirev1.GuardHint) { h.Zone = string(make([]byte, maxNamedText+1)) },
+		"longer than any name may": func(_ *fakeGuard, h *wirev1.GuardHint) { h.Zone = string(make([]byte, maxHintFieldLen+1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			sink := newFakeSink()
@@ -75,32 +75,32 @@
 			g := newFakeGuard(t, "g1", 7)
 			h := g.hint()
 			change(g, h)
-			greeted(t, f, h)
-			eventually(t, func() bool { return len(f.Endpoints()) == 0 }, "name is dropped")
+			connectHints(t, f, h)
+			eventually(t, func() bool { return len(f.Endpoints()) == 0 }, "hint is dropped")
 			assert.Equal(t, len(sink.endpoints), 0)
 		})
 	}
 }
 
-// A peer names a guard with a higher incarnation than it has, at an address that
-// hangs. The guard announces itself meanwhile. Its own word stands above the
-// peer's: it is not shut out as an older process, and takes starts.
-func TestAnnouncementStandsAboveAPeersWord(t *testing.T) {
+// A peer's hint gives a guard a higher incarnation than it has, and an address that
+// never answers. Then the guard announces itself. Its announcement overrides the hint:
+// it is not rejected as an older process, and accepts starts.
+func TestAnnouncementOverridesHint(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink, func(o *Options) { o.Timing.CallTimeout = 5 * time.Second })
 	g := newFakeGuard(t, "g1", 7)
-	hanging := newFakeGuard(t, "hanging", 1)
-	r := relayed(t, hanging)
-	dropAll(t, r)
+	unresponsive := newFakeGuard(t, "hanging", 1)
+	r := relayGuard(t, unresponsive)
+	dropTraffic(t, r)
 	wrong := g.hint()
-	wrong.GuardIncarnation, wrong.Address = 99, hanging.address
+	wrong.GuardIncarnation, wrong.Address = 99, unresponsive.address
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		f.Greet(ctx, []*wirev1.GuardHint{wrong})
 	}()
-	eventually(t, func() bool { return len(f.Endpoints()) == 1 }, "name is being greeted")
+	eventually(t, func() bool { return len(f.Endpoints()) == 1 }, "hinted guard is added")
 	join(t, f, sink, g)
 	stop()
 	<-done
@@ -108,9 +108,9 @@
 	assert.Assert(t, o.OK(), "%+v", o)
 }
 
-// A guard is known here, and a peer names another incarnation of it, older or
-// newer. The name displaces nothing: the guard goes on taking starts.
-func TestNameDisplacesNoKnownGuard(t *testing.T) {
+// A guard is known here, and a peer's hint names an older or newer incarnation of it.
+// The hint does not replace the guard, which continues to accept starts.
+func TestHintDoesNotReplaceKnownGuard(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
@@ -118,7 +118,7 @@
 	for _, incarnation := range []uint64{6, 7, 8} {
 		h := g.hint()
 		h.GuardIncarnation = incarnation
-		greeted(t, f, h)
+		connectHints(t, f, h)
 	}
 	e, known := sink.get(g.id())
 	assert.Assert(t, known && !e.Leaving)
@@ -126,32 +126,33 @@
 	g.locked(func() { assert.Equal(t, g.sessions, 1) })
 }
 
-// Only guards that this entry holds a session with are named: not one that
-// leaves, and not one that hangs.
-func TestGuardsForNamesThoseInUse(t *testing.T) {
+// Hints are given only for guards with which this entry holds a session: not for one
+// that is leaving, nor for one that does not respond.
+func TestGuardsForReturnsGuardsInUse(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
-	used, leaving, hanging := newFakeGuard(t, "used", 7), newFakeGuard(t, "leaving", 7), newFakeGuard(t, "hanging", 7)
-	r := relayed(t, hanging)
-	for _, g := range []*fakeGuard{used, leaving, hanging} {
+	used, leaving, unresponsive := newFakeGuard(t, "used", 7), newFakeGuard(t, "leaving", 7), newFakeGuard(t, "hanging", 7)
+	r := relayGuard(t, unresponsive)
+	for _, g := range []*fakeGuard{used, leaving, unresponsive} {
 		join(t, f, sink, g)
 	}
 	notice := leaving.announcement()
 	notice.Leaving = true
 	_, err := f.Announce(t.Context(), notice)
 	assert.NilError(t, err)
-	dropAll(t, r)
-	eventually(t, func() bool { _, known := sink.get(hanging.id()); return !known }, "hanging guard is out of use")
-	named, everywhere := f.GuardsFor(&wirev1.EntryInfo{Id: "e2"})
-	assert.Equal(t, len(named), 1)
-	assert.Equal(t, named[0].String(), used.hint().String())
-	assert.Assert(t, everywhere)
+	dropTraffic(t, r)
+	eventually(t, func() bool { _, known := sink.get(unresponsive.id()); return !known }, "unresponsive guard is withdrawn")
+	hints, allAttached := f.GuardsFor(&wirev1.EntryInfo{Id: "e2"})
+	assert.Equal(t, len(hints), 1)
+	assert.Equal(t, hints[0].String(), used.hint().String())
+	assert.Assert(t, allAttached)
 }
 
-// With more entries than a guard attaches to, a peer names just the guards that
-// the joining entry is to have, with it counted, and says that others know more.
-// A joining entry that is named others' guards leaves them to those.
-func TestNamesFollowTheAttachment(t *testing.T) {
+// With more entries than a guard attaches to, a peer returns only hints about the
+// guards that should attach to the joining entry (counting that entry), and says that
+// other entries know more guards. A joining entry ignores hints about guards that
+// attach to other entries.
+func TestHintsFollowAttachment(t *testing.T) {
 	sink := newFakeSink()
 	caller := &wirev1.EntryInfo{Id: "e3"}
 	entries := []*wirev1.EntryInfo{{Id: "e1"}, {Id: "e2"}}
@@ -168,17 +169,17 @@
 		}
 	}
 	assert.Assert(t, len(want) > 0 && len(want) < len(all), "%d", len(want))
-	f.o.Attach = func() []*wirev1.EntryInfo { return entries }
-	named, everywhere := f.GuardsFor(caller)
-	assert.Assert(t, !everywhere)
-	assert.Equal(t, len(named), len(want))
-	for _, h := range named {
+	f.opts.Attach = func() []*wirev1.EntryInfo { return entries }
+	hints, allAttached := f.GuardsFor(caller)
+	assert.Assert(t, !allAttached)
+	assert.Equal(t, len(hints), len(want))
+	for _, h := range hints {
 		assert.Assert(t, want[h.GetGuardId()], h.GetGuardId())
 	}
 	joining := newTestFleet(t, newFakeSink(), func(o *Options) {
 		o.EntryID, o.AttachPolicy = "e3", policy
 		o.Attach = func() []*wirev1.EntryInfo { return append(entries[:2:2], caller) }
 	})
-	greeted(t, joining, all...)
+	connectHints(t, joining, all...)
 	assert.Equal(t, len(joining.Endpoints()), len(want))
 }
--- a/entry/fleet/guard.go
+++ b/entry/fleet/guard.go
@@ -11,54 +11,59 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// guard is one incarnation of a guard as this entry sees it.
+// guard is this entry's view of one incarnation of a guard.
 type guard struct {
 	f           *Fleet
 	name        string
 	incarnation uint64
 	id          scheduler.EndpointID
 	service     string
-	zone        string
+	dataCentre  string
 	address     string
 
-	// main carries starts and pings; it is replaced when it goes silent.
-	main atomic.Pointer[link.Link]
-	// session is nil while there is none.
+	// primary carries starts and pings. It is replaced when it stops responding.
+	primary atomic.Pointer[link.Link]
+	// session is nil while no session is open.
 	session atomic.Pointer[session]
-	// resting is true while the session is let lapse, and until the next one.
-	resting atomic.Bool
-	// announced is when the last announcement came (monotonic).
-	announced atomic.Int64
+	// idleMode is true from the moment the idle session's lease is allowed to lapse
+	// until the next session is open.
+	idleMode atomic.Bool
+	// lastAnnounced is the time of the last announcement, as returned by monotonic.
+	lastAnnounced atomic.Int64
 	// superseded is true once a newer incarnation has announced itself.
 	superseded atomic.Bool
-	// suspect is true from a failed ping to the next answer.
+	// suspect is true from a failed call of the session goroutine until the next reply.
 	suspect atomic.Bool
-	// silentSince is when it became suspect (Fleet.awake); the keeper's own.
-	silentSince time.Duration
-	// alarmed asks the keeper for a ping at once.
-	alarmed atomic.Bool
-	// inflight counts the open starts of every session.
+	// suspectSince is the value of Fleet.runningTime at which the guard became suspect.
+	// Only the session goroutine accesses it.
+	suspectSince time.Duration
+	// pingRequested makes the session goroutine ping immediately.
+	pingRequested atomic.Bool
+	// inflight counts the open starts of all sessions.
 	inflight atomic.Int64
 
-	// handshake is nil unless a peer named the guard before it announced itself.
+	// handshake is nil unless a peer's hint introduced the guard before its own
+	// announcement.
 	handshake *handshake
-	// met is true once a handshake has begun; the keeper's own.
-	met bool
+	// handshakeStarted is true once the first handshake was attempted. Only the session
+	// goroutine accesses it.
+	handshakeStarted bool
 
-	// wake interrupts the keeper's pause; dozing tells whether that is long.
-	wake   chan struct{}
-	dozing atomic.Bool
+	// wake interrupts the wait of the session goroutine. longWait is true while that
+	// wait is a long one.
+	wake     chan struct{}
+	longWait atomic.Bool
 
-	rescueMu     sync.Mutex
-	rescue       *link.Link
-	rescueClosed bool
+	fallbackMu     sync.Mutex
+	fallback       *link.Link
+	fallbackClosed bool
 
-	// What the sink was told last.
-	mu        sync.Mutex
-	published bool
-	shown     scheduler.Endpoint
-	version   uint64
-	leaving   bool
+	// The state that was last reported to the sink.
+	mu           sync.Mutex
+	published    bool
+	lastEndpoint scheduler.Endpoint
+	loadVersion  uint64
+	leaving      bool
 }
 
 func endpointID(name string, incarnation uint64) scheduler.EndpointID {
@@ -72,31 +77,32 @@
 		incarnation: r.GetGuardIncarnation(),
 		id:          endpointID(r.GetGuardId(), r.GetGuardIncarnation()),
 		service:     r.GetService(),
-		zone:        r.GetZone(),
+		dataCentre:  r.GetZone(),
 		address:     r.GetAddress(),
 		wake:        make(chan struct{}, 1),
 	}
-	g.main.Store(g.newLink(0))
-	g.noteAnnounced()
+	g.primary.Store(g.newLink(0))
+	g.markAnnounced()
 	return g
 }
 
-// nudge makes the keeper look now.
-func (g *guard) nudge() {
+// wakeSessionLoop makes the session goroutine check the session immediately.
+func (g *guard) wakeSessionLoop() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
 	}
 }
 
-// alarm makes the keeper ping now: a call on the main link broke.
-func (g *guard) alarm() {
-	g.alarmed.Store(true)
-	g.nudge()
+// requestPing makes the session goroutine ping immediately, because a call on the
+// primary link failed.
+func (g *guard) requestPing() {
+	g.pingRequested.Store(true)
+	g.wakeSessionLoop()
 }
 
-// open counts this entry's open starts in the current session.
-func (g *guard) open() int {
+// openStarts returns the number of this entry's open starts in the current session.
+func (g *guard) openStarts() int {
 	s := g.session.Load()
 	if s == nil {
 		return 0
@@ -104,34 +110,34 @@
 	return s.window.Count()
 }
 
-// loadFromSession takes the load out of a reply to this entry's session.
-func (g *guard) loadFromSession(l *wirev1.Load) {
+// applySessionLoad applies the load from a reply to this entry's session.
+func (g *guard) applySessionLoad(l *wirev1.Load) {
 	if l != nil {
 		g.applyLoad(l, int(l.GetOthersOpen()))
 	}
 }
 
-// loadFromAnnouncement takes the load out of an announcement, which counts every
-// open task as others': this entry's own are taken off.
-func (g *guard) loadFromAnnouncement(l *wirev1.Load) {
+// applyAnnouncedLoad applies the load from an announcement. An announcement counts all
+// open tasks as those of other entries, so this entry's own are subtracted.
+func (g *guard) applyAnnouncedLoad(l *wirev1.Load) {
 	if l != nil {
-		g.applyLoad(l, max(0, int(l.GetOthersOpen())-g.open()))
+		g.applyLoad(l, max(0, int(l.GetOthersOpen())-g.openStarts()))
 	}
 }
 
 func (g *guard) applyLoad(l *wirev1.Load, others int) {
 	g.mu.Lock()
-	if l.GetVersion() >= g.version {
-		g.version = l.GetVersion()
-		g.show(l)
+	if l.GetVersion() >= g.loadVersion {
+		g.loadVersion = l.GetVersion()
+		g.updateFromLoad(l)
 	}
-	leaving := g.shown.Leaving
+	leaving := g.lastEndpoint.Leaving
 	published := g.published
 	g.mu.Unlock()
 	if !published {
 		return
 	}
-	g.f.o.Sink.ApplyReport(g.service, g.id, scheduler.Report{
+	g.f.opts.Sink.ApplyReport(g.service, g.id, scheduler.Report{
 		Version:    l.GetVersion(),
 		OthersOpen: others,
 		Slots:      int(l.GetSlots()),
@@ -144,30 +150,32 @@
 	})
 }
 
-// show tells the sink when slots or availability changed; g.mu is held. A guard
-// without a runner is shown like a leaving one: it would refuse every start.
-func (g *guard) show(l *wirev1.Load) {
+// updateFromLoad notifies the sink if slots or availability changed. A guard without a
+// runner is reported as leaving, because it would refuse every start. The caller holds
+// g.mu.
+func (g *guard) updateFromLoad(l *wirev1.Load) {
 	if l.GetLeaving() {
-		g.noteLeaving()
+		g.markLeaving()
 	}
-	next := g.shown
+	next := g.lastEndpoint
 	next.Slots = int(l.GetSlots())
 	next.Leaving = g.leaving || g.superseded.Load() || !l.GetRunnerPresent()
-	g.update(next)
+	g.updateEndpoint(next)
 }
 
-func (g *guard) update(next scheduler.Endpoint) {
-	if next == g.shown {
+func (g *guard) updateEndpoint(next scheduler.Endpoint) {
+	if next == g.lastEndpoint {
 		return
 	}
-	g.shown = next
+	g.lastEndpoint = next
 	if g.published {
-		g.f.o.Sink.SetEndpoint(g.service, next)
+		g.f.opts.Sink.SetEndpoint(g.service, next)
 	}
 }
 
-// noteLeaving is final for this incarnation; g.mu is held.
-func (g *guard) noteLeaving() {
+// markLeaving records that the guard is leaving, which is final for this incarnation.
+// The caller holds g.mu.
+func (g *guard) markLeaving() {
 	if g.leaving {
 		return
 	}
@@ -175,56 +183,56 @@
 	eventGuardLeaving.Log(g.f.ctx, g.f.logger, g.attrs()...)
 }
 
-// leave stops new work at once.
-func (g *guard) leave() {
+// setLeaving marks the guard as leaving and immediately stops new starts on it.
+func (g *guard) setLeaving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.noteLeaving()
-	g.closeToWork()
-	// A keeper that lets the session rest would find its end only much later.
-	g.nudge()
+	g.markLeaving()
+	g.markUnavailable()
+	// In idle mode the session goroutine would detect the end of the guard much later.
+	g.wakeSessionLoop()
 }
 
-// supersede stops new work because a newer incarnation exists. The older one may
-// still run and finish what it has: its open starts are not settled by this.
+// supersede stops new starts because a newer incarnation exists. The older process may
+// still run and finish its tasks, so its open starts are not settled here.
 func (g *guard) supersede() {
 	g.superseded.Store(true)
 	g.mu.Lock()
-	g.closeToWork()
+	g.markUnavailable()
 	g.mu.Unlock()
-	g.nudge()
+	g.wakeSessionLoop()
 }
 
-func (g *guard) closeToWork() {
-	next := g.shown
+func (g *guard) markUnavailable() {
+	next := g.lastEndpoint
 	next.Leaving = true
-	g.update(next)
+	g.updateEndpoint(next)
 }
 
-// publish puts the endpoint into the sink.
+// publish adds the endpoint to the sink.
 func (g *guard) publish(l *wirev1.Load) {
 	g.mu.Lock()
-	g.shown.ID = g.id
-	g.shown.Zone = g.zone
-	if l != nil && l.GetVersion() >= g.version {
-		g.version = l.GetVersion()
-		g.show(l)
+	g.lastEndpoint.ID = g.id
+	g.lastEndpoint.Zone = g.dataCentre
+	if l != nil && l.GetVersion() >= g.loadVersion {
+		g.loadVersion = l.GetVersion()
+		g.updateFromLoad(l)
 	}
 	if !g.published {
 		g.published = true
-		g.f.o.Sink.SetEndpoint(g.service, g.shown)
+		g.f.opts.Sink.SetEndpoint(g.service, g.lastEndpoint)
 	}
 	g.mu.Unlock()
-	g.loadFromSession(l)
+	g.applySessionLoad(l)
 }
 
-// withdraw takes the endpoint out of the sink.
+// withdraw removes the endpoint from the sink.
 func (g *guard) withdraw() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.published {
 		g.published = false
-		g.f.o.Sink.RemoveEndpoint(g.service, g.id)
+		g.f.opts.Sink.RemoveEndpoint(g.service, g.id)
 	}
 }
 
@@ -234,12 +242,12 @@
 	return Status{
 		ID:      g.id,
 		Service: g.service,
-		Zone:    g.zone,
+		Zone:    g.dataCentre,
 		Address: g.address,
-		Slots:   g.shown.Slots,
+		Slots:   g.lastEndpoint.Slots,
 		Leaving: g.leaving,
-		Usable:  g.published && !g.shown.Leaving,
-		Open:    g.open(),
+		Usable:  g.published && !g.lastEndpoint.Leaving,
+		Open:    g.openStarts(),
 	}
 }
 
--- a/entry/fleet/hello.go
+++ b/entry/fleet/hello.go
@@ -11,77 +11,79 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// meet is hello; the first with a guard waits for its turn.
-func (g *guard) meet(ctx context.Context) bool {
-	if g.met {
-		return g.hello(ctx)
+// openSession opens a session. The first handshake with a guard waits for a handshake
+// slot.
+func (g *guard) openSession(ctx context.Context) bool {
+	if g.handshakeStarted {
+		return g.helloWithRetry(ctx)
 	}
-	g.met = true
-	turn, ok := g.f.handshakeTurn(ctx)
+	g.handshakeStarted = true
+	slot, ok := g.f.acquireHandshakeSlot(ctx)
 	if !ok {
 		return false
 	}
 	began := monotonic()
-	opened := g.hello(ctx)
-	turn.end(opened, monotonic()-began)
+	opened := g.helloWithRetry(ctx)
+	slot.release(opened, monotonic()-began)
 	return opened
 }
 
-// hello opens a session; false when the guard is lost or another incarnation.
-func (g *guard) hello(ctx context.Context) bool {
-	began := g.f.awake()
-	pauses := g.f.newBackoff()
+// helloWithRetry sends Hello until a session is open. It returns false if the guard is
+// lost or another incarnation answered.
+func (g *guard) helloWithRetry(ctx context.Context) bool {
+	began := g.f.runningTime()
+	retry := g.f.newBackoff()
 	for ctx.Err() == nil {
-		resp, sent, err := g.sayHello(ctx)
+		resp, sent, err := g.sendHello(ctx)
 		if err == nil {
-			return g.opened(resp, sent)
+			return g.handleHello(resp, sent)
 		}
 		eventHelloFailed.Log(ctx, g.f.logger, append(g.attrs(), slog.Any("error", err))...)
-		g.failing()
-		if g.superseded.Load() || g.hintUnreachable(err) || g.f.awake()-began > g.f.o.Timing.Lost {
+		g.markSuspect()
+		if g.superseded.Load() || g.hintUnreachable(err) || g.f.runningTime()-began > g.f.opts.Timing.Lost {
 			return false
 		}
-		if !uptime.Sleep(ctx, pauses.pause()) {
+		if !uptime.Sleep(ctx, retry.nextDelay()) {
 			return false
 		}
 	}
 	return false
 }
 
-func (g *guard) sayHello(ctx context.Context) (*wirev1.HelloResponse, time.Duration, error) {
+func (g *guard) sendHello(ctx context.Context) (*wirev1.HelloResponse, time.Duration, error) {
 	ctx, cancel := g.f.withTimeout(ctx, g.f.helloTimeout())
 	defer cancel()
 	req := &wirev1.HelloRequest{
-		EntryId:          g.f.o.EntryID,
-		EntryIncarnation: g.f.o.Incarnation,
-		Zone:             g.f.o.Zone,
+		EntryId:          g.f.opts.EntryID,
+		EntryIncarnation: g.f.opts.Incarnation,
+		Zone:             g.f.opts.Zone,
 	}
 	sent := monotonic()
-	main := g.main.Load()
-	resp, err := main.Hello(ctx, connect.NewRequest(req))
+	primary := g.primary.Load()
+	resp, err := primary.Hello(ctx, connect.NewRequest(req))
 	if err != nil {
 		g.f.meter.control(kindHello, req, nil)
-		g.replaceMain(main)
+		g.replacePrimary(primary)
 		return nil, sent, err
 	}
 	g.f.meter.control(kindHello, req, resp.Msg)
 	return resp.Msg, sent, nil
 }
 
-func (g *guard) opened(r *wirev1.HelloResponse, sent time.Duration) bool {
+func (g *guard) handleHello(r *wirev1.HelloResponse, sent time.Duration) bool {
 	if r.GetGuardId() != g.name || r.GetGuardIncarnation() != g.incarnation {
-		// The address belongs to another process by now, which announces itself.
+		// Another process has taken the address; it announces itself.
 		return false
 	}
-	if !g.confirmed(r) {
+	if !g.confirmHint(r) {
 		return false
 	}
 	g.suspect.Store(false)
 	g.session.Store(newSession(r, sent))
 	g.publish(r.GetLoad())
-	g.noteAnnounced()
-	g.handshake.settle()
-	if !g.resting.Swap(false) {
+	g.markAnnounced()
+	g.handshake.finish()
+	if !g.idleMode.Swap(false) {
 		eventGuardJoined.Log(g.f.ctx, g.f.logger, g.attrs()...)
 	}
 	return true
--- a/entry/fleet/keeper.go
+++ b/entry/fleet/keeper.go
@@ -14,24 +14,24 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// rescuePing is the silence after which a connection that asks for lost replies
-// is probed: it is used when something is wrong already.
-const rescuePing = 750 * time.Millisecond
+// fallbackPingInterval is the idle time after which the fallback connection is probed.
+// It is short because that connection is used only when something has failed already.
+const fallbackPingInterval = 750 * time.Millisecond
 
-// rescueIdle is how long such a connection is kept unused.
-const rescueIdle = 5 * time.Second
+// fallbackIdleTimeout is how long an unused fallback connection is kept open.
+const fallbackIdleTimeout = 5 * time.Second
 
-// pingBytes is the usual size of a ping with its answer.
+// pingBytes is the typical size of a ping and its reply.
 const pingBytes = callOverhead + 80
 
-// drainTick is how often a forgotten guard's open starts are looked at.
-const drainTick = 50 * time.Millisecond
+// drainPollInterval is how often the open starts of a removed guard are checked.
+const drainPollInterval = 50 * time.Millisecond
 
 func (g *guard) attrs() []slog.Attr {
 	return []slog.Attr{
 		slog.String("endpoint", string(g.id)),
 		slog.String("service", g.service),
-		slog.String("zone", g.zone),
+		slog.String("zone", g.dataCentre),
 		slog.String("address", g.address),
 	}
 }
@@ -39,77 +39,79 @@
 func (g *guard) newLink(pingAfter time.Duration) *link.Link {
 	return link.New(link.Options{
 		Address:    g.address,
-		Secret:     g.f.o.Secret,
+		Secret:     g.f.opts.Secret,
 		PingAfter:  pingAfter,
-		MaxMessage: g.f.o.MaxMessage,
+		MaxMessage: g.f.opts.MaxMessage,
 	})
 }
 
-// replaceMain fails every call on a link that did not answer and puts a new one
-// in place. Calls that were sent are resolved over the rescue link.
-func (g *guard) replaceMain(old *link.Link) {
-	if g.main.CompareAndSwap(old, g.newLink(0)) {
+// replacePrimary closes a link that did not respond, which fails every call on it, and
+// installs a new one. Calls that were sent are resolved over the fallback link.
+func (g *guard) replacePrimary(old *link.Link) {
+	if g.primary.CompareAndSwap(old, g.newLink(0)) {
 		old.Close()
-		g.f.meter.replaced.Inc(1)
+		g.f.meter.linksReplaced.Inc(1)
 	}
 }
 
-// rescueLink returns the link for questions about lost replies. It never shares
-// a connection with the main link: that one may be silent for good.
-func (g *guard) rescueLink() *link.Link {
-	g.rescueMu.Lock()
-	defer g.rescueMu.Unlock()
-	if g.rescue == nil {
-		g.rescue = link.New(link.Options{
+// fallbackLink returns the link that queries the fate of starts whose replies were
+// lost. It never shares a connection with the primary link, which may have stopped
+// responding for good.
+func (g *guard) fallbackLink() *link.Link {
+	g.fallbackMu.Lock()
+	defer g.fallbackMu.Unlock()
+	if g.fallback == nil {
+		g.fallback = link.New(link.Options{
 			Address:     g.address,
-			Secret:      g.f.o.Secret,
-			PingAfter:   rescuePing,
-			PingTimeout: rescuePing,
-			Idle:        rescueIdle,
-			MaxMessage:  g.f.o.MaxMessage,
+			Secret:      g.f.opts.Secret,
+			PingAfter:   fallbackPingInterval,
+			PingTimeout: fallbackPingInterval,
+			Idle:        fallbackIdleTimeout,
+			MaxMessage:  g.f.opts.MaxMessage,
 		})
-		if g.rescueClosed {
-			g.rescue.Close()
+		if g.fallbackClosed {
+			g.fallback.Close()
 		}
 	}
-	return g.rescue
+	return g.fallback
 }
 
-// closeRescue ends the rescue link for good: later calls on it fail.
-func (g *guard) closeRescue() {
-	g.rescueMu.Lock()
-	defer g.rescueMu.Unlock()
-	g.rescueClosed = true
-	if g.rescue != nil {
-		g.rescue.Close()
+// closeFallback closes the fallback link permanently; later calls on it fail.
+func (g *guard) closeFallback() {
+	g.fallbackMu.Lock()
+	defer g.fallbackMu.Unlock()
+	g.fallbackClosed = true
+	if g.fallback != nil {
+		g.fallback.Close()
 	}
 }
 
-// dropRescue closes a rescue link that failed, so that the next question goes
-// over a new connection.
-func (g *guard) dropRescue(l *link.Link) {
-	g.rescueMu.Lock()
-	if g.rescue == l {
-		g.rescue = nil
+// discardFallback closes a fallback link that failed, so that the next query dials a
+// new connection.
+func (g *guard) discardFallback(l *link.Link) {
+	g.fallbackMu.Lock()
+	if g.fallback == l {
+		g.fallback = nil
 	}
-	g.rescueMu.Unlock()
+	g.fallbackMu.Unlock()
 	l.Close()
 }
 
-// keep holds the session until the guard is lost or ctx ends.
-func (g *guard) keep(ctx context.Context) {
-	for g.meet(ctx) && g.watch(ctx) {
+// maintainSession keeps a session open until the guard is lost or ctx ends. It runs in
+// the guard's session goroutine.
+func (g *guard) maintainSession(ctx context.Context) {
+	for g.openSession(ctx) && g.monitor(ctx) {
 		g.session.Store(nil)
 	}
 	g.session.Store(nil)
-	g.f.forget(g)
-	g.drain(ctx)
+	g.f.removeGuard(g)
+	g.awaitOpenStarts(ctx)
 }
 
-// drain waits for the open starts of a forgotten guard, which still ask it over
-// the rescue link, and then closes that.
-func (g *guard) drain(ctx context.Context) {
-	tick := time.NewTicker(drainTick)
+// awaitOpenStarts waits for the open starts of a removed guard, which still query it
+// over the fallback link, and then closes both links.
+func (g *guard) awaitOpenStarts(ctx context.Context) {
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for g.inflight.Load() > 0 && ctx.Err() == nil {
 		select {
@@ -117,36 +119,36 @@
 		case <-tick.C:
 		}
 	}
-	g.main.Load().Close()
-	g.closeRescue()
+	g.primary.Load().Close()
+	g.closeFallback()
 }
 
-// watch pings the session when it is due; true when the session was lost and
-// the guard is to be greeted again, false when the guard is lost.
-func (g *guard) watch(ctx context.Context) bool {
+// monitor pings the session when a ping is due. It returns true if the session was lost
+// and a new one must be opened, false if the guard is lost.
+func (g *guard) monitor(ctx context.Context) bool {
 	s := g.session.Load()
-	pauses := g.f.newBackoff()
+	retry := g.f.newBackoff()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(g.untilPing(s, &pauses))
+		timer.Reset(g.untilNextCheck(s, &retry))
 		select {
 		case <-ctx.Done():
 			return false
 		case <-s.lost:
 			return g.sessionLost()
 		case <-g.wake:
-			g.dozing.Store(false)
+			g.longWait.Store(false)
 		case <-timer.C:
-			g.dozing.Store(false)
+			g.longWait.Store(false)
 		}
-		if g.stale(s) {
-			if g.rested(s) {
+		if g.idleExpired(s) {
+			if g.enterIdle(s) {
 				return true
 			}
 			continue
 		}
-		if !g.due(s) {
+		if !g.pingDue(s) {
 			continue
 		}
 		switch g.ping(ctx, s) {
@@ -155,8 +157,8 @@
 		case pingUnknown:
 			return g.sessionLost()
 		case pingAnswered:
-			pauses = g.f.newBackoff()
-		case pingSilent:
+			retry = g.f.newBackoff()
+		case pingNoAnswer:
 		}
 	}
 }
@@ -168,94 +170,94 @@
 	return true
 }
 
-// untilPing returns the time to the next look at the session.
-func (g *guard) untilPing(s *session, pauses *backoff) time.Duration {
-	t := &g.f.o.Timing
+// untilNextCheck returns the time until the session must be checked again.
+func (g *guard) untilNextCheck(s *session, retry *backoff) time.Duration {
+	t := &g.f.opts.Timing
 	if g.suspect.Load() {
-		return pauses.pause()
+		return retry.nextDelay()
 	}
 	if s.window.Count() > 0 {
-		return max(t.Quiet-s.sinceHeard(), t.Quiet/8)
+		return max(t.Quiet-s.sinceReply(), t.Quiet/8)
 	}
-	if g.owesWatermark(s) {
+	if g.hasUnackedWatermark(s) {
 		return t.Quiet / 8
 	}
-	// An idle session is looked at seldom; the first start wakes the keeper.
-	g.dozing.Store(true)
+	// An idle session is checked rarely; the first start wakes the session goroutine.
+	g.longWait.Store(true)
 	if s.window.Count() > 0 {
-		g.dozing.Store(false)
+		g.longWait.Store(false)
 		return t.Quiet
 	}
-	if g.mayRest(s) {
-		return g.untilRest(s)
+	if g.canIdle(s) {
+		return g.untilIdleCheck(s)
 	}
-	idle := g.idleInterval(s)
-	idle -= time.Duration(g.f.o.Rand() * float64(idle/4))
-	return max(idle-s.sinceRenewed(), t.Quiet/8)
+	idle := g.idlePingInterval(s)
+	idle -= time.Duration(g.f.opts.Rand() * float64(idle/4))
+	return max(idle-s.sinceRenewal(), t.Quiet/8)
 }
 
-// idleInterval stretches with the number of guards, so that the pings of all idle
-// sessions stay within their budget, but renews the lease in good time.
-func (g *guard) idleInterval(s *session) time.Duration {
-	t := &g.f.o.Timing
-	longest := s.longestIdle(t)
-	return min(g.f.pingInterval(min(t.IdlePing, longest)), longest)
+// idlePingInterval grows with the number of guards, so that the pings of all idle
+// sessions stay within their budget, but is short enough to renew the lease in time.
+func (g *guard) idlePingInterval(s *session) time.Duration {
+	t := &g.f.opts.Timing
+	longest := s.maxPingInterval(t)
+	return min(g.f.budgetPingInterval(min(t.IdlePing, longest)), longest)
 }
 
-// longestIdle is the longest pause between two pings that keep the session.
-func (s *session) longestIdle(t *Timing) time.Duration {
+// maxPingInterval is the longest time between two pings that keeps the session alive.
+func (s *session) maxPingInterval(t *Timing) time.Duration {
 	if s.lease == 0 {
 		return t.IdlePing
 	}
 	return s.lease / 3
 }
 
-// pingInterval is the pause with which the pings of all sessions cost no more
-// than their budget.
-func (f *Fleet) pingInterval(shortest time.Duration) time.Duration {
+// budgetPingInterval returns the ping interval at which the pings of all sessions stay
+// within their bandwidth budget.
+func (f *Fleet) budgetPingInterval(shortest time.Duration) time.Duration {
 	return attach.Interval(int(f.guards.Load()), pingBytes, attach.Pace{
 		Shortest:       shortest,
 		Longest:        time.Hour,
-		BytesPerSecond: f.o.Timing.PingBytesPerSecond,
+		BytesPerSecond: f.opts.Timing.PingBytesPerSecond,
 	})
 }
 
-// due reports whether the session is to be pinged now.
-func (g *guard) due(s *session) bool {
-	if g.alarmed.Swap(false) || g.suspect.Load() {
+// pingDue reports whether the session must be pinged now.
+func (g *guard) pingDue(s *session) bool {
+	if g.pingRequested.Swap(false) || g.suspect.Load() {
 		return true
 	}
-	if s.window.Count() == 0 && g.owesWatermark(s) {
+	if s.window.Count() == 0 && g.hasUnackedWatermark(s) {
 		return true
 	}
-	t := &g.f.o.Timing
-	if s.window.Count() > 0 && s.sinceHeard() >= t.Quiet {
+	t := &g.f.opts.Timing
+	if s.window.Count() > 0 && s.sinceReply() >= t.Quiet {
 		return true
 	}
-	return !g.mayRest(s) && s.sinceRenewed() >= g.idleInterval(s)*3/4
+	return !g.canIdle(s) && s.sinceRenewal() >= g.idlePingInterval(s)*3/4
 }
 
-// owesWatermark reports whether a leaving guard waits for the word that its last
-// results have arrived: it stays up for them.
-func (g *guard) owesWatermark(s *session) bool {
-	return g.isLeaving() && s.window.Low() > s.told()
+// hasUnackedWatermark reports whether a leaving guard still waits for the watermark
+// that acknowledges its last results. The guard does not exit before it receives that.
+func (g *guard) hasUnackedWatermark(s *session) bool {
+	return g.isLeaving() && s.window.Low() > s.ackedLow()
 }
 
-// pingResult is how a ping ended.
+// pingResult is the result of a ping.
 type pingResult int
 
 const (
 	pingAnswered pingResult = iota
-	// pingSilent: no answer yet; try again.
-	pingSilent
+	// pingNoAnswer: no reply yet; retry.
+	pingNoAnswer
 	// pingUnknown: the guard does not know the session.
 	pingUnknown
-	// pingLost: the guard is gone.
+	// pingLost: the guard is lost.
 	pingLost
 )
 
-// ping asks over the main link, and once more over a new one: a connection may
-// go silent for good while new ones work.
+// ping pings the guard over the primary link and, if that fails, once more over a new
+// one: a connection may stop responding for good while new connections work.
 func (g *guard) ping(ctx context.Context, s *session) pingResult {
 	err := g.pingOnce(ctx, s)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, errUnknownSession) {
@@ -270,59 +272,59 @@
 	case errors.Is(err, errUnknownSession):
 		return pingUnknown
 	}
-	g.failing()
-	if g.superseded.Load() || g.f.awake()-g.silentSince > g.f.o.Timing.Lost {
+	g.markSuspect()
+	if g.superseded.Load() || g.f.runningTime()-g.suspectSince > g.f.opts.Timing.Lost {
 		return pingLost
 	}
-	return pingSilent
+	return pingNoAnswer
 }
 
-// errUnknownSession means that the guard answered and does not know the session.
+// errUnknownSession means that the guard replied that it does not know the session.
 var errUnknownSession = errors.New("guard does not know the session")
 
 func (g *guard) pingOnce(ctx context.Context, s *session) error {
-	ctx, cancel := g.f.withTimeout(ctx, g.f.o.Timing.PingTimeout)
+	ctx, cancel := g.f.withTimeout(ctx, g.f.opts.Timing.PingTimeout)
 	defer cancel()
 	req := &wirev1.PingRequest{
 		Session:          s.id,
 		GuardIncarnation: g.incarnation,
 		LowWatermark:     s.window.Low(),
 	}
-	main := g.main.Load()
+	primary := g.primary.Load()
 	sent := monotonic()
-	resp, err := main.Ping(ctx, connect.NewRequest(req))
+	resp, err := primary.Ping(ctx, connect.NewRequest(req))
 	if err != nil {
 		g.f.meter.control(kindPing, req, nil)
-		g.replaceMain(main)
+		g.replacePrimary(primary)
 		return err
 	}
 	g.f.meter.control(kindPing, req, resp.Msg)
 	if !resp.Msg.GetKnown() || resp.Msg.GetGuardIncarnation() != g.incarnation {
 		return errUnknownSession
 	}
-	s.answered(sent)
-	s.tell(req.GetLowWatermark())
-	g.answering()
-	g.loadFromSession(resp.Msg.GetLoad())
+	s.recordReply(sent)
+	s.setAckedWatermark(req.GetLowWatermark())
+	g.clearSuspect()
+	g.applySessionLoad(resp.Msg.GetLoad())
 	return nil
 }
 
-// failing takes a guard that does not answer out of use. It is kept for a
-// bounded silence and comes back with its first answer.
-func (g *guard) failing() {
+// markSuspect withdraws a guard that does not respond. The guard stays known for a
+// limited time and is published again with its first reply.
+func (g *guard) markSuspect() {
 	if g.suspect.CompareAndSwap(false, true) {
-		g.silentSince = g.f.awake()
+		g.suspectSince = g.f.runningTime()
 	}
 	g.withdraw()
 }
 
-// answering puts a guard back that was out of use.
-func (g *guard) answering() {
+// clearSuspect publishes a suspect guard again.
+func (g *guard) clearSuspect() {
 	if g.suspect.CompareAndSwap(true, false) {
 		g.publish(nil)
 	}
 }
 
-// refusesConnections reports whether nothing listens at the address: the process
-// is gone, and its ledger with it.
-func refusesConnections(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnRefused reports whether nothing listens at the address: the process is gone,
+// and its ledger of starts with it.
+func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/entry/fleet/keeper_test.go
+++ b/entry/fleet/keeper_test.go
@@ -17,27 +17,27 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// An idle guard falls silent, new connections too. The keeper takes it out; when
-// it answers again and announces itself, it is back.
-func TestIdleSilentGuardIsTakenOutAndComesBack(t *testing.T) {
+// An idle guard stops responding, on new connections too. It is withdrawn; when it
+// responds again and announces itself, it is published again.
+func TestUnresponsiveIdleGuardIsWithdrawnAndReturns(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
-	r := relayed(t, g)
+	r := relayGuard(t, g)
 	join(t, f, sink, g)
 
-	dropAll(t, r)
-	eventually(t, func() bool { _, ok := sink.get(g.id()); return !ok }, "guard is taken out")
-	eventually(t, func() bool { return len(f.Endpoints()) == 0 }, "guard is forgotten")
-	passAll(t, r)
+	dropTraffic(t, r)
+	eventually(t, func() bool { _, ok := sink.get(g.id()); return !ok }, "guard is withdrawn")
+	eventually(t, func() bool { return len(f.Endpoints()) == 0 }, "guard is removed")
+	passTraffic(t, r)
 	join(t, f, sink, g)
 
 	o := f.Start(context.Background(), callOn(g.id(), "part 4711", budget))
 	assert.Assert(t, o.OK(), "%+v", o)
 }
 
-// A guard drops the session (its lease lapsed, say). The next ping tells so, and
-// the entry greets the guard anew without an announcement.
+// A guard drops the session, for example because its lease lapsed. The next ping
+// reveals that, and the entry opens a new session without an announcement.
 func TestLostSessionIsReplaced(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
@@ -46,16 +46,16 @@
 
 	g.locked(func() { g.session = "dropped by the lease" })
 	eventually(t, func() bool { n := 0; g.locked(func() { n = g.sessions }); return n == 2 }, "second session")
-	eventually(t, func() bool { _, ok := sink.get(g.id()); return ok }, "guard is back")
+	eventually(t, func() bool { _, ok := sink.get(g.id()); return ok }, "guard is published again")
 
 	o := f.Start(context.Background(), callOn(g.id(), "part 4711", budget))
 	assert.Assert(t, o.OK(), "%+v", o)
 }
 
-// A guard announces that it leaves. The sink hears it before the announcement is
-// answered, an older report doesn't bring the endpoint back, and the start that
-// runs still gets its result. The guard stays up until it knows that the result
-// has arrived, so it is told at once, long before the next idle ping.
+// A guard announces that it is leaving. The sink is notified before the announcement is
+// answered, an older report doesn't make the endpoint available again, and the running
+// start still gets its result. The guard does not exit before it knows that the result
+// has arrived, so that is acknowledged immediately, long before the next idle ping.
 func TestLeavingGuardFinishesItsWork(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink, func(o *Options) { o.Timing.IdlePing = time.Hour })
@@ -84,13 +84,13 @@
 
 	assert.Assert(t, o.OK(), "%+v", o)
 	e, _ = sink.get(g.id())
-	assert.Assert(t, e.Leaving, "a later load of the guard must not reopen it")
-	eventually(t, func() bool { low := uint64(0); g.locked(func() { low = g.low }); return low == 2 }, "guard learns that its result arrived")
+	assert.Assert(t, e.Leaving, "a later load must not make the endpoint available again")
+	eventually(t, func() bool { low := uint64(0); g.locked(func() { low = g.lowWatermark }); return low == 2 }, "guard learns that its result arrived")
 }
 
-// A newer incarnation announces itself while the older one still finishes a task,
-// as in a rolling replacement. New work goes to the newer one only, the older
-// one's task is not cut, and a late announcement of the older changes nothing.
+// A newer incarnation announces itself while the older one still finishes a task, as in
+// a rolling update. New starts go to the newer one only, the older one's task is not
+// interrupted, and a late announcement of the older one changes nothing.
 func TestNewerIncarnationTakesOver(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
@@ -120,7 +120,7 @@
 	assert.Assert(t, ok && !e.Leaving)
 }
 
-// A guard whose runner is absent gets no work until the runner is there.
+// A guard whose runner is absent gets no starts until the runner is present.
 func TestGuardWithoutRunnerGetsNoWork(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
@@ -131,12 +131,12 @@
 	assert.Assert(t, e.Leaving)
 
 	g.locked(func() { g.load.RunnerPresent = true })
-	eventually(t, func() bool { e, _ := sink.get(g.id()); return !e.Leaving }, "runner is there")
+	eventually(t, func() bool { e, _ := sink.get(g.id()); return !e.Leaving }, "runner is present")
 }
 
-// Loads may arrive out of order: an older one must not undo a newer one. An
-// announcement counts all open tasks, so this entry's own are taken off.
-func TestLoadsAreOrdered(t *testing.T) {
+// Loads may arrive out of order: an older one must not overwrite a newer one. An
+// announcement counts all open tasks, so this entry's own are subtracted.
+func TestOlderLoadIsIgnored(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink, func(o *Options) { o.Timing.IdlePing = time.Hour; o.Timing.Quiet = time.Hour })
 	g := newFakeGuard(t, "g1", 7)
@@ -154,14 +154,14 @@
 	e, _ := sink.get(g.id())
 	assert.Equal(t, e.Slots, 4)
 
-	kept := (*f.endpoints.Load())[g.id()].(*guard)
-	kept.session.Load().window.Open()
+	added := (*f.endpoints.Load())[g.id()].(*guard)
+	added.session.Load().window.Open()
 	announce(101, 4, 3)
 	assert.Equal(t, sink.report(g.id()).OthersOpen, 2)
 }
 
-// The announcement's interface: the cluster secret, what is malformed, and the
-// answer's interval, which grows with the fleet.
+// Checks the announcement RPC: the cluster secret, the rejection of malformed requests,
+// and the interval in the response, which grows with the fleet.
 func TestAnnounceOverTheWire(t *testing.T) {
 	sink := newFakeSink()
 	self := []*wirev1.EntryInfo{{Id: "e1", Address: "127.0.0.1:1"}}
@@ -187,14 +187,14 @@
 
 	_, err := send(g.announcement(), "wrong")
 	assert.Equal(t, connect.CodeOf(err), connect.CodeUnauthenticated)
-	for _, spoil := range []func(*wirev1.AnnounceRequest){
+	for _, invalidate := range []func(*wirev1.AnnounceRequest){
 		func(a *wirev1.AnnounceRequest) { a.GuardId = "" },
 		func(a *wirev1.AnnounceRequest) { a.GuardIncarnation = 0 },
 		func(a *wirev1.AnnounceRequest) { a.Service = "" },
 		func(a *wirev1.AnnounceRequest) { a.Address = "localhost:80" },
 	} {
 		a := g.announcement()
-		spoil(a)
+		invalidate(a)
 		_, err = send(a, "s3cret")
 		assert.Equal(t, connect.CodeOf(err), connect.CodeInvalidArgument)
 	}
@@ -210,10 +210,10 @@
 	assert.Assert(t, resp.GetNextMs() > 10_000, "%d", resp.GetNextMs())
 }
 
-// A balancer leads guards to any entry. Guards that are to attach to another
-// entry are told so and are not kept here: else every entry would hold a session
-// with every guard after a while.
-func TestGuardOfOtherEntriesIsNotKept(t *testing.T) {
+// A load balancer routes guards to any entry. Guards that should attach to other
+// entries are told so and are not added here; otherwise every entry would eventually
+// hold a session with every guard.
+func TestGuardOfOtherEntriesIsNotAdded(t *testing.T) {
 	entries := []*wirev1.EntryInfo{{Id: "e1", Address: "127.0.0.1:1"}, {Id: "e2", Address: "127.0.0.1:2"}}
 	policy := attach.Policy{AllUpTo: 1, Some: 1}
 	sink := newFakeSink()
@@ -221,7 +221,7 @@
 		o.Attach = func() []*wirev1.EntryInfo { return entries }
 		o.AttachPolicy = policy
 	})
-	kept := 0
+	added := 0
 	for i := range 20 {
 		r := &wirev1.AnnounceRequest{
 			GuardId:          fmt.Sprintf("g%d", i),
@@ -232,9 +232,9 @@
 		answer, err := f.Announce(context.Background(), r)
 		assert.NilError(t, err)
 		if answer.GetAttach()[0].GetId() == "e1" {
-			kept++
+			added++
 		}
 	}
-	assert.Assert(t, kept > 0 && kept < 20)
-	assert.Equal(t, int(f.guards.Load()), kept)
+	assert.Assert(t, added > 0 && added < 20)
+	assert.Equal(t, int(f.guards.Load()), added)
 }
--- a/entry/fleet/meter.go
+++ b/entry/fleet/meter.go
@@ -8,7 +8,7 @@
 	"almondstand.dev/telemetry"
 )
 
-// messageKind is the tag of the message counters.
+// messageKind is the value of the message counters' kind tag.
 type messageKind string
 
 const (
@@ -21,18 +21,18 @@
 	kindAnnounce messageKind = "announce"
 )
 
-// controlKinds are the calls that carry no task. Announcements are counted where
-// they are served.
+// controlKinds are the calls that carry no task. Announcements are counted where they
+// are served.
 var controlKinds = []messageKind{kindResolve, kindCancel, kindPing, kindHello}
 
 var messageKinds = []messageKind{
 	kindStart, kindReply, kindResolve, kindCancel, kindPing, kindHello, kindAnnounce,
 }
 
-// What one call costs on the wire beside its two messages, in bytes: HTTP/2 frame
-// headers and compressed header fields, measured with 100 pings over one
-// connection (28 and 23), the deadline's header, and a date, which no table holds
-// from one second to the next. TCP's own are left out.
+// The cost of one call on the wire in addition to its two messages, in bytes: HTTP/2
+// frame headers and compressed header fields, measured with 100 pings over one
+// connection (28 and 23), the deadline's header, and the date header, which changes
+// every second and so is never in the compression table. TCP overhead is not included.
 const (
 	requestOverhead = 36
 	answerOverhead  = 39
@@ -44,29 +44,29 @@
 	task.CodeCancelled, task.CodeLost, task.CodeDeadline,
 }
 
-// meter counts messages and outcomes. Its counters are made once: looking one up
-// on a request's path would cost a lock and a map access.
+// meter counts messages and outcomes. It creates its counters once: looking one up
+// during a request would cost a lock and a map access.
 type meter struct {
-	messages map[messageKind]tally.Counter
-	controls map[messageKind]*telemetry.Kind
-	outcomes map[task.Code]tally.Counter
-	unknown  tally.Counter
-	dropped  tally.Counter
-	replaced tally.Counter
-	guards   tally.Gauge
-	bare     tally.Gauge
+	messages        map[messageKind]tally.Counter
+	controls        map[messageKind]*telemetry.Kind
+	outcomes        map[task.Code]tally.Counter
+	outcomesUnknown tally.Counter
+	repliesDropped  tally.Counter
+	linksReplaced   tally.Counter
+	guards          tally.Gauge
+	bare            tally.Gauge
 }
 
 func newMeter(scope tally.Scope, control *telemetry.Control) *meter {
 	m := &meter{
-		messages: map[messageKind]tally.Counter{},
-		controls: map[messageKind]*telemetry.Kind{},
-		outcomes: map[task.Code]tally.Counter{},
-		unknown:  scope.Counter("outcomes_unknown"),
-		dropped:  scope.Counter("replies_dropped"),
-		replaced: scope.Counter("links_replaced"),
-		guards:   scope.Gauge("guards"),
-		bare:     scope.Gauge("bare_endpoints"),
+		messages:        map[messageKind]tally.Counter{},
+		controls:        map[messageKind]*telemetry.Kind{},
+		outcomes:        map[task.Code]tally.Counter{},
+		outcomesUnknown: scope.Counter("outcomes_unknown"),
+		repliesDropped:  scope.Counter("replies_dropped"),
+		linksReplaced:   scope.Counter("links_replaced"),
+		guards:          scope.Gauge("guards"),
+		bare:            scope.Gauge("bare_endpoints"),
 	}
 	for _, k := range messageKinds {
 		m.messages[k] = scope.Tagged(map[string]string{"kind": string(k)}).Counter("messages")
@@ -86,7 +86,7 @@
 
 func (m *meter) count(k messageKind) { m.messages[k].Inc(1) }
 
-// control counts one control call with its answer; resp is nil when none came.
+// control counts one control call and its response; resp is nil if there was none.
 func (m *meter) control(k messageKind, req, resp proto.Message) {
 	m.messages[k].Inc(1)
 	sent := int64(proto.Size(req) + requestOverhead)
@@ -102,6 +102,6 @@
 		c.Inc(1)
 	}
 	if o.Ran == task.RanUnknown {
-		m.unknown.Inc(1)
+		m.outcomesUnknown.Inc(1)
 	}
 }
--- a/entry/fleet/outcome.go
+++ b/entry/fleet/outcome.go
@@ -13,14 +13,14 @@
 	return task.Outcome{Code: code, Ran: ran, Message: message}
 }
 
-// settled turns a guard's report into the final outcome; final is false while the
-// task waits or runs, and when the result is not whole.
-func settled(r *wirev1.TaskReport) (o task.Outcome, final bool) {
+// reportOutcome converts a guard's report into the final outcome. final is false while
+// the task waits or runs, and if the result is incomplete or corrupt.
+func reportOutcome(r *wirev1.TaskReport) (o task.Outcome, final bool) {
 	switch r.GetState() {
 	case wirev1.TaskState_TASK_STATE_FINISHED:
-		return finished(r.GetResult())
+		return resultOutcome(r.GetResult())
 	case wirev1.TaskState_TASK_STATE_NEVER_STARTED:
-		return neverStarted(r.GetReason()), true
+		return notStartedOutcome(r.GetReason()), true
 	case wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION:
 		return failure(task.CodeLost, task.RanUnknown, "guard does not know the session"), true
 	case wirev1.TaskState_TASK_STATE_WRONG_INCARNATION:
@@ -32,7 +32,7 @@
 	}
 }
 
-func finished(r *wirev1.Result) (task.Outcome, bool) {
+func resultOutcome(r *wirev1.Result) (task.Outcome, bool) {
 	if r == nil {
 		return task.Outcome{}, false
 	}
@@ -42,11 +42,11 @@
 		WaitTime: time.Duration(r.GetWaitUs()) * time.Microsecond,
 	}
 	if !r.GetOk() {
-		o.Code, o.Ran = failed(r.GetFailure())
+		o.Code, o.Ran = failureOutcome(r.GetFailure())
 		o.Message = r.GetMessage()
 		return o, true
 	}
-	if !whole(r) {
+	if !payloadIntact(r) {
 		return task.Outcome{}, false
 	}
 	o.Payload = r.GetPayload()
@@ -54,8 +54,8 @@
 	return o, true
 }
 
-// whole reports whether the payload is what the guard got from the runner.
-func whole(r *wirev1.Result) bool {
+// payloadIntact reports whether the payload is what the guard received from the runner.
+func payloadIntact(r *wirev1.Result) bool {
 	if uint64(len(r.GetPayload())) != r.GetLength() {
 		return false
 	}
@@ -63,13 +63,14 @@
 	return bytes.Equal(digest[:], r.GetDigest())
 }
 
-func failed(code wirev1.FailureCode) (task.Code, task.Ran) {
+func failureOutcome(code wirev1.FailureCode) (task.Code, task.Ran) {
 	switch code {
 	case wirev1.FailureCode_FAILURE_CODE_TRUNCATED:
 		return task.CodeTruncated, task.RanYes
-	// Both count from the guard's call. A connection that lost track of the call ends
-	// in the same way as a task that takes too long, with no word from the runner:
-	// "yes" would be said of tasks that never started.
+	// Both codes are decided by the guard from the time of its call. If the connection
+	// to the runner lost the call, the result looks the same as for a task that takes
+	// too long: no response from the runner. "Yes" would be reported for tasks that
+	// never started.
 	case wirev1.FailureCode_FAILURE_CODE_RUN_LIMIT:
 		return task.CodeRunLimit, task.RanUnknown
 	case wirev1.FailureCode_FAILURE_CODE_CANCELLED:
@@ -81,12 +82,12 @@
 	case wirev1.FailureCode_FAILURE_CODE_RUNNER_ERROR:
 		return task.CodeFailed, task.RanYes
 	default:
-		// A code of a newer guard: that the runner answered is not known.
+		// A code of a newer guard: it is not known whether the runner answered.
 		return task.CodeFailed, task.RanUnknown
 	}
 }
 
-func neverStarted(reason wirev1.RefusalReason) task.Outcome {
+func notStartedOutcome(reason wirev1.RefusalReason) task.Outcome {
 	message := reason.String()
 	switch reason {
 	case wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT:
--- a/entry/fleet/rest.go
+++ b/entry/fleet/rest.go
@@ -7,56 +7,62 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// An idle session that the budget for pings doesn't keep is let lapse. Its guard
-// stays known: announcements tell its load and that it is there, and the first
-// start has it greeted before anything of the task is sent. A start never goes
-// out on a lapsed session, so none ends as unknown for that reason.
+// Idle mode: if the ping budget does not allow pings for an idle session, its lease is
+// allowed to lapse. The guard remains known: its announcements carry its load and show
+// that it is alive, and the first start opens a new session before anything of the task
+// is sent. A start is never sent on a lapsed session, so none ends as unknown for that
+// reason.
 
-// closeAfter is how many leases an unused connection is kept: then the pings of
-// HTTP/2 on it, 11 bytes a second, have cost as much as a new connection, some 300.
-const closeAfter = 2
+// idleCloseLeases is the number of leases for which an unused connection is kept open.
+// By then the HTTP/2 pings on it, 11 bytes a second, have cost as much as a new
+// connection, about 300 bytes.
+const idleCloseLeases = 2
 
-// mayRest reports whether the session's pings can be left out: it is idle and the
-// pings of all sessions would pass their budget.
-func (g *guard) mayRest(s *session) bool {
+// canIdle reports whether the session's pings can be omitted: the session is idle, and
+// the pings of all sessions would exceed their budget.
+func (g *guard) canIdle(s *session) bool {
 	return s.lease > 0 && s.window.Count() == 0 && !g.suspect.Load() && !g.superseded.Load() && !g.isLeaving() &&
-		g.f.pingInterval(0) > s.longestIdle(&g.f.o.Timing)
+		g.f.budgetPingInterval(0) > s.maxPingInterval(&g.f.opts.Timing)
 }
 
-// untilRest returns the time to the next look at a session that may rest.
-func (g *guard) untilRest(s *session) time.Duration {
-	t := &g.f.o.Timing
-	idle := s.sinceRenewed()
-	switch limit := s.freshFor(); {
+// untilIdleCheck returns the time until a session that may be in idle mode must be
+// checked again.
+func (g *guard) untilIdleCheck(s *session) time.Duration {
+	t := &g.f.opts.Timing
+	idle := s.sinceRenewal()
+	switch limit := s.usableFor(); {
 	case idle < limit:
 		return limit - idle
-	case idle < closeAfter*s.lease:
-		return closeAfter*s.lease - idle
+	case idle < idleCloseLeases*s.lease:
+		return idleCloseLeases*s.lease - idle
 	default:
-		return max(t.Unannounced-g.sinceAnnounced(), t.Quiet)
+		return max(t.Unannounced-g.sinceAnnouncement(), t.Quiet)
 	}
 }
 
-// stale reports whether an idle session that rests, or may, can't be used any more.
-func (g *guard) stale(s *session) bool {
-	return !s.fresh() && s.window.Count() == 0 && (g.resting.Load() || g.mayRest(s))
+// idleExpired reports whether a session that is or may be in idle mode can no longer be
+// used.
+func (g *guard) idleExpired(s *session) bool {
+	return !s.leaseValid() && s.window.Count() == 0 && (g.idleMode.Load() || g.canIdle(s))
 }
 
-// rested lets a stale session rest; true when the guard is to be greeted anew,
-// because a start waits for it, because the pings have room now, or because it has
-// not announced itself for long. A ping could only tell that the session lapsed.
-func (g *guard) rested(s *session) bool {
-	g.resting.Store(true)
-	silent := g.sinceAnnounced() >= g.f.o.Timing.Unannounced
-	if !g.alarmed.Swap(false) && !silent && g.mayRest(s) {
-		if s.sinceRenewed() >= closeAfter*s.lease {
-			g.main.Load().Rest()
+// enterIdle puts an expired idle session into idle mode. It returns true if a new
+// session must be opened instead, because a start waits for it, because the ping budget
+// allows the session again, or because the guard has not announced itself for long. A
+// ping would only reveal that the session has lapsed.
+func (g *guard) enterIdle(s *session) bool {
+	g.idleMode.Store(true)
+	announcementsOverdue := g.sinceAnnouncement() >= g.f.opts.Timing.Unannounced
+	if !g.pingRequested.Swap(false) && !announcementsOverdue && g.canIdle(s) {
+		if s.sinceRenewal() >= idleCloseLeases*s.lease {
+			g.primary.Load().Rest()
 		}
 		return false
 	}
-	// A start that found the session fresh a moment ago may be about to go out on
-	// it: unwatched, its loss would be found late. Either it sees here that the
-	// session is given up, or this sees it open and goes on watching.
+	// A start that just found the lease valid may be about to use the session. If
+	// nobody monitored that session, a lost start would be detected late. Either the
+	// start sees here that the session was given up, or this goroutine sees the open
+	// start and continues to monitor the session.
 	g.session.Store(nil)
 	if s.window.Count() > 0 {
 		g.session.Store(s)
@@ -65,33 +71,33 @@
 	return true
 }
 
-// asleep reports whether a start has to wait until the guard is greeted.
-func (g *guard) asleep(s *session) bool {
+// needsNewSession reports whether a start must wait until a new session is open.
+func (g *guard) needsNewSession(s *session) bool {
 	if s == nil {
-		return g.resting.Load()
+		return g.idleMode.Load()
 	}
-	return !s.fresh() && (g.resting.Load() || g.mayRest(s))
+	return !s.leaseValid() && (g.idleMode.Load() || g.canIdle(s))
 }
 
-// awaken has a resting guard greeted and returns the new session; nil when none
-// came. Several starts may wait for the same one.
-func (g *guard) awaken(ctx context.Context, deadline time.Time) *session {
+// exitIdle requests a new session with a guard in idle mode and returns it, or nil if
+// none was opened in time. Several starts may wait for the same session.
+func (g *guard) exitIdle(ctx context.Context, deadline time.Time) *session {
 	// The handshake itself ends within CallTimeout.
-	until := time.Now().Add(g.f.o.Timing.CallTimeout + g.f.o.Timing.PingTimeout)
+	until := time.Now().Add(g.f.opts.Timing.CallTimeout + g.f.opts.Timing.PingTimeout)
 	if deadline.Before(until) {
 		until = deadline
 	}
-	g.alarm()
-	for !g.suspect.Load() && time.Now().Before(until) && uptime.Sleep(ctx, refreshTick) {
-		if s := g.session.Load(); s != nil && s.fresh() {
+	g.requestPing()
+	for !g.suspect.Load() && time.Now().Before(until) && uptime.Sleep(ctx, sessionPollInterval) {
+		if s := g.session.Load(); s != nil && s.leaseValid() {
 			return s
 		}
 	}
 	return nil
 }
 
-func (g *guard) noteAnnounced() { g.announced.Store(int64(monotonic())) }
+func (g *guard) markAnnounced() { g.lastAnnounced.Store(int64(monotonic())) }
 
-func (g *guard) sinceAnnounced() time.Duration {
-	return monotonic() - time.Duration(g.announced.Load())
+func (g *guard) sinceAnnouncement() time.Duration {
+	return monotonic() - time.Duration(g.lastAnnounced.Load())
 }
--- a/entry/fleet/session.go
+++ b/entry/fleet/session.go
@@ -9,21 +9,22 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// session is one Hello's worth of starts at one guard incarnation. Once lost it
-// never comes back; its open starts keep it until they are settled.
+// session holds the starts made under one successful Hello at one guard incarnation. A
+// lost session never becomes valid again; it stays in memory until its open starts are
+// settled.
 type session struct {
 	id     string
 	lease  time.Duration
 	window *window.Window
 
-	// renewed is when the last answered call was sent, heard when it was answered
-	// (monotonic). The lease is counted from renewed: the guard counts from when
-	// the call arrived, which can't be earlier.
-	renewed atomic.Int64
-	heard   atomic.Int64
+	// renewedAt is the send time of the latest answered call, and repliedAt the time of
+	// the latest reply (both as returned by monotonic). The lease counts from
+	// renewedAt: the guard counts from the arrival of the call, which can't be earlier.
+	renewedAt atomic.Int64
+	repliedAt atomic.Int64
 
-	// toldLow is the highest watermark that the guard surely has.
-	toldLow atomic.Uint64
+	// ackedWatermark is the highest low watermark that the guard is known to have.
+	ackedWatermark atomic.Uint64
 
 	lostOnce sync.Once
 	lost     chan struct{}
@@ -36,49 +37,50 @@
 		window: window.New(),
 		lost:   make(chan struct{}),
 	}
-	s.tell(s.window.Low())
-	s.answered(sent)
+	s.setAckedWatermark(s.window.Low())
+	s.recordReply(sent)
 	return s
 }
 
-// answered notes that a call sent at the given time was answered.
-func (s *session) answered(sent time.Duration) {
-	s.heard.Store(int64(monotonic()))
+// recordReply records that a call sent at the given time was answered.
+func (s *session) recordReply(sent time.Duration) {
+	s.repliedAt.Store(int64(monotonic()))
 	for {
-		last := s.renewed.Load()
-		if int64(sent) <= last || s.renewed.CompareAndSwap(last, int64(sent)) {
+		last := s.renewedAt.Load()
+		if int64(sent) <= last || s.renewedAt.CompareAndSwap(last, int64(sent)) {
 			return
 		}
 	}
 }
 
-// tell notes that a call with this watermark was answered; only the keeper does.
-func (s *session) tell(low uint64) { s.toldLow.Store(low) }
+// setAckedWatermark records that a call with this watermark was answered. Only the
+// session goroutine calls it.
+func (s *session) setAckedWatermark(low uint64) { s.ackedWatermark.Store(low) }
 
-func (s *session) told() uint64 { return s.toldLow.Load() }
+func (s *session) ackedLow() uint64 { return s.ackedWatermark.Load() }
 
-// fresh reports whether the guard surely still holds the session. This process
-// may have been paused: a Start on a session that the guard has dropped would
-// end as unknown though it never ran, so it is not sent at all.
-func (s *session) fresh() bool {
+// leaseValid reports whether the guard certainly still holds the session. This process
+// may have been paused: a Start on a session that the guard has dropped would end as
+// unknown although the task never ran, so it must not be sent at all.
+func (s *session) leaseValid() bool {
 	if s.lease == 0 {
 		return true
 	}
-	return s.sinceRenewed() < s.freshFor()
+	return s.sinceRenewal() < s.usableFor()
 }
 
-// freshFor is how long after a renewal starts may go out on the session.
-func (s *session) freshFor() time.Duration { return s.lease * 3 / 4 }
+// usableFor is the time after a renewal during which starts may use the session.
+func (s *session) usableFor() time.Duration { return s.lease * 3 / 4 }
 
-func (s *session) sinceRenewed() time.Duration {
-	return monotonic() - time.Duration(s.renewed.Load())
+func (s *session) sinceRenewal() time.Duration {
+	return monotonic() - time.Duration(s.renewedAt.Load())
 }
 
-func (s *session) sinceHeard() time.Duration {
-	return monotonic() - time.Duration(s.heard.Load())
+func (s *session) sinceReply() time.Duration {
+	return monotonic() - time.Duration(s.repliedAt.Load())
 }
 
-// lose ends the session for new starts.
-func (s *session) lose() {
+// markLost ends the session for new starts.
+func (s *session) markLost() {
 	s.lostOnce.Do(func() { close(s.lost) })
 }
--- a/entry/fleet/start.go
+++ b/entry/fleet/start.go
@@ -19,72 +19,76 @@
 var (
 	// errNotSent means that no byte of the Start left this process.
 	errNotSent = errors.New("start was not sent")
-	// errMismatch means that a reply belongs to no open start or is damaged.
+	// errMismatch means that a reply belongs to no open start or is corrupt.
 	errMismatch = errors.New("reply does not match the start")
 )
 
 // start is one open start.
 type start struct {
-	g    *guard
-	s    *session
-	call task.Call
-	seq  uint64
-	low  uint64
-	// lateAt is when the rest of the budget is needed to bar the task.
-	lateAt time.Time
-	margin time.Duration
-	// ran is what is known so far, for the outcome at the deadline.
+	g            *guard
+	s            *session
+	call         task.Call
+	seq          uint64
+	lowWatermark uint64
+	// cancelAt is when the remaining budget is needed to cancel the task.
+	cancelAt time.Time
+	margin   time.Duration
+	// ran is what is known so far about whether the task ran; it goes into the outcome
+	// if the deadline passes.
 	ran task.Ran
-	// refusing is when the guard's address began to refuse connections.
-	refusing time.Time
-	// damaged is true when a reply reached this entry with a result that is not
-	// whole: the task ran, whatever else is learnt.
-	damaged bool
+	// refusedSince is when the guard's address began to refuse connections.
+	refusedSince time.Time
+	// corrupt is true once a reply arrived whose result was incomplete or failed its
+	// digest check: the task ran, whatever later replies say.
+	corrupt bool
 }
 
 func (g *guard) start(ctx context.Context, c task.Call) task.Outcome {
 	s := g.session.Load()
-	if g.asleep(s) {
-		s = g.awaken(ctx, c.Deadline)
+	if g.needsNewSession(s) {
+		s = g.exitIdle(ctx, c.Deadline)
 	}
 	if s == nil || g.suspect.Load() {
 		return failure(task.CodeRefused, task.RanNo, "no session with the guard")
 	}
-	if !s.fresh() && !g.refresh(ctx, s, c.Deadline) {
+	if !s.leaseValid() && !g.awaitLeaseRenewal(ctx, s, c.Deadline) {
 		return failure(task.CodeRefused, task.RanNo, "the session's lease may have lapsed")
 	}
 	budget := time.Until(c.Deadline)
 	t := &start{g: g, s: s, call: c, ran: task.RanUnknown}
-	t.margin = min(g.f.o.Timing.Margin, budget/10)
-	t.lateAt = c.Deadline.Add(-t.margin)
+	t.margin = min(g.f.opts.Timing.Margin, budget/10)
+	t.cancelAt = c.Deadline.Add(-t.margin)
 	g.inflight.Add(1)
 	defer g.inflight.Add(-1)
-	t.seq, t.low = s.window.Open()
+	t.seq, t.lowWatermark = s.window.Open()
 	defer s.window.Close(t.seq)
 	if g.session.Load() != s {
-		// The keeper has given the session up since; see rested.
+		// The session goroutine has given the session up in the meantime; see
+		// enterIdle.
 		return failure(task.CodeRefused, task.RanNo, "the session has just ended")
 	}
-	if g.dozing.Load() {
-		g.nudge()
+	if g.longWait.Load() {
+		g.wakeSessionLoop()
 	}
 	return t.run(ctx)
 }
 
-// refreshTick is how often a start looks whether a doubtful session was renewed.
-const refreshTick = 2 * time.Millisecond
-
-// refresh waits until the keeper has renewed a session whose lease is in doubt.
-// After a pause of this process that is every session: refused at once, the
-// waiting tasks would burn the retry budget within the time of one ping.
-func (g *guard) refresh(ctx context.Context, s *session, deadline time.Time) bool {
-	g.alarm()
-	until := time.Now().Add(g.f.o.Timing.PingTimeout)
+// sessionPollInterval is how often a waiting start checks whether its session was
+// renewed.
+const sessionPollInterval = 2 * time.Millisecond
+
+// awaitLeaseRenewal waits until the session goroutine has renewed a session whose lease
+// may have lapsed. After a pause of this process that applies to every session: if
+// their starts were refused immediately, the waiting tasks would use up their retry
+// budget within the time of one ping.
+func (g *guard) awaitLeaseRenewal(ctx context.Context, s *session, deadline time.Time) bool {
+	g.requestPing()
+	until := time.Now().Add(g.f.opts.Timing.PingTimeout)
 	if deadline.Before(until) {
 		until = deadline
 	}
-	for g.session.Load() == s && time.Now().Before(until) && uptime.Sleep(ctx, refreshTick) {
-		if s.fresh() {
+	for g.session.Load() == s && time.Now().Before(until) && uptime.Sleep(ctx, sessionPollInterval) {
+		if s.leaseValid() {
 			return true
 		}
 	}
@@ -97,62 +101,62 @@
 	case errors.Is(err, errNotSent) && ctx.Err() != nil:
 		return failure(task.CodeCancelled, task.RanNo, "cancelled before it was sent")
 	case errors.Is(err, errNotSent):
-		t.g.alarm()
+		t.g.requestPing()
 		return failure(task.CodeRefused, task.RanNo, err.Error())
 	case err == nil:
-		if o, final := t.settle(report); final {
+		if o, final := t.handleReport(report); final {
 			return o
 		}
 	}
-	return t.follow(ctx)
+	return t.resolveUntilFinal(ctx)
 }
 
-// patienceRuns is how many times its expected run time a task is waited for at
-// least. A silent connection is found by pings; to ask sooner after each task
-// that runs for some seconds would only cost messages.
-const patienceRuns = 4
+// resolveDelayRuns times the expected run time of a task is the least time to wait for
+// its reply before querying the guard. Pings detect an unresponsive connection;
+// querying earlier for every task that runs for some seconds would only cost messages.
+const resolveDelayRuns = 4
 
-// patience is how long the reply is waited for before the guard is asked.
-func (t *start) patience() time.Duration {
-	wait := max(t.g.f.o.Timing.Patience, patienceRuns*t.call.Assignment.Expected)
-	return min(wait, time.Until(t.lateAt))
+// resolveDelay is how long to wait for the reply before querying the guard.
+func (t *start) resolveDelay() time.Duration {
+	wait := max(t.g.f.opts.Timing.Patience, resolveDelayRuns*t.call.Assignment.Expected)
+	return min(wait, time.Until(t.cancelAt))
 }
 
 // send sends the Start once and waits for its reply.
 func (t *start) send(ctx context.Context) (*wirev1.TaskReport, error) {
-	// A timer in place of a deadline: connect would send a deadline along, and the
+	// A timer instead of a context deadline: connect would transmit a deadline, and the
 	// guard would take it for the task's.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer time.AfterFunc(t.patience(), cancel).Stop()
+	defer time.AfterFunc(t.resolveDelay(), cancel).Stop()
 	var out link.Sent
 	t.g.f.meter.count(kindStart)
 	sent := monotonic()
-	resp, err := t.g.main.Load().Start(link.Follow(ctx, &out), connect.NewRequest(t.request()))
+	resp, err := t.g.primary.Load().Start(link.Follow(ctx, &out), connect.NewRequest(t.startRequest()))
 	if err != nil {
 		if out.Seal() {
 			return nil, errors.Join(errNotSent, err)
 		}
 		if ctx.Err() == nil {
-			t.g.alarm()
+			t.g.requestPing()
 		}
 		return nil, err
 	}
 	t.g.f.meter.count(kindReply)
-	t.s.answered(sent)
+	t.s.recordReply(sent)
 	m := resp.Msg
-	t.g.loadFromSession(m.GetLoad())
-	return t.checked(m.GetSession(), m.GetSeq(), m.GetReport())
+	t.g.applySessionLoad(m.GetLoad())
+	return t.validateReply(m.GetSession(), m.GetSeq(), m.GetReport())
 }
 
-func (t *start) request() *wirev1.StartRequest {
+func (t *start) startRequest() *wirev1.StartRequest {
 	c := &t.call
 	digest := sha256.Sum256(c.Payload)
 	return &wirev1.StartRequest{
 		Session:          t.s.id,
 		Seq:              t.seq,
 		GuardIncarnation: t.g.incarnation,
-		LowWatermark:     t.low,
+		LowWatermark:     t.lowWatermark,
 		Task: &wirev1.Task{
 			Submission: c.Submission,
 			Index:      uint32(c.Assignment.Task.Index),
@@ -162,58 +166,59 @@
 			Payload:    c.Payload,
 			Digest:     digest[:],
 		},
-		// A little less, so that the guard's own refusal of a task that waited too
-		// long arrives before this side asks.
-		BudgetMs:   uint32(max((time.Until(t.lateAt) - t.margin/4).Milliseconds(), 1)),
+		// Slightly less than the time until cancelAt, so that the guard's own refusal
+		// of a task that waited too long arrives before this side cancels it.
+		BudgetMs:   uint32(max((time.Until(t.cancelAt) - t.margin/4).Milliseconds(), 1)),
 		RunLimitMs: uint32(max(c.RunLimit.Milliseconds(), 0)),
 		Urgency:    uint32(max(c.Urgency, 0)),
 		TasksLeft:  uint32(max(c.Assignment.TasksLeft, 0)),
 	}
 }
 
-// checked drops a reply that belongs to another start or whose result is damaged.
-func (t *start) checked(session string, seq uint64, r *wirev1.TaskReport) (*wirev1.TaskReport, error) {
+// validateReply rejects a reply that belongs to another start or carries a corrupt
+// result.
+func (t *start) validateReply(session string, seq uint64, r *wirev1.TaskReport) (*wirev1.TaskReport, error) {
 	if session != t.s.id || seq != t.seq {
-		t.dropped("session or number")
+		t.logDroppedReply("session or number")
 		return nil, errMismatch
 	}
-	if t.isDamaged(r) {
-		t.damaged = true
+	if t.isCorrupt(r) {
+		t.corrupt = true
 		if r.GetResult().GetOk() {
-			// The guard had the runner's whole answer. Without a result in it the
-			// report may be of a call that the guard gave up on.
+			// The guard received the runner's complete response. If the report has no
+			// result, it may describe a call that the guard gave up on.
 			t.ran = task.RanYes
 		}
-		t.dropped("length or digest")
+		t.logDroppedReply("length or digest")
 		return nil, errMismatch
 	}
 	return r, nil
 }
 
-func (t *start) isDamaged(r *wirev1.TaskReport) bool {
+func (t *start) isCorrupt(r *wirev1.TaskReport) bool {
 	if r.GetState() != wirev1.TaskState_TASK_STATE_FINISHED {
 		return false
 	}
 	result := r.GetResult()
-	return result == nil || (result.GetOk() && !whole(result))
+	return result == nil || (result.GetOk() && !payloadIntact(result))
 }
 
-func (t *start) dropped(what string) {
-	t.g.f.meter.dropped.Inc(1)
+func (t *start) logDroppedReply(what string) {
+	t.g.f.meter.repliesDropped.Inc(1)
 	eventReplyDropped.Log(t.g.f.ctx, t.g.f.logger, append(t.g.attrs(),
 		slog.Uint64("seq", t.seq), slog.String("mismatch", what))...)
 }
 
-// settle turns a report into the outcome and tells the keeper when the session
-// or the incarnation is gone.
-func (t *start) settle(r *wirev1.TaskReport) (task.Outcome, bool) {
+// handleReport converts a report into the outcome, and marks the session as lost if the
+// guard no longer knows it or the incarnation is gone.
+func (t *start) handleReport(r *wirev1.TaskReport) (task.Outcome, bool) {
 	switch r.GetState() {
 	case wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION, wirev1.TaskState_TASK_STATE_WRONG_INCARNATION:
-		t.s.lose()
+		t.s.markLost()
 	}
-	o, final := settled(r)
+	o, final := reportOutcome(r)
 	if final && o.Ran != task.RanYes && t.ran == task.RanYes {
-		// A result was there before: no later word takes that back.
+		// A result has arrived before, so a later report can't deny that the task ran.
 		o = failure(task.CodeLost, task.RanYes, o.Message)
 	}
 	return o, final
--- a/entry/fleet/start_test.go
+++ b/entry/fleet/start_test.go
@@ -16,11 +16,12 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// budget is long against fastTiming, so that no outcome comes from the deadline.
+// budget is much longer than any timeout in fastTiming, so that no outcome results from
+// the deadline.
 const budget = 20 * time.Second
 
-// relayed puts a relay before the guard and returns it.
-func relayed(t *testing.T, g *fakeGuard) *relay.Relay {
+// relayGuard puts a relay in front of the guard and returns it.
+func relayGuard(t *testing.T, g *fakeGuard) *relay.Relay {
 	t.Helper()
 	r := relay.New(g.address)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,16 +37,16 @@
 	return r
 }
 
-// belowTransportPing is a budget that ends before the transport's own slow ping
-// would find a silent connection.
-const belowTransportPing = 4 * time.Second
+// budgetBelowTransportPing ends before the transport's own slow ping would detect an
+// unresponsive connection.
+const budgetBelowTransportPing = 4 * time.Second
 
-func dropAll(t *testing.T, r *relay.Relay) {
+func dropTraffic(t *testing.T, r *relay.Relay) {
 	t.Helper()
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop}))
 }
 
-func passAll(t *testing.T, r *relay.Relay) {
+func passTraffic(t *testing.T, r *relay.Relay) {
 	t.Helper()
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}))
 }
@@ -66,11 +67,11 @@
 	assert.Equal(t, g.resolves, 0)
 }
 
-// The guard did the task, but its reply is lost: held back for good, failed, or
-// belonging to another start. The entry must drop what does not match, ask the
-// same guard over another connection, and give the caller the one result.
+// The guard ran the task, but its reply is lost: never delivered, failed, or belonging
+// to another start. The entry must drop a mismatched reply, query the same guard over
+// another connection, and return the one result to the caller.
 func TestLostReplyIsResolved(t *testing.T) {
-	broken := map[string]func(context.Context, *wirev1.StartRequest, *wirev1.StartResponse) error{
+	breakages := map[string]func(context.Context, *wirev1.StartRequest, *wirev1.StartResponse) error{
 		"held back": func(ctx context.Context, _ *wirev1.StartRequest, _ *wirev1.StartResponse) error {
 			<-ctx.Done()
 			return ctx.Err()
@@ -96,27 +97,27 @@
 			return nil
 		},
 	}
-	for name, cut := range broken {
+	for name, breakReply := range breakages {
 		t.Run(name, func(t *testing.T) {
 			sink := newFakeSink()
 			f := newTestFleet(t, sink)
 			g := newFakeGuard(t, "g1", 7)
-			g.afterStart = cut
+			g.afterStart = breakReply
 			join(t, f, sink, g)
 
 			o := f.Start(context.Background(), callOn(g.id(), "part 4711", budget))
 
 			assert.Assert(t, o.OK(), "%+v", o)
 			assert.Equal(t, string(o.Payload), "part 4711")
-			most, _ := g.startsOf()
+			most, _ := g.startCounts()
 			assert.Equal(t, most, 1)
 		})
 	}
 }
 
-// A result arrives damaged twice, by reply and by resolve. The task ran, and the
-// caller gets a failure, never the damaged bytes.
-func TestDamagedResultFails(t *testing.T) {
+// A result arrives corrupt twice, in the reply and in the Resolve response. The task
+// ran, and the caller gets a failure, never the corrupt bytes.
+func TestCorruptResultFails(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
@@ -134,10 +135,11 @@
 	assert.Equal(t, len(o.Payload), 0)
 }
 
-// A Start is delayed before the guard's ledger sees it. The entry asks, the guard
-// bars the number and says "never started", and the entry passes that on. Then
-// the delayed Start arrives: it must find the bar.
-func TestDelayedStartFindsTheBar(t *testing.T) {
+// A Start is delayed before it reaches the guard's ledger. The entry sends Resolve, the
+// guard records a tombstone for the sequence number and reports "never started", and
+// the entry returns that. When the delayed Start arrives, the tombstone must prevent it
+// from running.
+func TestDelayedStartIsRefusedAfterResolve(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
@@ -154,27 +156,27 @@
 	assert.Equal(t, o.Code, task.CodeRefused)
 	assert.Equal(t, o.Ran, task.RanNo)
 	eventually(t, func() bool { n := 0; g.locked(func() { n = g.arrived[1] }); return n == 1 }, "start arrives")
-	_, total := g.startsOf()
+	_, total := g.startCounts()
 	assert.Equal(t, total, 0)
 }
 
-// The guard answers a lost start's resolve with a word that proves nothing: the
-// session or the incarnation is another, or the number is settled. An earlier
-// copy may have started, so the outcome is unknown and final.
-func TestWordsThatProveNothingEndUnknown(t *testing.T) {
-	words := []wirev1.TaskState{
+// The guard answers the Resolve of a lost start with an inconclusive report: another
+// session or incarnation, or a number that is settled. An earlier copy may have
+// started, so the outcome is unknown and final.
+func TestInconclusiveReportsEndUnknown(t *testing.T) {
+	taskStates := []wirev1.TaskState{
 		wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION,
 		wirev1.TaskState_TASK_STATE_WRONG_INCARNATION,
 		wirev1.TaskState_TASK_STATE_SETTLED,
 	}
-	for _, word := range words {
-		t.Run(word.String(), func(t *testing.T) {
+	for _, taskState := range taskStates {
+		t.Run(taskState.String(), func(t *testing.T) {
 			sink := newFakeSink()
 			f := newTestFleet(t, sink)
 			g := newFakeGuard(t, "g1", 7)
 			g.afterStart = func(context.Context, *wirev1.StartRequest, *wirev1.StartResponse) error { return errors.New("cut") }
 			g.onResolve = func(r *wirev1.ResolveRequest) *wirev1.ResolveResponse {
-				return &wirev1.ResolveResponse{Session: r.Session, Seq: r.Seq, Report: state(word)}
+				return &wirev1.ResolveResponse{Session: r.Session, Seq: r.Seq, Report: state(taskState)}
 			}
 			join(t, f, sink, g)
 
@@ -187,16 +189,16 @@
 	}
 }
 
-// The guard and every new connection to it fall silent after the Start went out.
-// Nobody can say whether it ran: the caller hears "unknown" at its deadline, while
-// the silence lasts, and the endpoint is taken out.
-func TestSilentGuardEndsUnknownAtTheDeadline(t *testing.T) {
+// The guard stops responding after the Start was sent, on new connections too. It can't
+// be determined whether the task ran: the caller gets "unknown" at its deadline, before
+// the guard responds again, and the endpoint is withdrawn.
+func TestUnresponsiveGuardEndsUnknownAtTheDeadline(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
-	r := relayed(t, g)
+	r := relayGuard(t, g)
 	g.run = func(ctx context.Context, _ *wirev1.StartRequest) *wirev1.TaskReport {
-		dropAll(t, r)
+		dropTraffic(t, r)
 		<-ctx.Done()
 		return refused(wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 	}
@@ -206,23 +208,23 @@
 
 	assert.Equal(t, o.Code, task.CodeLost)
 	assert.Equal(t, o.Ran, task.RanUnknown)
-	eventually(t, func() bool { _, ok := sink.get(g.id()); return !ok }, "guard is taken out")
+	eventually(t, func() bool { _, ok := sink.get(g.id()); return !ok }, "guard is withdrawn")
 }
 
-// The open connection goes silent for good while new ones work. The keeper's
-// ping finds it, the link is replaced, and the start's result is fetched over a
-// new connection; the endpoint stays in use throughout.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// The open connection permanently stops delivering packets while new connections work.
+// The ping of the session goroutine detects that, the link is replaced, and the start's
+// result is fetched over a new connection; the endpoint stays published throughout.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	directions := map[string]struct{ target, client bool }{
 		"both ways": {true, true}, "to the guard": {true, false}, "to the entry": {false, true},
 	}
 	for name, d := range directions {
 		t.Run(name, func(t *testing.T) {
 			sink := newFakeSink()
-			// Without patience only the ping can notice.
+			// Resolve is never sent in time, so only the ping can detect the fault.
 			f := newTestFleet(t, sink, func(o *Options) { o.Timing.Patience = budget })
 			g := newFakeGuard(t, "g1", 7)
-			r := relayed(t, g)
+			r := relayGuard(t, g)
 			g.run = func(_ context.Context, s *wirev1.StartRequest) *wirev1.TaskReport {
 				if s.GetSeq() == 1 {
 					r.Forget(d.target, d.client)
@@ -231,46 +233,47 @@
 			}
 			join(t, f, sink, g)
 
-			first := f.Start(context.Background(), callOn(g.id(), "part 4711", belowTransportPing))
+			first := f.Start(context.Background(), callOn(g.id(), "part 4711", budgetBelowTransportPing))
 
 			assert.Assert(t, first.OK(), "%+v", first)
 			_, known := sink.get(g.id())
 			assert.Assert(t, known)
-			// One that went out over the silent link before it was replaced is barred.
+			// A start that was sent over the dead link before its replacement gets a
+			// tombstone.
 			eventually(t, func() bool {
 				next := f.Start(context.Background(), callOn(g.id(), "part 4712", budget))
 				assert.Assert(t, next.OK() || next.Ran == task.RanNo, "%+v", next)
 				return next.OK()
 			}, "new link works")
-			most, _ := g.startsOf()
+			most, _ := g.startCounts()
 			assert.Equal(t, most, 1)
 		})
 	}
 }
 
-// The open connection goes silent and no ping has noticed yet. The question about
-// the lost reply must not take the same connection, else it is lost too and the
-// outcome is unknown though the guard holds the result.
-func TestResolveTakesAnotherConnection(t *testing.T) {
+// The open connection stops delivering packets and no ping has detected that yet. The
+// Resolve for the lost reply must not use the same connection; otherwise it would be
+// lost too, and the outcome would be unknown although the guard holds the result.
+func TestResolveUsesSeparateConnection(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink, func(o *Options) { o.Timing.Quiet = time.Hour; o.Timing.IdlePing = time.Hour })
 	g := newFakeGuard(t, "g1", 7)
 	g.lease = 10 * time.Hour
-	r := relayed(t, g)
+	r := relayGuard(t, g)
 	g.run = func(_ context.Context, s *wirev1.StartRequest) *wirev1.TaskReport {
 		r.Forget(true, true)
 		return echo(s)
 	}
 	join(t, f, sink, g)
 
-	o := f.Start(context.Background(), callOn(g.id(), "part 4711", belowTransportPing))
+	o := f.Start(context.Background(), callOn(g.id(), "part 4711", budgetBelowTransportPing))
 
 	assert.Assert(t, o.OK(), "%+v", o)
 }
 
-// A guard's process dies with a start open, and nothing listens any more. Its
-// ledger is lost, so the outcome is unknown; the caller hears so well before its
-// deadline. A later start finds no endpoint and surely did not run.
+// A guard's process dies during a start, and nothing listens on its address any more.
+// Its ledger is lost, so the outcome is unknown; the caller is told well before its
+// deadline. A later start finds no endpoint and certainly did not run.
 func TestDeadGuardEndsUnknownEarly(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
@@ -290,12 +293,12 @@
 	assert.Equal(t, o.Ran, task.RanUnknown)
 	assert.Equal(t, later.Code, task.CodeRefused)
 	assert.Equal(t, later.Ran, task.RanNo)
-	eventually(t, func() bool { return len(f.Endpoints()) == 0 }, "guard is forgotten")
+	eventually(t, func() bool { return len(f.Endpoints()) == 0 }, "guard is removed")
 }
 
-// The caller cancels. A task that the guard has not started is barred: not run.
-// One that was handed to the runner is stopped, and nobody can say whether it
-// began; one that has ended gives its result.
+// The caller cancels. A task that the guard has not started is prevented from starting:
+// not run. A task that was handed to the runner is stopped, and it is unknown whether
+// execution had begun; a finished one returns its result.
 func TestCancel(t *testing.T) {
 	t.Run("before it starts", func(t *testing.T) {
 		sink := newFakeSink()
@@ -312,7 +315,7 @@
 		assert.Equal(t, o.Code, task.CodeCancelled)
 		assert.Equal(t, o.Ran, task.RanNo)
 		eventually(t, func() bool { n := 0; g.locked(func() { n = g.arrived[1] }); return n == 1 }, "start arrives")
-		_, total := g.startsOf()
+		_, total := g.startCounts()
 		assert.Equal(t, total, 0)
 	})
 	t.Run("while it runs", func(t *testing.T) {
@@ -335,8 +338,8 @@
 		assert.Equal(t, o.Ran, task.RanUnknown)
 		assert.Equal(t, g.cancels, 1)
 	})
-	// The answer to another start's cancel says "never started". Taken for this
-	// one's, the caller of a task that runs would hear "not run".
+	// The response to another start's Cancel says "never started". If it were accepted
+	// for this start, the caller of a running task would be told "not run".
 	t.Run("and the answer is another's", func(t *testing.T) {
 		sink := newFakeSink()
 		f := newTestFleet(t, sink)
@@ -348,7 +351,7 @@
 			<-release
 			return echo(r)
 		}
-		g.crossCancels = 1
+		g.misdirectedCancels = 1
 		join(t, f, sink, g)
 
 		o := f.Start(ctx, callOn(g.id(), "part 4711", budget))
@@ -386,11 +389,11 @@
 	})
 }
 
-// The budget runs out with the guard in reach. The rest of it is spent to ask the
-// guard to stop the task, so the caller learns when it surely did not run. Of one
-// that was handed to the runner, which has not answered, nobody can say more than
+// The budget runs out while the guard is reachable. The rest of it is spent on asking
+// the guard to stop the task, so the caller learns whether it certainly did not run. If
+// the task was handed to the runner, which has not answered, the outcome can only be
 // "unknown".
-func TestDeadlineTellsWhetherItRan(t *testing.T) {
+func TestDeadlineReportsWhetherTaskRan(t *testing.T) {
 	for name, ran := range map[string]task.Ran{"waits": task.RanNo, "runs": task.RanUnknown} {
 		t.Run(name, func(t *testing.T) {
 			sink := newFakeSink()
@@ -416,14 +419,14 @@
 	}
 }
 
-// A task outlasts the patience with the guard well: it is asked about over the
-// rescue link until it ends, and its result arrives.
-func TestLongTaskIsWatched(t *testing.T) {
+// A task runs for longer than the resolve delay: its guard is queried over the fallback
+// link until the task ends, and the result arrives.
+func TestLongTaskIsResolvedRepeatedly(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
 	g.run = func(_ context.Context, r *wirev1.StartRequest) *wirev1.TaskReport {
-		eventually(t, func() bool { n := 0; g.locked(func() { n = g.resolves }); return n >= 2 }, "entry asks")
+		eventually(t, func() bool { n := 0; g.locked(func() { n = g.resolves }); return n >= 2 }, "entry sends Resolve")
 		return echo(r)
 	}
 	join(t, f, sink, g)
@@ -434,8 +437,8 @@
 }
 
 // The entry was paused beyond the session's lease. The guard would answer "unknown
-// session", which ends as unknown though nothing ran; so the Start is held until
-// the keeper has greeted the guard anew, and goes nowhere in the meantime.
+// session", which ends as unknown although nothing ran. So the Start is held until a
+// new session is open, and is sent nowhere in the meantime.
 func TestPausedEntryRenewsBeforeItStarts(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
@@ -443,12 +446,12 @@
 	join(t, f, sink, g)
 	kept := (*f.endpoints.Load())[g.id()].(*guard)
 	g.locked(func() { g.session = "dropped by the lease" })
-	kept.session.Load().renewed.Store(int64(monotonic() - time.Hour))
+	kept.session.Load().renewedAt.Store(int64(monotonic() - time.Hour))
 
 	o := f.Start(context.Background(), callOn(g.id(), "part 4711", budget))
 
 	assert.Equal(t, o.Ran, task.RanNo)
-	_, total := g.startsOf()
+	_, total := g.startCounts()
 	assert.Equal(t, total, 0)
 	eventually(t, func() bool {
 		o = f.Start(context.Background(), callOn(g.id(), "part 4711", budget))
@@ -456,14 +459,14 @@
 	}, "new session")
 }
 
-// Connections break at every moment, many starts at once. Whatever breaks, a
-// Start reaches the guard at most once per number, "not run" is never said of one
-// that started, and each caller gets its own payload.
-func TestBrokenConnectionsNeverDoubleAStart(t *testing.T) {
+// Connections break at arbitrary moments during many concurrent starts. Each Start must
+// reach the guard at most once per sequence number, "not run" must never be reported
+// for a task that started, and each caller must get its own payload.
+func TestBrokenConnectionsNeverDuplicateAStart(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
-	r := relayed(t, g)
+	r := relayGuard(t, g)
 	var mu sync.Mutex
 	ranOnGuard := map[string]int{}
 	g.run = func(_ context.Context, s *wirev1.StartRequest) *wirev1.TaskReport {
@@ -475,8 +478,8 @@
 	}
 	join(t, f, sink, g)
 	stop := make(chan struct{})
-	var breaker sync.WaitGroup
-	breaker.Go(func() {
+	var resetter sync.WaitGroup
+	resetter.Go(func() {
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
@@ -504,8 +507,8 @@
 	}
 	all.Wait()
 	close(stop)
-	breaker.Wait()
-	// A Start whose call has broken may still reach the guard: wait it out.
+	resetter.Wait()
+	// A Start whose call failed may still reach the guard, so wait for it.
 	quiet, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = g.server.Shutdown(quiet)
@@ -517,10 +520,10 @@
 		name := fmt.Sprint("part ", n)
 		counts[o.Ran]++
 		assert.Assert(t, ranOnGuard[name] <= 1, "%s started %d times", name, ranOnGuard[name])
-		assert.Assert(t, o.Ran != task.RanNo || ranOnGuard[name] == 0, "%s said not run: %+v", name, o)
+		assert.Assert(t, o.Ran != task.RanNo || ranOnGuard[name] == 0, "%s started but was reported as not run: %+v", name, o)
 		assert.Assert(t, !o.OK() || string(o.Payload) == name, "%s got %s", name, o.Payload)
 	}
-	most, total := g.startsOf()
+	most, total := g.startCounts()
 	assert.Equal(t, most, 1)
 	g.locked(func() {
 		for seq, n := range g.arrived {
@@ -530,9 +533,9 @@
 	t.Logf("%d starts reached the guard; outcomes %v", total, counts)
 }
 
-// A contract without a run limit must not become the shortest one that the wire
-// can carry: the guard would stop every task at once.
-func TestNoRunLimitIsSentAsNone(t *testing.T) {
+// A contract without a run limit must not be sent as the shortest limit that the
+// protocol can express: the guard would stop every task immediately.
+func TestMissingRunLimitIsSentAsZero(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
@@ -551,25 +554,25 @@
 	assert.Equal(t, <-limits, uint32(0))
 }
 
-// A task runs for longer than the usual patience, as it was expected to: nothing
-// is lost, and no question about it is sent. One that was expected to be short
-// is asked after.
-func TestLongTasksAreNotAskedAfter(t *testing.T) {
+// A task runs for longer than the usual resolve delay, as was expected: nothing is
+// lost, and no Resolve is sent. For a task that was expected to be short, Resolve is
+// sent.
+func TestExpectedLongTasksAreNotResolved(t *testing.T) {
 	sink := newFakeSink()
 	f := newTestFleet(t, sink)
 	g := newFakeGuard(t, "g1", 7)
 	g.run = func(context.Context, *wirev1.StartRequest) *wirev1.TaskReport {
-		time.Sleep(2 * f.o.Timing.Patience)
+		time.Sleep(2 * f.opts.Timing.Patience)
 		return wholeResult("part 4711")
 	}
 	join(t, f, sink, g)
-	asked := func(expected time.Duration) int {
+	resolvesSent := func(expected time.Duration) int {
 		c := callOn(g.id(), "part 4711", budget)
 		c.Assignment.Expected = expected
 		before := g.resolves
 		assert.Assert(t, f.Start(context.Background(), c).OK())
 		return g.resolves - before
 	}
-	assert.Equal(t, asked(budget/4), 0)
-	assert.Assert(t, asked(0) > 0)
+	assert.Equal(t, resolvesSent(budget/4), 0)
+	assert.Assert(t, resolvesSent(0) > 0)
 }
--- a/entry/fleet/timing.go
+++ b/entry/fleet/timing.go
@@ -6,50 +6,52 @@
 	"almondstand.dev/entry/fleet/attach"
 )
 
-// DefaultPingBytes is what the pings of all idle sessions may cost, bytes a second.
+// DefaultPingBytes is the default bandwidth budget for the pings of all idle sessions,
+// in bytes per second.
 const DefaultPingBytes = 1024
 
 const defaultMaxMessage = 64 << 20
 
-// Timing bounds how long the fleet waits for what. Zero values take defaults.
+// Timing holds the timeouts and intervals of a Fleet. Zero values select defaults.
 type Timing struct {
-	// Quiet is how long a session with open starts may go without a reply before
-	// it is pinged, and PingTimeout how long the ping may take. Their sum is the
-	// time in which a silent connection is noticed.
+	// Quiet is how long a session with open starts may go without a reply before it is
+	// pinged, and PingTimeout is how long the ping may take. Their sum is the time
+	// within which an unresponsive connection is detected.
 	Quiet       time.Duration
 	PingTimeout time.Duration
-	// IdlePing is the shortest interval between pings of an idle session. It
-	// stretches with the number of guards, up to a third of the session's lease.
+	// IdlePing is the shortest interval between pings of an idle session. The interval
+	// grows with the number of guards, up to a third of the session's lease.
 	IdlePing time.Duration
-	// PingBytesPerSecond is what the pings of all idle sessions may cost. Where that
-	// doesn't keep them all, idle sessions are let lapse.
+	// PingBytesPerSecond is the bandwidth budget for the pings of all idle sessions. If
+	// it does not suffice for all of them, idle sessions are allowed to lapse.
 	PingBytesPerSecond int
-	// Unannounced is the silence after which a guard without a session is greeted
-	// to learn whether it is there; several of its longest pauses between
-	// announcements.
+	// Unannounced is the time without announcements after which a guard without a
+	// session is sent a Hello to check whether it is alive. It spans several of the
+	// longest intervals between announcements.
 	Unannounced time.Duration
-	// Lost is the silence after which a guard is forgotten.
+	// Lost is how long a guard may be unresponsive before it is removed.
 	Lost time.Duration
-	// Patience is how long a Start is waited for before its guard is asked what
-	// became of it.
+	// Patience is how long to wait for the reply to a Start before asking the guard for
+	// the state of the task.
 	Patience time.Duration
-	// ResolveWait is how long a guard may hold one such question.
+	// ResolveWait is how long a guard may delay its response to one such query.
 	ResolveWait time.Duration
-	// CallTimeout bounds a call that the guard answers at once.
+	// CallTimeout bounds a call that the guard answers immediately.
 	CallTimeout time.Duration
-	// RefusedFor is how long a guard's address may refuse connections before its
-	// open starts are given up as lost: the process that held the ledger is dead.
+	// RefusedFor is how long a guard's address may refuse connections before its open
+	// starts are reported as lost: the process that held the ledger is dead.
 	RefusedFor time.Duration
 	// CancelFor bounds the attempts to cancel a task.
 	CancelFor time.Duration
-	// Margin is kept of the budget to bar a task that is about to be late.
+	// Margin is the part of a task's budget that is reserved to cancel it before its
+	// deadline.
 	Margin time.Duration
-	// BackoffMin and BackoffMax bound the pauses between attempts.
+	// BackoffMin and BackoffMax bound the delay between attempts.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// Sweep is how often lapsed bare endpoints are looked for.
+	// Sweep is the interval between checks for expired bare endpoints.
 	Sweep time.Duration
-	// Divide is how often the division of the bare endpoints' slots is looked at.
+	// Divide is the interval at which the bare endpoints' slots are reallocated.
 	Divide time.Duration
 }
 
@@ -82,24 +84,25 @@
 	return d
 }
 
-// clockBase makes monotonic readings that fit an atomic integer.
+// clockBase is the origin of monotonic readings, which makes them fit an atomic
+// integer.
 var clockBase = time.Now()
 
 // monotonic returns the time since the process started.
 func monotonic() time.Duration { return time.Since(clockBase) }
 
-// backoff grows the pause between attempts, with jitter.
+// backoff is an exponential backoff with jitter.
 type backoff struct {
 	next, max time.Duration
 	rand      func() float64
 }
 
 func (f *Fleet) newBackoff() backoff {
-	return backoff{next: f.o.Timing.BackoffMin, max: f.o.Timing.BackoffMax, rand: f.o.Rand}
+	return backoff{next: f.opts.Timing.BackoffMin, max: f.opts.Timing.BackoffMax, rand: f.opts.Rand}
 }
 
-// pause returns the next pause: between half and all of the current step.
-func (b *backoff) pause() time.Duration {
+// nextDelay returns the next delay: between half and all of the current step.
+func (b *backoff) nextDelay() time.Duration {
 	step := b.next
 	b.next = min(2*b.next, b.max)
 	return step/2 + time.Duration(b.rand()*float64(step/2))
--- a/entry/fleet/silence_test.go
+++ b/entry/fleet/transportping_test.go
@@ -11,12 +11,12 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// A connection goes silent with a start on it, or just before one, and no ping of
-// the session is due. The transport's own ping ends the call after some seconds,
-// and the guard, asked over another connection, says what became of it, long
-// before the deadline. TestSilentConnectionIsReplaced has the session's ping find
-// such a connection before the transport's could.
-func TestTransportPingAloneFindsSilence(t *testing.T) {
+// A connection stops delivering packets during a start or just before one, and no ping
+// of the session is due. The HTTP/2 transport's ping ends the call after some seconds,
+// and the guard, queried over another connection, reports the state of the task long
+// before the deadline. In TestUnresponsiveConnectionIsReplaced the session's ping
+// detects such a connection before the transport's ping could.
+func TestTransportPingDetectsUnresponsiveConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		before bool
 		ran    task.Ran
@@ -32,7 +32,7 @@
 			})
 			g := newFakeGuard(t, "g1", 7)
 			g.lease = 10 * time.Hour
-			r := relayed(t, g)
+			r := relayGuard(t, g)
 			g.run = func(_ context.Context, s *wirev1.StartRequest) *wirev1.TaskReport {
 				r.Forget(true, true)
 				return echo(s)
@@ -44,7 +44,7 @@
 
 			o := f.Start(context.Background(), callOn(g.id(), "part 4711", time.Minute))
 
-			// At the deadline it would be "unknown" or a refusal as too late.
+			// At the deadline it would be "unknown" or a refusal for being late.
 			assert.Equal(t, o.Ran, c.ran, "%+v", o)
 			assert.Assert(t, o.Code != task.CodeDeadline, "%+v", o)
 		})
