--- a/entry/fleet/share/divide.go
+++ b/entry/fleet/share/divide.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// SetEndpoints tells which endpoints take work. What is known of those that stay
-// is kept.
+// SetEndpoints sets the endpoints that accept starts. The state of endpoints that
+// remain is kept.
 func (p *Pool) SetEndpoints(all []Endpoint) {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b Endpoint) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Address, b.Address))
 	})
-	byName := make(map[string]*slotState, len(all))
+	byAddress := make(map[string]*slotState, len(all))
 	p.slots = make([]*slotState, 0, len(all))
 	p.total = 0
 	names := fnv.New32a()
 	for _, e := range all {
-		s := p.byName[e.Address]
+		s := p.byAddress[e.Address]
 		if s == nil {
 			s = &slotState{}
 		}
 		s.Endpoint = e
-		byName[e.Address] = s
+		byAddress[e.Address] = s
 		p.slots = append(p.slots, s)
 		p.total += e.Slots
 		_, _ = names.Write([]byte(e.Address + "\n"))
 	}
-	p.byName = byName
+	p.byAddress = byAddress
 	p.digest = names.Sum32()
-	p.stale = true
+	p.outdated = true
 }
 
-// SetEntries tells which entries are live, this one included.
+// SetEntries sets the live entries, including this one.
 func (p *Pool) SetEntries(all []Entry) {
 	all = slices.Clone(all)
 	if !slices.Contains(all, p.self) {
@@ -50,74 +50,78 @@
 	p.entries = all
 	for id := range p.peers {
 		if !slices.ContainsFunc(all, func(e Entry) bool { return e.ID == id }) {
-			// Its starts end with its connections; its slots must not stay unused.
+			// The starts of a removed entry end when its connections close, so its
+			// slots must not stay unused.
 			delete(p.peers, id)
 		}
 	}
-	p.stale = true
-	p.sumUsual()
+	p.outdated = true
+	p.sumMeans()
 }
 
-// Hear takes the word of another entry.
+// Hear applies the usage report of another entry.
 func (p *Pool) Hear(now time.Time, from string, u Use) {
 	if from == p.self.ID {
 		return
 	}
 	other := p.peers[from]
 	if other == nil {
-		other = &peer{open: map[string]float64{}, usual: map[string]float64{}}
+		other = &peer{open: map[string]float64{}, meanOpen: map[string]float64{}}
 		p.peers[from] = other
 	}
 	weight := 1.0
-	if !other.at.IsZero() {
-		weight = part(now.Sub(other.at), usualFor)
+	if !other.updatedAt.IsZero() {
+		weight = ewmaWeight(now.Sub(other.updatedAt), openSmoothing)
 	}
-	other.demand, other.waiting, other.at = u.Demand, u.Waiting, now
-	p.stale = true
+	other.demand, other.waiting, other.updatedAt = u.Demand, u.Waiting, now
+	p.outdated = true
 	if u.Digest != p.digest || len(u.Open) != len(p.slots) {
-		// It counts other endpoints, until the news of one has passed round.
+		// The peer counts a different set of endpoints until changes have reached both
+		// entries.
 		return
 	}
 	for i, s := range p.slots {
 		open := float64(u.Open[i])
 		other.open[s.Address] = open
-		other.usual[s.Address] += (open - other.usual[s.Address]) * weight
+		other.meanOpen[s.Address] += (open - other.meanOpen[s.Address]) * weight
 	}
-	p.sumUsual()
-	p.sumOthers(now)
+	p.sumMeans()
+	p.refreshEstimates(now)
 }
 
-// sumUsual adds up what others usually hold.
-func (p *Pool) sumUsual() {
+// sumMeans sums the mean numbers of open starts of all peers.
+func (p *Pool) sumMeans() {
 	for _, s := range p.slots {
-		s.usual = 0
+		s.othersMean = 0
 		for _, other := range p.peers {
-			s.usual += other.usual[s.Address]
+			s.othersMean += other.meanOpen[s.Address]
 		}
 	}
 }
 
-// sumOthers estimates from every entry's last word what they hold now.
-func (p *Pool) sumOthers(now time.Time) {
+// refreshEstimates estimates from each peer's latest report how many starts it has open
+// now.
+func (p *Pool) refreshEstimates(now time.Time) {
 	for _, s := range p.slots {
 		sum := 0.0
 		for _, other := range p.peers {
-			usual := other.usual[s.Address]
-			sum += usual + (other.open[s.Address]-usual)*p.kept(now.Sub(other.at))
+			mean := other.meanOpen[s.Address]
+			sum += mean + (other.open[s.Address]-mean)*p.remaining(now.Sub(other.updatedAt))
 		}
-		s.others, s.at = sum, now
+		s.othersOpen, s.estimatedAt = sum, now
 	}
 }
 
-// divide lays the slots in one line and gives every entry its part, those of a
-// data centre to the entries there as far as they go.
-func (p *Pool) divide(now time.Time) {
-	p.stale = false
-	p.forget(now)
-	least := leastPart * float64(p.total) / float64(len(p.entries))
+// computeShares places the slots of all endpoints in one sequence and assigns every
+// entry a contiguous range of it. Endpoints and entries are sorted by data centre, so
+// that the slots of a data centre go to the entries there as far as possible.
+func (p *Pool) computeShares(now time.Time) {
+	p.outdated = false
+	p.removeStalePeers(now)
+	minWeight := minShare * float64(p.total) / float64(len(p.entries))
 	sum, before, own := 0.0, 0.0, 0.0
 	for _, e := range p.entries {
-		weight := least + p.demandOf(now, e)
+		weight := minWeight + p.demandOf(now, e)
 		sum += weight
 		switch {
 		case e == p.self:
@@ -130,25 +134,26 @@
 		return
 	}
 	scale := float64(p.total) / sum
-	from, to := bound(before*scale), bound((before+own)*scale)
+	from, to := shareBoundary(before*scale), shareBoundary((before+own)*scale)
 	at := 0
 	for _, s := range p.slots {
-		s.home = max(0, min(to, at+s.Slots)-max(from, at))
+		s.ownShare = max(0, min(to, at+s.Slots)-max(from, at))
 		at += s.Slots
 	}
 }
 
-// bound is the first whole slot of a part: rounded the same way at both ends, so
-// that neighbours neither share a slot nor leave one out.
-func bound(x float64) int { return int(math.Ceil(x - 1e-6)) }
+// shareBoundary returns the first whole slot of a share. Both ends of a share are
+// rounded in the same way, so that neighbouring shares neither overlap nor leave a slot
+// out.
+func shareBoundary(x float64) int { return int(math.Ceil(x - 1e-6)) }
 
-// demandOf is an entry's demand as the others know it. This entry's own counts as
-// it told it: a part that grew at once would take slots that the others still use,
-// and one of the two would be refused.
+// demandOf returns an entry's demand as known to the other entries. For this entry it
+// is the demand that it last reported: a share that grew immediately would take slots
+// that the others still use, and a start of one of the two would be refused.
 func (p *Pool) demandOf(now time.Time, e Entry) float64 {
 	if e == p.self {
-		if now.Sub(p.toldAt) < toldFor {
-			return p.told
+		if now.Sub(p.reportedAt) < reportedDemandTTL {
+			return p.reportedDemand
 		}
 		return p.demand
 	}
@@ -158,17 +163,17 @@
 	return 0
 }
 
-// forget drops entries that have not been heard for long: cut off from this one,
-// they may use the endpoints still, which refusals will tell.
-func (p *Pool) forget(now time.Time) {
+// removeStalePeers removes entries without a recent report. If such an entry is only
+// disconnected from this one, it may still use the endpoints, which refusals will show.
+func (p *Pool) removeStalePeers(now time.Time) {
 	dropped := false
 	for id, other := range p.peers {
-		if now.Sub(other.at) > forgetAfter {
+		if now.Sub(other.updatedAt) > peerTTL {
 			delete(p.peers, id)
 			dropped = true
 		}
 	}
 	if dropped {
-		p.sumUsual()
+		p.sumMeans()
 	}
 }
--- a/entry/fleet/share/main_test.go
+++ b/entry/fleet/share/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the runs, unless the command line says otherwise.
+// TestMain fixes the random seed unless the command line sets one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20260102", "rapid.nofailfile": "true"}
--- a/entry/fleet/share/share.go
+++ b/entry/fleet/share/share.go
@@ -1,13 +1,13 @@
-// Package share divides the slots of one service's bare endpoints between the
-// entries. A bare endpoint tells nobody what it runs for others, and refuses a
-// start for which it has no slot; the refusal is true and costs two messages. So
-// the division need not be strict: it has to be quick and mostly right.
+// Package share divides the slots of one service's bare endpoints among the entries. A
+// bare endpoint does not report what it runs for others, and it refuses a start for
+// which it has no slot. Such a refusal guarantees that the task did not run and costs
+// two messages. So the division need not be exact: it has to be fast and mostly right.
 //
-// Every entry lays the slots of all endpoints in one line and takes a part of it
-// in proportion to its measured demand, by the same rule as the others, so that
-// the parts fit together without a word about single slots. While no entry lacks
-// slots, each may also use others' parts where it estimates some slots to be free.
-// As soon as one says that its tasks wait, the others keep to their own parts.
+// Every entry places the slots of all endpoints in one sequence and takes a share of it
+// in proportion to its measured demand. All entries use the same rule, so the shares
+// fit together without messages about individual slots. While no entry lacks slots,
+// each may also use others' shares where it estimates slots to be free. As soon as one
+// entry reports waiting tasks, the others keep to their own shares.
 package share
 
 import (
@@ -16,56 +16,58 @@
 )
 
 const (
-	// smoothing is the time over which the own demand is averaged: shorter, and
-	// the parts move while tasks still run on what was given up; longer, and a
-	// part grows late.
-	smoothing = 4 * time.Second
-	// usualFor is the time over which others' open starts are averaged.
-	usualFor = time.Second
-	// lackFor is how long an entry's word that its tasks wait holds: a little more
-	// than the time between two exchanges.
-	lackFor = 1200 * time.Millisecond
-	// toldFor is how long the others take this entry's demand for what it told
-	// them: until its next exchange with one of them.
-	toldFor = lackFor
-	// forgetAfter is how long an entry's word counts at all.
-	forgetAfter = 10 * time.Second
-	// leastPart is the least part of an entry, of an equal part: it may get work
-	// at any moment, and has nothing else until the others know of its demand.
-	leastPart = 0.5
-	// margin is how many standard deviations an endpoint must be estimated below
-	// full to be used beyond the own part.
-	margin = 1
-	// bump is added to the estimates of all endpoints after a refusal by one: what
-	// filled it, mostly a large job at another entry, has filled others too.
-	bump = 0.5
-	// Bounds of the mean run time, and what it is taken for before one is known.
-	// What others hold is expected to be half replaced after about one.
-	shortestRun = 25 * time.Millisecond
-	longestRun  = 2 * time.Second
-	firstRun    = 250 * time.Millisecond
-	// runWeight is the weight of one run in their mean.
-	runWeight = 0.02
+	// demandSmoothing is the time constant of the average of this entry's demand. If it
+	// is shorter, shares move while tasks still run on slots that were given up; if
+	// longer, a share grows too late.
+	demandSmoothing = 4 * time.Second
+	// openSmoothing is the time constant of the average of peers' open starts.
+	openSmoothing = time.Second
+	// waitingTTL is how long a peer's report of waiting tasks is valid: slightly longer
+	// than the interval between two exchanges.
+	waitingTTL = 1200 * time.Millisecond
+	// reportedDemandTTL is how long peers use the demand that this entry last reported:
+	// until its next exchange with one of them.
+	reportedDemandTTL = waitingTTL
+	// peerTTL is how long a peer's report is used at all.
+	peerTTL = 10 * time.Second
+	// minShare is the minimum share of an entry, as a fraction of an equal share: the
+	// entry may get work at any moment, and has no other slots until its peers know its
+	// demand.
+	minShare = 0.5
+	// stdDevMargin is by how many standard deviations an endpoint's estimated use must
+	// be below its capacity before the endpoint is used beyond this entry's share.
+	stdDevMargin = 1
+	// refusalIncrement is added to the estimates of the other endpoints after a refusal
+	// by one: what filled it, usually a large job at another entry, has filled others
+	// too.
+	refusalIncrement = 0.5
+	// Bounds of the mean run time, and its initial value. Peers' open starts are
+	// expected to be half replaced after about one mean run time.
+	minRunTime     = 25 * time.Millisecond
+	maxRunTime     = 2 * time.Second
+	initialRunTime = 250 * time.Millisecond
+	// runTimeWeight is the weight of one run in the moving average of run times.
+	runTimeWeight = 0.02
 )
 
 // Entry is one live entry.
 type Entry struct{ ID, Zone string }
 
-// Endpoint is one bare endpoint that takes work.
+// Endpoint is one bare endpoint that accepts starts.
 type Endpoint struct {
-	// Address is its IP and port.
+	// Address is the IP and port.
 	Address string
 	Zone    string
 	Slots   int
 }
 
-// Use is what one entry uses of a service's endpoints.
+// Use is one entry's use of a service's endpoints.
 type Use struct {
-	// Demand is its open and waiting tasks, averaged.
+	// Demand is the moving average of the number of open and waiting tasks.
 	Demand float64
-	// Waiting is true while its tasks wait for a slot.
+	// Waiting is true while tasks wait for a slot.
 	Waiting bool
-	// Digest names the endpoints that Open counts, in their order.
+	// Digest identifies the endpoints that Open counts, in their order.
 	Digest uint32
 	Open   []int
 }
@@ -75,216 +77,220 @@
 
 // Ends of a start.
 const (
-	// Ran: the endpoint had a slot for it and has that one free now.
+	// Ran means that the endpoint had a slot for the start, which is free again.
 	Ran End = iota
-	// Refused: the endpoint had no slot for it.
+	// Refused means that the endpoint had no slot for the start.
 	Refused
-	// Other says nothing of the endpoint's slots.
+	// Other reveals nothing about the endpoint's slots.
 	Other
 )
 
-// slotState is what is known of one endpoint.
+// slotState is what is known about one endpoint.
 type slotState struct {
 	Endpoint
-	own int
-	// others is the estimate of others' open starts as of at; it decays towards
-	// usual, their average.
-	others float64
-	at     time.Time
-	usual  float64
-	// home is the part of the slots that is this entry's.
-	home int
+	ownOpen int
+	// othersOpen is the estimate of peers' open starts at the time estimatedAt. It
+	// decays towards their average, othersMean.
+	othersOpen  float64
+	estimatedAt time.Time
+	othersMean  float64
+	// ownShare is the number of slots in this entry's share.
+	ownShare int
 }
 
-// peer is the last word of another entry.
+// peer is the latest report of another entry.
 type peer struct {
 	Entry
-	demand  float64
-	waiting bool
-	at      time.Time
-	// open and usual are by address.
-	open, usual map[string]float64
+	demand    float64
+	waiting   bool
+	updatedAt time.Time
+	// open and meanOpen are keyed by address.
+	open, meanOpen map[string]float64
 }
 
-// Pool divides the endpoints of one service. It is not safe for concurrent use;
-// the clock is passed in.
+// Pool divides the endpoints of one service. It is not safe for concurrent use. The
+// caller passes the current time.
 type Pool struct {
-	self    Entry
-	spare   int
-	slots   []*slotState
-	byName  map[string]*slotState
-	digest  uint32
-	total   int
-	entries []Entry
-	peers   map[string]*peer
+	self       Entry
+	spareSlots int
+	slots      []*slotState
+	byAddress  map[string]*slotState
+	digest     uint32
+	total      int
+	entries    []Entry
+	peers      map[string]*peer
 
 	demand    float64
 	sampledAt time.Time
-	// told is the demand that the others heard last, at toldAt.
-	told   float64
-	toldAt time.Time
+	// reportedDemand is the demand that was last reported to the peers, at reportedAt.
+	reportedDemand float64
+	reportedAt     time.Time
 
-	waiting int
-	open    int
-	meanRun time.Duration
-	// stale is true when the parts have to be worked out anew.
-	stale bool
+	waiting     int
+	openStarts  int
+	meanRunTime time.Duration
+	// outdated is true if the shares must be recomputed.
+	outdated bool
 }
 
-// New returns a pool without endpoints, of which this entry is the only user. It
-// leaves spare slots free where it uses others' parts: their tasks come at any
-// moment, and would be refused. The more, the fewer refusals, and the longer a
-// large job waits on a system with free slots.
+// New returns a pool without endpoints whose only user is this entry. The pool leaves
+// spare slots of an endpoint free where this entry exceeds its own share, because
+// peers' tasks arrive at any moment and would be refused. A higher value means fewer
+// refusals, but large jobs wait longer while slots are free.
 func New(self Entry, spare int) *Pool {
 	return &Pool{
-		self:    self,
-		spare:   spare,
-		byName:  map[string]*slotState{},
-		peers:   map[string]*peer{},
-		entries: []Entry{self},
-		meanRun: firstRun,
+		self:        self,
+		spareSlots:  spare,
+		byAddress:   map[string]*slotState{},
+		peers:       map[string]*peer{},
+		entries:     []Entry{self},
+		meanRunTime: initialRunTime,
 	}
 }
 
-// Own is this entry's use, to be told to the others.
+// Own returns this entry's use, to be reported to the peers.
 func (p *Pool) Own() Use {
-	p.told, p.toldAt = p.demand, p.sampledAt
-	p.stale = true
+	p.reportedDemand, p.reportedAt = p.demand, p.sampledAt
+	p.outdated = true
 	u := Use{Demand: p.demand, Waiting: p.waiting > 0, Digest: p.digest, Open: make([]int, len(p.slots))}
 	for i, s := range p.slots {
-		u.Open[i] = s.own
+		u.Open[i] = s.ownOpen
 	}
 	return u
 }
 
-// Wanted is the number of tasks open and waiting now.
-func (p *Pool) Wanted() int { return p.open + p.waiting }
+// Wanted returns the current number of open and waiting tasks.
+func (p *Pool) Wanted() int { return p.openStarts + p.waiting }
 
-// Total is the number of slots of all endpoints.
+// Total returns the number of slots of all endpoints.
 func (p *Pool) Total() int { return p.total }
 
-// Sample takes the number of waiting tasks; to be called often.
+// Sample records the number of waiting tasks. It should be called often.
 func (p *Pool) Sample(now time.Time, waiting int) {
 	p.waiting = waiting
 	wanted := float64(p.Wanted())
 	if p.sampledAt.IsZero() {
 		p.demand = wanted
 	} else {
-		p.demand += (wanted - p.demand) * part(now.Sub(p.sampledAt), smoothing)
+		p.demand += (wanted - p.demand) * ewmaWeight(now.Sub(p.sampledAt), demandSmoothing)
 	}
 	p.sampledAt = now
-	p.stale = true
+	p.outdated = true
 }
 
-// part is the weight of the present in a running mean.
-func part(since, over time.Duration) float64 {
+// ewmaWeight returns the weight of the current value in an exponentially weighted
+// moving average.
+func ewmaWeight(since, over time.Duration) float64 {
 	return 1 - math.Exp(-max(0, since.Seconds())/over.Seconds())
 }
 
-// Started counts one own start.
+// Started counts one start of this entry.
 func (p *Pool) Started(address string) {
-	p.open++
-	if s := p.byName[address]; s != nil {
-		s.own++
+	p.openStarts++
+	if s := p.byAddress[address]; s != nil {
+		s.ownOpen++
 	}
 }
 
-// Ended counts the end of one own start and learns from it.
+// Ended counts the end of one start of this entry and updates the estimates.
 func (p *Pool) Ended(now time.Time, address string, end End, run time.Duration) {
-	p.open--
-	s := p.byName[address]
+	p.openStarts--
+	s := p.byAddress[address]
 	if s == nil {
 		return
 	}
-	before := s.own
-	s.own = max(0, s.own-1)
+	before := s.ownOpen
+	s.ownOpen = max(0, s.ownOpen-1)
 	switch end {
 	case Ran:
-		p.learnRun(run)
-		// Its slot is free at this moment, so others hold no more than the rest.
-		if most := float64(s.Slots - before); p.estimate(now, s) > most {
-			s.others, s.at = most, now
+		p.recordRunTime(run)
+		// The slot of this start is free now, so peers have at most the remaining
+		// slots.
+		if maxOthers := float64(s.Slots - before); p.estimateOthers(now, s) > maxOthers {
+			s.othersOpen, s.estimatedAt = maxOthers, now
 		}
 	case Refused:
-		p.full(now, s)
+		p.recordRefusal(now, s)
 	case Other:
 	}
 }
 
-func (p *Pool) learnRun(run time.Duration) {
-	run = min(max(run, shortestRun), longestRun)
-	p.meanRun += time.Duration(float64(run-p.meanRun) * runWeight)
+func (p *Pool) recordRunTime(run time.Duration) {
+	run = min(max(run, minRunTime), maxRunTime)
+	p.meanRunTime += time.Duration(float64(run-p.meanRunTime) * runTimeWeight)
 }
 
-// full takes a refusal: others held all slots that this entry did not.
-func (p *Pool) full(now time.Time, refusing *slotState) {
+// recordRefusal updates the estimates after a refusal: peers used all slots that this
+// entry did not.
+func (p *Pool) recordRefusal(now time.Time, refusing *slotState) {
 	for _, s := range p.slots {
 		if s != refusing {
-			s.others = min(p.estimate(now, s)+bump, float64(s.Slots))
-			s.at = now
+			s.othersOpen = min(p.estimateOthers(now, s)+refusalIncrement, float64(s.Slots))
+			s.estimatedAt = now
 		}
 	}
-	refusing.others = float64(refusing.Slots - refusing.own)
-	refusing.at = now
+	refusing.othersOpen = float64(refusing.Slots - refusing.ownOpen)
+	refusing.estimatedAt = now
 }
 
-// estimate is the number of others' starts expected to be open there.
-func (p *Pool) estimate(now time.Time, s *slotState) float64 {
-	return s.usual + (s.others-s.usual)*p.kept(now.Sub(s.at))
+// estimateOthers returns the expected number of peers' open starts on an endpoint.
+func (p *Pool) estimateOthers(now time.Time, s *slotState) float64 {
+	return s.othersMean + (s.othersOpen-s.othersMean)*p.remaining(now.Sub(s.estimatedAt))
 }
 
-// spread is the standard deviation of that estimate.
-func (p *Pool) spread(now time.Time, s *slotState) float64 {
-	const least = 0.5
-	kept := p.kept(now.Sub(s.at))
-	return math.Sqrt(max(s.usual, least) * (1 - kept*kept))
+// stdDev returns the standard deviation of the estimate.
+func (p *Pool) stdDev(now time.Time, s *slotState) float64 {
+	const minMean = 0.5
+	remaining := p.remaining(now.Sub(s.estimatedAt))
+	return math.Sqrt(max(s.othersMean, minMean) * (1 - remaining*remaining))
 }
 
-// kept is the part of a count that still holds after a time.
-func (p *Pool) kept(age time.Duration) float64 { return 1 - part(age, 2*p.meanRun) }
+// remaining returns the fraction of a count that is still valid after the given time.
+func (p *Pool) remaining(age time.Duration) float64 { return 1 - ewmaWeight(age, 2*p.meanRunTime) }
 
-// Limits returns the most own starts for each endpoint, by address.
+// Limits returns the maximum number of this entry's open starts for each endpoint, by
+// address.
 func (p *Pool) Limits(now time.Time) map[string]int {
-	if p.stale {
-		p.divide(now)
+	if p.outdated {
+		p.computeShares(now)
 	}
-	lacking := p.othersLack(now)
+	restricted := p.peersWaiting(now)
 	limits := make(map[string]int, len(p.slots))
 	sum := 0
 	for _, s := range p.slots {
-		limit := p.limit(now, s, lacking)
+		limit := p.limit(now, s, restricted)
 		limits[s.Address] = limit
 		sum += limit
 	}
-	if sum == 0 && p.open == 0 {
-		p.leastOne(now, limits)
+	if sum == 0 && p.openStarts == 0 {
+		p.allowProbe(now, limits)
 	}
 	return limits
 }
 
-func (p *Pool) limit(now time.Time, s *slotState, lacking bool) int {
-	free := float64(s.Slots) - p.estimate(now, s)
-	own := min(s.home, whole(free))
-	if lacking {
+func (p *Pool) limit(now time.Time, s *slotState, restricted bool) int {
+	free := float64(s.Slots) - p.estimateOthers(now, s)
+	own := min(s.ownShare, roundDown(free))
+	if restricted {
 		return own
 	}
-	return max(own, whole(free-float64(p.spare)-margin*p.spread(now, s)))
+	return max(own, roundDown(free-float64(p.spareSlots)-stdDevMargin*p.stdDev(now, s)))
 }
 
-// whole rounds down, but for a little: what is left of an estimate that decays
-// would else cost a slot long after it was free.
-func whole(x float64) int {
-	const little = 0.1
-	return max(0, int(math.Floor(x+little)))
+// roundDown rounds down with a small tolerance. Otherwise the remainder of a decaying
+// estimate would occupy a slot long after it became free.
+func roundDown(x float64) int {
+	const tolerance = 0.1
+	return max(0, int(math.Floor(x+tolerance)))
 }
 
-// leastOne allows one start at the endpoint that is most likely to have a free
-// slot: an entry that nothing tells of free slots would wait for good.
-func (p *Pool) leastOne(now time.Time, limits map[string]int) {
-	best, most := "", math.Inf(-1)
+// allowProbe allows one start at the endpoint that is most likely to have a free slot.
+// Otherwise an entry that gets no information about free slots would wait forever.
+func (p *Pool) allowProbe(now time.Time, limits map[string]int) {
+	best, bestFree := "", math.Inf(-1)
 	for _, s := range p.slots {
-		if free := float64(s.Slots) - p.estimate(now, s); free > most {
-			best, most = s.Address, free
+		if free := float64(s.Slots) - p.estimateOthers(now, s); free > bestFree {
+			best, bestFree = s.Address, free
 		}
 	}
 	if best != "" {
@@ -292,9 +298,9 @@
 	}
 }
 
-func (p *Pool) othersLack(now time.Time) bool {
+func (p *Pool) peersWaiting(now time.Time) bool {
 	for _, other := range p.peers {
-		if other.waiting && now.Sub(other.at) < lackFor {
+		if other.waiting && now.Sub(other.updatedAt) < waitingTTL {
 			return true
 		}
 	}
--- a/entry/fleet/share/share_test.go
+++ b/entry/fleet/share/share_test.go
@@ -15,10 +15,10 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:9000", i) }
 
-// spare slots are left free in others' parts.
+// spare is the number of slots left free beyond an entry's own share.
 const spare = 2
 
-// pools makes the pools of n entries with the same endpoints.
+// pools returns the pools of n entries with the same endpoints.
 func pools(n, endpoints, slots int) []*share.Pool {
 	var entries []share.Entry
 	var all []share.Endpoint
@@ -38,7 +38,7 @@
 	return out
 }
 
-// exchange tells every entry the use of all others.
+// exchange reports every entry's use to all others.
 func exchange(now time.Time, all []*share.Pool) {
 	for i, from := range all {
 		for j, to := range all {
@@ -57,9 +57,10 @@
 	return total
 }
 
-// TestPartsFitTogether: whatever the demands, while all entries lack slots their
-// parts of each endpoint add up to its slots: none is given twice or to nobody.
-func TestPartsFitTogether(t *testing.T) {
+// TestSharesAddUp checks, for any demands, that the entries' shares of each endpoint
+// add up to its slots while all entries lack slots: no slot is assigned twice or to
+// nobody.
+func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 16).Draw(t, "slots")
 		all := pools(rapid.IntRange(2, 16).Draw(t, "entries"), rapid.IntRange(1, 20).Draw(t, "endpoints"), slots)
@@ -67,23 +68,24 @@
 			p.Sample(origin, rapid.IntRange(1, 500).Draw(t, "waiting"))
 		}
 		exchange(origin, all)
-		given := map[string]int{}
+		allowed := map[string]int{}
 		for _, p := range all {
 			for a, n := range p.Limits(origin) {
-				given[a] += n
+				allowed[a] += n
 			}
 		}
-		for a, n := range given {
-			// One that has no part at all still tries one slot.
+		for a, n := range allowed {
+			// An entry without a share still probes one slot.
 			assert.Assert(t, n >= slots && n <= slots+len(all), "%s: %d of %d", a, n, slots)
 		}
 	})
 }
 
-// TestPartsFitWhileDemandMoves: an entry's demand grows after it told the others.
-// If it took more slots at once, the others would go on using them until its next
-// word, and one of the two would be refused. It keeps to the part that they know.
-func TestPartsFitWhileDemandMoves(t *testing.T) {
+// TestSharesAddUpWhileDemandChanges: an entry's demand grows after it was reported. If
+// the entry took more slots immediately, its peers would use them until its next
+// report, and a start of one of the two would be refused. It must keep to the share
+// that the peers know.
+func TestSharesAddUpWhileDemandChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := pools(rapid.IntRange(2, 8).Draw(t, "entries"), 11, 8)
 		for _, p := range all {
@@ -91,20 +93,20 @@
 		}
 		exchange(origin, all)
 		later := origin.Add(900 * time.Millisecond)
-		given := 0
+		allowed := 0
 		for _, p := range all {
 			p.Sample(later, rapid.IntRange(1, 100).Draw(t, "waiting later"))
-			given += sum(p.Limits(later))
+			allowed += sum(p.Limits(later))
 		}
-		// One that has no part at all still tries one slot.
-		assert.Assert(t, given <= 11*8+len(all), "%d", given)
+		// An entry without a share still probes one slot.
+		assert.Assert(t, allowed <= 11*8+len(all), "%d", allowed)
 	})
 }
 
-// TestUntoldDemandCounts: an entry that nobody has heard for a while goes by its
-// demand of the moment; an old word of little demand would leave its tasks waiting
-// beside free slots.
-func TestUntoldDemandCounts(t *testing.T) {
+// TestUnreportedDemandCounts: an entry that has not reported for a while uses its
+// current demand. With an old report of little demand, its tasks would wait although
+// slots are free.
+func TestUnreportedDemandCounts(t *testing.T) {
 	all := pools(2, 11, 8)
 	all[1].Sample(origin, 1)
 	exchange(origin, all)
@@ -115,9 +117,10 @@
 	assert.Assert(t, sum(all[0].Limits(later)) > 60)
 }
 
-// TestDemandGetsItsPart: the entry with most of the work gets most of the slots,
-// and one without any keeps a few for what comes before the others know of it.
-func TestDemandGetsItsPart(t *testing.T) {
+// TestSharesFollowDemand: the entry with most of the work gets most of the slots, and
+// one without any keeps a few for tasks that arrive before the others know of its
+// demand.
+func TestSharesFollowDemand(t *testing.T) {
 	all := pools(4, 11, 8)
 	for i, waiting := range []int{60, 10, 10, 0} {
 		all[i].Sample(origin, waiting)
@@ -128,10 +131,9 @@
 	assert.Assert(t, idle >= 3 && idle <= 8, "%d", idle)
 }
 
-// TestBorrowsWhileNobodyLacks: unused slots of others are used, all but a few, until
-// one of them says that its tasks wait; then this entry gives them back as its
-// tasks end.
-func TestBorrowsWhileNobodyLacks(t *testing.T) {
+// TestUsesFreeSlotsUntilPeersWait: an entry uses its peers' unused slots, except a few,
+// until one of them reports waiting tasks; then it returns the slots as its tasks end.
+func TestUsesFreeSlotsUntilPeersWait(t *testing.T) {
 	all := pools(2, 2, 8)
 	for _, p := range all {
 		p.Sample(origin, 0)
@@ -142,13 +144,14 @@
 	all[1].Sample(origin, 4)
 	exchange(origin, all)
 	assert.Equal(t, sum(all[0].Limits(origin)), 8)
-	// Its word holds for a while only: it may be cut off.
+	// The report expires, because the peer may be disconnected.
 	assert.Assert(t, sum(all[0].Limits(origin.Add(5*time.Second))) > 8)
 }
 
-// TestRefusalAndReply: a refusal tells that others hold all other slots, so that
-// the next start there waits; a reply tells that the slot it used is free.
-func TestRefusalAndReply(t *testing.T) {
+// TestEstimatesFollowRefusalsAndReplies: a refusal shows that peers use all other
+// slots, so that the next start there waits; a reply shows that the slot it used is
+// free.
+func TestEstimatesFollowRefusalsAndReplies(t *testing.T) {
 	p := pools(2, 1, 8)[0]
 	for range 4 {
 		p.Started(address(0))
@@ -157,12 +160,12 @@
 	assert.Equal(t, p.Limits(origin)[address(0)], 3)
 	p.Ended(origin, address(0), share.Ran, time.Second)
 	assert.Equal(t, p.Limits(origin)[address(0)], 3)
-	// Others' tasks end too, without a word.
+	// Peers' tasks also end, without a report.
 	assert.Assert(t, p.Limits(origin.Add(5 * time.Second))[address(0)] > 3)
 }
 
-// TestKilledEntryFreesItsSlots: an entry that held everything dies. Its slots are
-// free with its connections; estimates that go on counting them would leave the
+// TestKilledEntryFreesItsSlots: an entry that used all slots dies. Its slots become
+// free when its connections close; estimates that still counted them would leave the
 // endpoints half idle.
 func TestKilledEntryFreesItsSlots(t *testing.T) {
 	all := pools(2, 2, 8)
@@ -179,10 +182,11 @@
 	assert.Equal(t, sum(all[0].Limits(later)), 16)
 }
 
-// TestNeverShutOut: by all that this entry knows others hold every slot for good.
-// It still tries one start; else it would wait for ever for news that nobody
-// sends, such as when it is cut off from the other entries.
-func TestNeverShutOut(t *testing.T) {
+// TestProbesWhenAllSlotsSeemTaken: according to this entry's information, peers use
+// every slot permanently. It still tries one start; otherwise it would wait forever for
+// information that nobody sends, for example when it is disconnected from the other
+// entries.
+func TestProbesWhenAllSlotsSeemTaken(t *testing.T) {
 	all := pools(2, 2, 8)
 	for range 8 {
 		all[1].Started(address(0))
@@ -192,9 +196,10 @@
 	assert.Equal(t, sum(all[0].Limits(origin)), 1)
 }
 
-// TestEndpointsDiffer: an entry that has not heard of a new endpoint yet counts
-// other endpoints; its counts must not be taken for those of the wrong ones.
-func TestEndpointsDiffer(t *testing.T) {
+// TestIgnoresCountsOfOtherEndpoints: an entry that does not know a new endpoint yet
+// counts a different set of endpoints; its counts must not be assigned to the wrong
+// ones.
+func TestIgnoresCountsOfOtherEndpoints(t *testing.T) {
 	p := pools(2, 2, 8)[0]
 	other := pools(2, 3, 8)[1]
 	for range 8 {
