--- a/entry/fleet/link/link.go
+++ b/entry/fleet/link/link.go
@@ -1,7 +1,7 @@
-// Package link holds the connections from an entry to one guard.
+// Package link manages the connections from an entry to one guard.
 //
-// A Link is disposable: when its connection is found silent it is closed, which
-// fails every call on it at once, and a new one takes its place.
+// A Link is disposable: if its connection stops responding, the link is closed, which
+// immediately fails every call on it, and a new link replaces it.
 package link
 
 import (
@@ -25,23 +25,23 @@
 	defaultMaxMessage  = 64 << 20
 )
 
-// Options describe one Link. Zero values take the defaults.
+// Options configures a Link. Zero values select the defaults.
 type Options struct {
 	// Address is the IP and port of the guard.
 	Address string
-	// Secret is the cluster secret; empty when none is used.
+	// Secret is the cluster secret; empty if the cluster uses none.
 	Secret string
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the establishment of a connection.
 	DialTimeout time.Duration
-	// PingAfter is how long a connection may carry no frame before the transport
-	// sends an HTTP/2 ping, and PingTimeout how long that may go unanswered before
-	// the connection is closed. Without them a connection that was forgotten
-	// somewhere on the way would hold its calls for good.
+	// PingAfter is how long a connection may receive no frame before the transport
+	// sends an HTTP/2 ping, and PingTimeout is how long that may go unanswered before
+	// the connection is closed. Without these pings, calls would hang forever on a
+	// connection whose state a network device has dropped.
 	PingAfter   time.Duration
 	PingTimeout time.Duration
-	// Idle is how long an unused connection is kept.
+	// Idle is how long an unused connection is kept open.
 	Idle time.Duration
-	// MaxMessage bounds a reply in bytes.
+	// MaxMessage is the maximum size of a reply in bytes.
 	MaxMessage int
 }
 
@@ -63,7 +63,7 @@
 	return d
 }
 
-// Link is a client of one guard with connections of its own.
+// Link is a client of one guard with its own connections.
 type Link struct {
 	wirev1connect.GuardServiceClient
 
@@ -78,15 +78,15 @@
 func New(o Options) *Link {
 	o = o.withDefaults()
 	l := &Link{conns: map[net.Conn]struct{}{}}
-	l.transport = newTransport(o, l.track)
-	client := &onceClient{transport: l.transport}
+	l.transport = newTransport(o, l.trackConn)
+	client := &atMostOnceClient{transport: l.transport}
 	if o.Secret != "" {
 		client.authorization = "Bearer " + o.Secret
 	}
 	l.GuardServiceClient = wirev1connect.NewGuardServiceClient(client, "http://"+o.Address,
 		connect.WithReadMaxBytes(o.MaxMessage),
-		// Payloads are opaque and the network is local: compression costs more
-		// processor time than it saves.
+		// Payloads are opaque and the network is local: compression costs more CPU time
+		// than it saves.
 		connect.WithAcceptCompression("gzip", nil, nil),
 	)
 	return l
@@ -114,7 +114,7 @@
 	}
 }
 
-// Rest closes the connections that carry no call; the next call dials.
+// Rest closes the connections that carry no call. The next call dials again.
 func (l *Link) Rest() { l.transport.CloseIdleConnections() }
 
 // Close fails every call on the link and closes its connections.
@@ -132,7 +132,7 @@
 	l.transport.CloseIdleConnections()
 }
 
-func (l *Link) track(c net.Conn) (net.Conn, error) {
+func (l *Link) trackConn(c net.Conn) (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -144,13 +144,13 @@
 	return t, nil
 }
 
-func (l *Link) forget(c net.Conn) {
+func (l *Link) untrack(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 }
 
-// trackedConn is known to its link until it is closed.
+// trackedConn is a connection that its link tracks until it is closed.
 type trackedConn struct {
 	net.Conn
 	link *Link
@@ -158,6 +158,6 @@
 
 // Close implements net.Conn.
 func (c *trackedConn) Close() error {
-	c.link.forget(c)
+	c.link.untrack(c)
 	return c.Conn.Close()
 }
--- a/entry/fleet/link/link_test.go
+++ b/entry/fleet/link/link_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// HTTP/2 frame types, flags and codes that the refusing server needs.
+// HTTP/2 frame types, flags and codes that refusingServer needs.
 const (
 	frameHeader   = 9
 	frameData     = 0x0
@@ -36,8 +36,8 @@
 
 const preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
-// refusingServer reads each whole message and then says that it did not process
-// it, as a broken or lying peer does. It counts the messages.
+// refusingServer reads each complete message and then claims that it did not process
+// it, as a faulty or malicious peer does. It counts the messages.
 type refusingServer struct {
 	listener net.Listener
 	messages atomic.Int64
@@ -119,10 +119,10 @@
 
 var refusals = map[string]func(net.Conn, uint32){"REFUSED_STREAM": resetStream, "GOAWAY": goAway}
 
-// A peer takes the whole message and then refuses the stream. net/http sends the
-// request again by itself, so the peer gets the Start several times and the
-// caller sees one error. This shows that the trap is real with connect's client.
-func TestPlainClientSendsAgain(t *testing.T) {
+// A peer reads the complete message and then refuses the stream. net/http resends the
+// request on its own, so the peer gets the Start several times and the caller sees one
+// error. This shows that the fault occurs with a plain connect client.
+func TestPlainClientResends(t *testing.T) {
 	for name, refuse := range refusals {
 		t.Run(name, func(t *testing.T) {
 			s := newRefusingServer(t, refuse)
@@ -148,9 +148,9 @@
 	}
 }
 
-// The same peer, over a Link: the message goes out once, the error comes at once,
-// and the message is not taken for unsent.
-func TestLinkSendsOnce(t *testing.T) {
+// With the same peer and a Link, the message is sent once, the error is returned
+// immediately, and the message is not reported as unsent.
+func TestLinkSendsAtMostOnce(t *testing.T) {
 	for name, refuse := range refusals {
 		t.Run(name, func(t *testing.T) {
 			s := newRefusingServer(t, refuse)
@@ -167,7 +167,7 @@
 	}
 }
 
-// Nothing listens at the address: the message provably did not leave.
+// Nothing listens at the address: the message certainly was not sent.
 func TestSealProvesUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -183,21 +183,21 @@
 	assert.Assert(t, out.Seal())
 }
 
-// The call was given up while the transport still held the request: what it reads
-// of the body afterwards must not leave the process.
-func TestSealedBodyCannotBeRead(t *testing.T) {
+// The call was aborted while the transport still held the request: what the transport
+// reads from the body afterwards must not leave the process.
+func TestSealedBodyIsNotSent(t *testing.T) {
 	var out Sent
-	body := &followedBody{ReadCloser: io.NopCloser(bytes.NewReader([]byte("task"))), sent: &out}
+	body := &trackedBody{ReadCloser: io.NopCloser(bytes.NewReader([]byte("task"))), sent: &out}
 	assert.Assert(t, out.Seal())
 
 	n, err := body.Read(make([]byte, 4))
 
 	assert.Equal(t, n, 0)
-	assert.Equal(t, err, errSealed)
+	assert.Equal(t, err, errAborted)
 }
 
-// A request is redirected: net/http's Client would send it again to the new
-// address, a Link gives an error.
+// A request is redirected. net/http's Client would resend it to the new address; a Link
+// returns an error.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var calls atomic.Int64
 	protocols := new(http.Protocols)
