--- a/entry/fleet/attach/attach.go
+++ b/entry/fleet/attach/attach.go
@@ -1,5 +1,5 @@
-// Package attach decides which entries a guard announces itself to, and how
-// often. It is pure: the same input gives the same answer at every entry.
+// Package attach determines to which entries a guard announces itself, and how often.
+// Its functions are pure: the same input gives the same result at every entry.
 package attach
 
 import (
@@ -12,36 +12,38 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Policy bounds the number of entries of one guard. Every entry must hold the
-// same policy, else a guard would change entries with each answer.
+// Policy limits the number of entries that a guard attaches to. Every entry must use
+// the same policy, otherwise a guard would switch entries with each response.
 type Policy struct {
-	// AllUpTo is the number of entries up to which a guard attaches to all.
+	// AllUpTo is the largest number of entries for which a guard attaches to all of
+	// them.
 	AllUpTo int
-	// Some is the number it attaches to when there are more.
+	// Some is the number of entries that a guard attaches to if there are more.
 	Some int
 }
 
-// DefaultPolicy attaches to all of up to eight entries, else to four.
+// DefaultPolicy attaches a guard to all entries if there are up to eight, otherwise to
+// four.
 var DefaultPolicy = Policy{AllUpTo: 8, Some: 4}
 
-// Choose returns the entries that the guard announces itself to: all while there
-// are few, else the highest ones by rendezvous hashing of guard and entry, of
-// which at least one is in the guard's own zone when that has any. Draining
-// entries are left out. The answer depends on neither the order of entries nor
-// the entry that asks, and one entry more or less moves few guards.
-func Choose(guardID, zone string, entries []*wirev1.EntryInfo, p Policy) []*wirev1.EntryInfo {
-	live := serving(entries)
+// Choose returns the entries that the guard announces itself to: all if there are few,
+// otherwise the highest-ranked by rendezvous hashing of guard and entry, at least one
+// of them in the guard's own data centre if there is any. Draining entries are
+// excluded. The result depends on neither the order of entries nor the calling entry,
+// and adding or removing one entry moves few guards.
+func Choose(guardID, dataCentre string, entries []*wirev1.EntryInfo, p Policy) []*wirev1.EntryInfo {
+	live := notDraining(entries)
 	if len(live) <= p.AllUpTo {
 		slices.SortFunc(live, func(a, b *wirev1.EntryInfo) int { return cmp.Compare(a.GetId(), b.GetId()) })
 		return live
 	}
 	rank(guardID, live)
-	some := min(max(p.Some, 1), len(live))
-	keepZone(live, some, zone)
-	return live[:some]
+	count := min(max(p.Some, 1), len(live))
+	ensureSameDataCentre(live, count, dataCentre)
+	return live[:count]
 }
 
-func serving(entries []*wirev1.EntryInfo) []*wirev1.EntryInfo {
+func notDraining(entries []*wirev1.EntryInfo) []*wirev1.EntryInfo {
 	live := make([]*wirev1.EntryInfo, 0, len(entries))
 	for _, e := range entries {
 		if !e.GetDraining() {
@@ -51,8 +53,8 @@
 	return live
 }
 
-// rank sorts by weight, highest first. The incarnation is left out of the hash:
-// a restarted entry gets its guards back.
+// rank sorts the entries by descending weight. The incarnation is not hashed, so that a
+// restarted entry gets the same guards again.
 func rank(guardID string, entries []*wirev1.EntryInfo) {
 	weights := make(map[string]uint64, len(entries))
 	for _, e := range entries {
@@ -70,34 +72,35 @@
 	return xxhash.Sum64String(guardID + "\x00" + entryID)
 }
 
-// keepZone swaps the best entry of the zone into the last of the first some
-// places when none of them is in the zone.
-func keepZone(ranked []*wirev1.EntryInfo, some int, zone string) {
-	inZone := func(e *wirev1.EntryInfo) bool { return e.GetZone() == zone }
-	best := slices.IndexFunc(ranked, inZone)
-	if best < some {
+// ensureSameDataCentre swaps the highest-ranked entry of the data centre into the last
+// of the first count places if none of those is in the data centre.
+func ensureSameDataCentre(ranked []*wirev1.EntryInfo, count int, dataCentre string) {
+	isLocal := func(e *wirev1.EntryInfo) bool { return e.GetZone() == dataCentre }
+	best := slices.IndexFunc(ranked, isLocal)
+	if best < count {
 		return
 	}
-	ranked[some-1], ranked[best] = ranked[best], ranked[some-1]
+	ranked[count-1], ranked[best] = ranked[best], ranked[count-1]
 }
 
-// Pace bounds the time between two announcements of one endpoint.
+// Pace bounds the interval between two announcements of one endpoint.
 type Pace struct {
 	// Shortest and Longest bound the interval.
 	Shortest time.Duration
 	Longest  time.Duration
-	// BytesPerSecond is what all announcements at one entry may cost.
+	// BytesPerSecond is the bandwidth budget for all announcements at one entry.
 	BytesPerSecond int
 }
 
-// DefaultPace keeps announcements within a third of a control budget of 3 KB/s.
+// DefaultPace limits announcements to a third of a budget of 3 KB/s for control
+// traffic.
 var DefaultPace = Pace{Shortest: time.Second, Longest: time.Minute, BytesPerSecond: 1024}
 
-// Interval returns the time between two announcements of one endpoint so that
-// endpoints of them, at the given bytes each with their answers, stay within the
-// budget. Announcements only introduce an endpoint and report an idle one: one
-// that has a session is watched through that, so a long interval delays neither
-// the notice of its loss nor of its leaving.
+// Interval returns the interval between two announcements of one endpoint at which the
+// given number of endpoints, with bytesEach bytes per announcement and response, stays
+// within the budget. Announcements only introduce an endpoint and report the load of an
+// idle one. An endpoint with a session is monitored through that session, so a long
+// interval does not delay the detection that it is lost or leaving.
 func Interval(endpoints, bytesEach int, p Pace) time.Duration {
 	if p.BytesPerSecond <= 0 {
 		return p.Longest
--- a/entry/fleet/attach/attach_test.go
+++ b/entry/fleet/attach/attach_test.go
@@ -11,11 +11,11 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// entriesIn returns n entries, spread over the zones in turn.
-func entriesIn(n int, zones ...string) []*wirev1.EntryInfo {
+// entriesIn returns n entries, assigned to the data centres in turn.
+func entriesIn(n int, dataCentres ...string) []*wirev1.EntryInfo {
 	all := make([]*wirev1.EntryInfo, n)
 	for i := range all {
-		all[i] = &wirev1.EntryInfo{Id: fmt.Sprintf("e%02d", i), Zone: zones[i%len(zones)]}
+		all[i] = &wirev1.EntryInfo{Id: fmt.Sprintf("e%02d", i), Zone: dataCentres[i%len(dataCentres)]}
 	}
 	return all
 }
@@ -36,8 +36,8 @@
 		entries []*wirev1.EntryInfo
 		zone    string
 		want    int
-		// own is the least number of chosen entries in the guard's zone.
-		own int
+		// minLocal is the minimum number of chosen entries in the guard's data centre.
+		minLocal int
 	}{
 		{"none", nil, "zagreb", 0, 0},
 		{"few: all", entriesIn(4, "karlovac"), "zagreb", 4, 0},
@@ -49,22 +49,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			for guard := range 50 {
 				got := Choose(fmt.Sprint("g", guard), c.zone, c.entries, policy)
-				own := 0
+				local := 0
 				for _, e := range got {
 					assert.Assert(t, !e.GetDraining())
 					if e.GetZone() == c.zone {
-						own++
+						local++
 					}
 				}
 				assert.Equal(t, len(got), c.want)
-				assert.Assert(t, own >= c.own)
+				assert.Assert(t, local >= c.minLocal)
 				assert.Equal(t, len(slices.Compact(ids(got))), c.want, "each once")
 			}
 		})
 	}
 }
 
-// Every entry must give the same answer, in whatever order it knows the others.
+// Every entry must return the same result, regardless of the order in which it knows
+// the others.
 func TestChooseIgnoresOrder(t *testing.T) {
 	entries := entriesIn(20, "zagreb", "karlovac")
 	reversed := slices.Clone(entries)
@@ -77,8 +78,8 @@
 	}
 }
 
-// One entry fewer moves only the guards that were attached to it, each by one
-// place, and the load stays spread.
+// Removing one entry moves only the guards that were attached to it, each by one place,
+// and the load stays balanced.
 func TestChooseMovesFewGuards(t *testing.T) {
 	const guards = 2000
 	entries := entriesIn(20, "zagreb")
