--- a/entry/fleet/bare/client.go
+++ b/entry/fleet/bare/client.go
@@ -1,5 +1,5 @@
-// Package bare calls runners that have no guard, over their HTTP interface. One
-// call is one request, sent at most once; nothing can be resolved afterwards.
+// Package bare calls runners without a guard over their HTTP interface. A call is one
+// request, sent at most once; its outcome can't be queried afterwards.
 package bare
 
 import (
@@ -20,11 +20,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Headers of the runner's interface.
+// Headers of the runner interface.
 const (
 	headerTask     = "Almond-Task"
 	headerKind     = "Almond-Kind"
-	headerCustomer = "Almond-Customer"
+	headerClient   = "Almond-Customer"
 	headerRunLimit = "Almond-Run-Limit-Ms"
 	headerRan      = "Almond-Ran"
 	headerDigest   = "Content-Digest"
@@ -34,51 +34,53 @@
 	ranNo        = "no"
 )
 
-// Errors of a call. ErrNotSent and ErrRefused alone mean that the task did not
-// start and will not.
+// Errors of a call. Only ErrNotSent and ErrRefused mean that the task did not start and
+// will not start.
 var (
 	// ErrNotSent means that no byte of the request was written.
 	ErrNotSent = errors.New("runner not reached")
-	// ErrRefused means that the runner said it did not start the task.
+	// ErrRefused means that the runner reported that it did not start the task.
 	ErrRefused = errors.New("runner refused")
-	// ErrFailed means that the runner answered with an error status: it ran.
+	// ErrFailed means that the runner answered with an error status; the task ran.
 	ErrFailed = errors.New("runner failed the task")
-	// ErrTruncated means that the answer was not whole: it ran.
+	// ErrTruncated means that the response was incomplete or corrupt; the task ran.
 	ErrTruncated = errors.New("runner's answer not whole")
-	// ErrRunLimit means that the run limit passed; the task may have run.
+	// ErrRunLimit means that the run limit was exceeded; the task may have run.
 	ErrRunLimit = errors.New("run limit passed")
-	// ErrLost means that the call broke after it was sent; the task may have run.
+	// ErrLost means that the call failed after it was sent; the task may have run.
 	ErrLost = errors.New("runner lost")
 )
 
-// Defaults of Options.
+// Defaults and limits.
 const (
 	defaultDialTimeout = time.Second
-	defaultIdle        = 2 * time.Second
+	defaultIdleTimeout = 2 * time.Second
 	defaultMaxAnswer   = 64 << 20
 	keepAliveIdle      = time.Second
 	keepAliveInterval  = time.Second
 	keepAliveCount     = 2
-	maxMessage         = 256
-	// leastRunTime is that of a call that ended within a stall: zero would mean unknown.
-	leastRunTime = time.Microsecond
+	maxErrorText       = 256
+	// minRunTime is the run time reported for a call that ended during a stall of this
+	// process: zero would mean unknown.
+	minRunTime = time.Microsecond
 )
 
-// Options describe a client. Zero values take the defaults.
+// Options configures a Client. Zero values select the defaults.
 type Options struct {
 	// Address is the IP and port of the runner.
 	Address string
-	// Connections bounds the open connections.
+	// Connections is the maximum number of open connections.
 	Connections int
-	// DialTimeout bounds the opening of one.
+	// DialTimeout bounds the establishment of a connection.
 	DialTimeout time.Duration
-	// Idle is how long an unused connection is kept. It is shorter than what
-	// servers commonly allow: a request that is written just as the runner closes
-	// an idle connection may have run for all that anyone can tell.
+	// Idle is how long an unused connection is kept open. It is shorter than the idle
+	// timeout of common servers: if a request is written just as the runner closes an
+	// idle connection, it can't be determined whether the task ran.
 	Idle time.Duration
-	// MaxAnswer bounds an answer in bytes.
+	// MaxAnswer is the maximum size of a response in bytes.
 	MaxAnswer int64
-	// Stalled is the time for which this process has not run; nil counts none.
+	// Stalled returns the total time during which this process did not run; nil means
+	// none.
 	Stalled func() time.Duration
 }
 
@@ -90,7 +92,7 @@
 		o.DialTimeout = defaultDialTimeout
 	}
 	if o.Idle == 0 {
-		o.Idle = defaultIdle
+		o.Idle = defaultIdleTimeout
 	}
 	if o.MaxAnswer == 0 {
 		o.MaxAnswer = defaultMaxAnswer
@@ -101,7 +103,7 @@
 	return o
 }
 
-// Request is one run of one task.
+// Request is one execution of a task.
 type Request struct {
 	// Task is "<submission>/<index>".
 	Task     string
@@ -111,13 +113,13 @@
 	Payload  []byte
 }
 
-// Answer is a whole answer.
+// Answer is a complete response.
 type Answer struct {
 	Payload []byte
 	// Digest is the SHA-256 of the payload.
 	Digest [sha256.Size]byte
-	// RunTime is the time that the call took, without the time for which this process did
-	// not run.
+	// RunTime is the duration of the call, without the time during which this process
+	// did not run.
 	RunTime time.Duration
 }
 
@@ -162,8 +164,8 @@
 // Close closes the connections that carry no call.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Call runs a task. Ending ctx closes the connection, which stops the run; the
-// error is then ErrNotSent or ErrLost like for any other broken call.
+// Call runs a task. Ending ctx closes the connection, which stops the run; the error is
+// then ErrNotSent or ErrLost, as for any other failed call.
 func (c *Client) Call(ctx context.Context, r Request) (Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -179,20 +181,20 @@
 	began, stalled := time.Now(), c.stalled()
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return Answer{}, broken(ctx, connected.Load(), err)
+		return Answer{}, roundTripError(ctx, connected.Load(), err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := c.read(ctx, resp)
-	answer.RunTime = max(time.Since(began)-(c.stalled()-stalled), leastRunTime)
+	answer.RunTime = max(time.Since(began)-(c.stalled()-stalled), minRunTime)
 	return answer, err
 }
 
-// request builds the request so that net/http's Transport can't send it twice:
-// POST, without GetBody and without an Idempotency-Key header. The Transport is
-// used without a Client, which would follow a redirect.
+// request builds the request so that net/http's Transport can't send it twice: a POST
+// without GetBody and without an Idempotency-Key header. The Transport is used without
+// a Client, which would follow redirects.
 func (c *Client) request(ctx context.Context, connected *atomic.Bool, r Request) (*http.Request, error) {
-	// A request that never got a connection was not written. Anything later
-	// counts as written: the transport does not tell reliably how much left.
+	// A request that never got a connection was not written. Any later failure counts
+	// as written, because the transport does not reliably report how much was sent.
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url, io.NopCloser(bytes.NewReader(r.Payload)))
@@ -208,14 +210,15 @@
 	req.Header.Set("Content-Type", "application/octet-stream")
 	req.Header.Set(headerTask, r.Task)
 	req.Header.Set(headerKind, r.Kind)
-	req.Header.Set(headerCustomer, r.Customer)
+	req.Header.Set(headerClient, r.Customer)
 	req.Header.Set(headerRunLimit, strconv.FormatInt(r.RunLimit.Milliseconds(), 10))
 	req.Header.Set(headerDigest, digestPrefix+base64.StdEncoding.EncodeToString(digest[:])+digestSuffix)
 	return req, nil
 }
 
-// broken turns a failed round trip into the layer's errors.
-func broken(ctx context.Context, connected bool, err error) error {
+// roundTripError converts the error of a failed round trip into an error of this
+// package.
+func roundTripError(ctx context.Context, connected bool, err error) error {
 	if !connected {
 		return eris.Wrap(ErrNotSent, err.Error())
 	}
@@ -227,14 +230,14 @@
 
 func (c *Client) read(ctx context.Context, resp *http.Response) (Answer, error) {
 	if resp.StatusCode != http.StatusOK {
-		return Answer{}, rejected(resp)
+		return Answer{}, statusError(resp)
 	}
 	if resp.ContentLength > c.maxAnswer {
 		return Answer{}, eris.Wrapf(ErrTruncated, "answer of %d bytes is over the limit", resp.ContentLength)
 	}
 	payload, err := readAll(resp)
 	if err != nil {
-		return Answer{}, cutShort(ctx, err)
+		return Answer{}, readError(ctx, err)
 	}
 	digest := sha256.Sum256(payload)
 	if !digestMatches(resp.Header.Get(headerDigest), digest) {
@@ -243,9 +246,9 @@
 	return Answer{Payload: payload, Digest: digest}, nil
 }
 
-// rejected reads a status other than 200.
-func rejected(resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
+// statusError converts a response with a status other than 200 into an error.
+func statusError(resp *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 	message := resp.Status + ": " + strings.TrimSpace(string(text))
 	refusing := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	if refusing && resp.Header.Get(headerRan) == ranNo {
@@ -263,9 +266,10 @@
 	return payload, err
 }
 
-// cutShort turns a broken answer into the layer's errors. The status line was
-// read, so the task ran; whether a stopped one ended can't be told.
-func cutShort(ctx context.Context, err error) error {
+// readError converts an error while reading the response into an error of this package.
+// The status line was read, so the task ran; for an interrupted call it is unknown
+// whether the task finished.
+func readError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrRunLimit) {
 		return ErrRunLimit
@@ -276,8 +280,8 @@
 	return eris.Wrap(ErrTruncated, err.Error())
 }
 
-// digestMatches reports whether a Content-Digest header agrees; one without a
-// SHA-256 agrees with anything.
+// digestMatches reports whether a Content-Digest header matches the digest. A header
+// without a SHA-256 digest matches any.
 func digestMatches(header string, digest [sha256.Size]byte) bool {
 	for _, field := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), digestPrefix)
--- a/entry/fleet/bare/client_test.go
+++ b/entry/fleet/bare/client_test.go
@@ -33,8 +33,8 @@
 	return Request{Task: "j1/3", Kind: "lookup", Customer: "c1", RunLimit: time.Minute, Payload: []byte(payload)}
 }
 
-// cutOff closes the connection of a handler without a word.
-func cutOff(w http.ResponseWriter, before string) {
+// closeConnection writes the given text and closes the connection of a handler.
+func closeConnection(w http.ResponseWriter, before string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -67,19 +67,19 @@
 		{"redirect", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/v1/run", http.StatusTemporaryRedirect)
 		}, ErrFailed},
-		{"cut before an answer", func(w http.ResponseWriter, _ *http.Request) { cutOff(w, "") }, ErrLost},
+		{"cut before an answer", func(w http.ResponseWriter, _ *http.Request) { closeConnection(w, "") }, ErrLost},
 		{"cut in the answer", func(w http.ResponseWriter, _ *http.Request) {
-			cutOff(w, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
+			closeConnection(w, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
 		}, ErrTruncated},
 		{"no length", func(w http.ResponseWriter, _ *http.Request) {
-			cutOff(w, "HTTP/1.1 200 OK\r\n\r\npart")
+			closeConnection(w, "HTTP/1.1 200 OK\r\n\r\npart")
 		}, ErrTruncated},
 		{"wrong digest", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headerDigest, "sha-256=:AAAA:")
 			_, _ = io.WriteString(w, "part")
 		}, ErrTruncated},
 		{"too long", func(w http.ResponseWriter, _ *http.Request) {
-			cutOff(w, "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n")
+			closeConnection(w, "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n")
 		}, ErrTruncated},
 	}
 	for _, c := range cases {
@@ -100,9 +100,9 @@
 	}
 }
 
-// The run limit, or the caller, ends a call that the runner has begun. It may have
-// run; the runner sees its connection close.
-func TestCallIsStopped(t *testing.T) {
+// The run limit or the caller ends a call that the runner has begun to execute. The
+// task may have run; the runner sees its connection close.
+func TestCallIsInterrupted(t *testing.T) {
 	stopped := make(chan struct{}, 2)
 	client := newRunner(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -122,7 +122,7 @@
 	<-stopped
 }
 
-// Nothing listens: the task did not start.
+// Nothing listens at the address: the task did not start.
 func TestCallNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -136,10 +136,10 @@
 	assert.Assert(t, errors.Is(err, ErrNotSent), "%v", err)
 }
 
-// A runner closes connections at every moment: between requests, after the
-// request line, after the body, in the answer. net/http sends some requests again
-// on a reused connection that broke; a call must reach the runner at most once,
-// and "not sent" must be true.
+// A runner closes connections at arbitrary points: between requests, after the request
+// line, after the body, during the response. net/http resends some requests if a reused
+// connection fails. A call must reach the runner at most once, and "not sent" must be
+// true.
 func TestCallIsSentOnceOverBrokenConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -155,16 +155,16 @@
 		}
 		_, _ = w.Write(body)
 	})}
-	go func() { _ = server.Serve(&cuttingListener{Listener: listener}) }()
+	go func() { _ = server.Serve(&breakingListener{Listener: listener}) }()
 	defer func() { _ = server.Close() }()
 	client := New(Options{Address: listener.Addr().String(), Connections: 8})
 	defer client.Close()
 
 	outcomes := make([]error, 400)
 	var all sync.WaitGroup
-	for worker := range 8 {
+	for caller := range 8 {
 		all.Go(func() {
-			for n := worker; n < len(outcomes); n += 8 {
+			for n := caller; n < len(outcomes); n += 8 {
 				r := request(string(bytes.Repeat([]byte{'p'}, n%23)))
 				r.Task = fmt.Sprint("j1/", n)
 				_, outcomes[n] = client.Call(context.Background(), r)
@@ -172,43 +172,43 @@
 		})
 	}
 	all.Wait()
-	// A request whose call has broken may still reach the handler.
+	// A request whose call failed may still reach the handler.
 	assert.NilError(t, server.Shutdown(context.Background()))
 
 	mu.Lock()
 	defer mu.Unlock()
-	broken := 0
+	failures := 0
 	for n, err := range outcomes {
 		count := seen[fmt.Sprint("j1/", n)]
 		assert.Assert(t, count <= 1, "task %d arrived %d times", n, count)
-		assert.Assert(t, !errors.Is(err, ErrNotSent) || count == 0, "task %d ran, said not sent", n)
+		assert.Assert(t, !errors.Is(err, ErrNotSent) || count == 0, "task %d ran but was reported as not sent", n)
 		if err != nil {
-			broken++
+			failures++
 		}
 	}
-	assert.Assert(t, broken > 0 && broken < len(outcomes), "%d of %d broke", broken, len(outcomes))
+	assert.Assert(t, failures > 0 && failures < len(outcomes), "%d of %d failed", failures, len(outcomes))
 }
 
-// cuttingListener closes each connection after a number of bytes of its own.
-type cuttingListener struct {
+// breakingListener closes each connection after a different number of bytes.
+type breakingListener struct {
 	net.Listener
 	count atomic.Int64
 }
 
-func (l *cuttingListener) Accept() (net.Conn, error) {
+func (l *breakingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &cuttingConn{Conn: c, left: 100 + 131*l.count.Add(1)%1900}, nil
+	return &breakingConn{Conn: c, left: 100 + 131*l.count.Add(1)%1900}, nil
 }
 
-type cuttingConn struct {
+type breakingConn struct {
 	net.Conn
 	left int64
 }
 
-func (c *cuttingConn) Read(p []byte) (int, error) {
+func (c *breakingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p[:min(len(p), 64)])
 	c.left -= int64(n)
 	if c.left <= 0 {
--- a/entry/fleet/bare/stall_test.go
+++ b/entry/fleet/bare/stall_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against learning the time for which this process was suspended as a task's run time.
-func TestRunTimeLeavesOutStalls(t *testing.T) {
+// Verifies that time during which this process was suspended does not count as a task's
+// run time.
+func TestRunTimeExcludesStalls(t *testing.T) {
 	const run, suspended = 50 * time.Millisecond, time.Second
 	var stalled atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
