--- a/entry/fleet/limit/limit.go
+++ b/entry/fleet/limit/limit.go
@@ -1,6 +1,6 @@
-// Package limit adapts the number of calls under way to how long their answers take. A
-// process short of processor time that starts many at once makes all of them late, and
-// takes its own lateness for the silence of those it calls.
+// Package limit adapts the number of concurrent calls to their response times. A
+// process short of CPU time that starts many calls at once delays all of them, and then
+// mistakes its own delay for unresponsive peers.
 package limit
 
 import (
@@ -11,64 +11,65 @@
 )
 
 const (
-	// decrease is the part of the limit that is left after a slow answer.
-	decrease = 0.5
-	// smoothing is the number of answers over which their time is averaged.
-	smoothing = 8
+	// decreaseFactor is applied to the limit after a slow response.
+	decreaseFactor = 0.5
+	// latencySamples is the number of responses over which the latency is averaged.
+	latencySamples = 8
 )
 
-// Options of a Limit. All are required.
+// Options configures a Limit. All fields are required.
 type Options struct {
-	// First is the limit at the beginning, Least and Most bound it.
+	// First is the initial limit; Least and Most bound it.
 	First, Least, Most int
-	// Fast is the longest that an answer takes which raises the limit, Slow the shortest
-	// of one which lowers it.
+	// A response that takes at most Fast raises the limit; one that takes at least Slow
+	// lowers it.
 	Fast, Slow time.Duration
 }
 
-// Limit bounds the calls under way. It is safe for concurrent use.
+// Limit bounds the number of concurrent calls. It is safe for concurrent use.
 type Limit struct {
 	opts Options
 
-	mu    sync.Mutex
-	limit float64
-	held  int
-	// typical is the smoothed time of answers, zero before the first.
-	typical time.Duration
-	// waiting are those without room, the first to come first. Each channel is closed once
-	// its call is counted.
+	mu       sync.Mutex
+	limit    float64
+	inFlight int
+	// latency is the smoothed response time, zero before the first response.
+	latency time.Duration
+	// waiting is the FIFO queue of calls that wait for admission. Each channel is
+	// closed once its call is counted as in flight.
 	waiting []chan struct{}
 }
 
 // New returns a Limit.
 func New(o Options) *Limit { return &Limit{opts: o, limit: float64(o.First)} }
 
-// Acquire waits for room for one call; false when ctx ended first.
+// Acquire waits until one call may start. It returns false if ctx ended first.
 func (l *Limit) Acquire(ctx context.Context) bool {
-	turn := l.join()
+	admitted := l.enqueue()
 	select {
-	case <-turn:
+	case <-admitted:
 		return true
 	case <-ctx.Done():
 	}
-	return !l.leave(turn)
+	return !l.dequeue(admitted)
 }
 
-// join returns a channel that is closed once the call has room.
-func (l *Limit) join() chan struct{} {
+// enqueue returns a channel that is closed once the call is admitted.
+func (l *Limit) enqueue() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	turn := make(chan struct{})
-	l.waiting = append(l.waiting, turn)
+	admitted := make(chan struct{})
+	l.waiting = append(l.waiting, admitted)
 	l.admit()
-	return turn
+	return admitted
 }
 
-// leave gives up waiting; false when the call has got room in the same moment.
-func (l *Limit) leave(turn chan struct{}) bool {
+// dequeue removes a waiting call. It returns false if the call was admitted at the same
+// moment.
+func (l *Limit) dequeue(admitted chan struct{}) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i := slices.Index(l.waiting, turn)
+	i := slices.Index(l.waiting, admitted)
 	if i < 0 {
 		return false
 	}
@@ -76,62 +77,64 @@
 	return true
 }
 
-// admit counts those for whom there is room; l.mu is held.
+// admit admits waiting calls up to the limit. The caller holds l.mu.
 func (l *Limit) admit() {
-	for len(l.waiting) > 0 && l.held < int(l.limit) {
+	for len(l.waiting) > 0 && l.inFlight < int(l.limit) {
 		close(l.waiting[0])
 		l.waiting = l.waiting[1:]
-		l.held++
+		l.inFlight++
 	}
 }
 
-// Answered releases a call that was answered after a time.
+// Answered releases a call that got its response after the given time.
 func (l *Limit) Answered(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.adapt(took)
-	l.held--
+	l.inFlight--
 	l.admit()
 }
 
-// AnsweredLate takes note of the answer to a call that was released before.
+// AnsweredLate records the response to a call that was already released.
 func (l *Limit) AnsweredLate(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.adapt(took)
 }
 
-// adapt follows the time of one answer; l.mu is held.
+// adapt updates the latency and the limit from the time of one response. The caller
+// holds l.mu.
 func (l *Limit) adapt(took time.Duration) {
-	if l.typical == 0 {
-		l.typical = took
+	if l.latency == 0 {
+		l.latency = took
 	}
-	l.typical += (took - l.typical) / smoothing
+	l.latency += (took - l.latency) / latencySamples
 	switch {
 	case took <= l.opts.Fast:
 		l.limit = min(l.limit+1, float64(l.opts.Most))
 	case took >= l.opts.Slow:
-		l.limit = max(l.limit*decrease, float64(l.opts.Least))
+		l.limit = max(l.limit*decreaseFactor, float64(l.opts.Least))
 	}
 }
 
-// Release releases a call that has no answer. That says nothing of the caller: whoever was
-// called may be gone.
+// Release releases a call without a response. It does not change the limit: a missing
+// response says nothing about the load of this process, because the called peer may be
+// gone.
 func (l *Limit) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held--
+	l.inFlight--
 	l.admit()
 }
 
-// Typical is how long answers take of late, zero before the first.
+// Typical returns the recent response time, zero before the first response.
 func (l *Limit) Typical() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.typical
+	return l.latency
 }
 
-// Value is the present limit.
+// Value returns the current limit.
 func (l *Limit) Value() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/fleet/limit/limit_test.go
+++ b/entry/fleet/limit/limit_test.go
@@ -21,21 +21,21 @@
 	}
 }
 
-// full reports whether the next call would have to wait.
-func full(l *Limit) bool {
-	turn := l.join()
-	return l.leave(turn)
+// isFull reports whether the next call would have to wait.
+func isFull(l *Limit) bool {
+	admitted := l.enqueue()
+	return l.dequeue(admitted)
 }
 
-func TestLimitGrowsWithFastAnswers(t *testing.T) {
+func TestLimitGrowsWithFastResponses(t *testing.T) {
 	l := newLimit()
 	acquire(t, l, 4)
-	assert.Assert(t, full(l))
+	assert.Assert(t, isFull(l))
 	for range 4 {
 		l.Answered(10 * ms)
 	}
 	acquire(t, l, 8)
-	assert.Assert(t, full(l))
+	assert.Assert(t, isFull(l))
 	for range 100 {
 		l.Answered(10 * ms)
 		acquire(t, l, 1)
@@ -43,8 +43,9 @@
 	assert.Equal(t, l.Value(), 16)
 }
 
-// Guards against a late process that starts as many calls as one that is on time.
-func TestLimitShrinksWithSlowAnswers(t *testing.T) {
+// Verifies that an overloaded process starts fewer concurrent calls than one that is
+// not.
+func TestLimitShrinksWithSlowResponses(t *testing.T) {
 	l := newLimit()
 	acquire(t, l, 4)
 	l.Answered(70 * ms)
@@ -55,12 +56,12 @@
 	assert.Equal(t, l.Value(), 2)
 	assert.Assert(t, l.Typical() > 70*ms && l.Typical() < 200*ms, "%s", l.Typical())
 	acquire(t, l, 2)
-	assert.Assert(t, full(l))
+	assert.Assert(t, isFull(l))
 }
 
-// Guards against more calls being started because the answers of a late process come only
-// after their places were given back.
-func TestAnswersAfterTheReleaseLowerTheLimit(t *testing.T) {
+// Verifies that the limit decreases even if the responses of an overloaded process
+// arrive only after their calls were released.
+func TestLateResponsesLowerTheLimit(t *testing.T) {
 	l := newLimit()
 	acquire(t, l, 4)
 	for range 4 {
@@ -69,28 +70,30 @@
 	}
 	assert.Equal(t, l.Value(), 2)
 	acquire(t, l, 2)
-	assert.Assert(t, full(l))
+	assert.Assert(t, isFull(l))
 }
 
-// Guards against a caller that has left and is given room which nobody gives back.
-func TestWhoeverLeavesHoldsNothing(t *testing.T) {
+// Verifies that a caller that gave up waiting is not admitted, because nobody would
+// release its call.
+func TestCancelledAcquireHoldsNothing(t *testing.T) {
 	l := newLimit()
 	acquire(t, l, 4)
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	assert.Assert(t, !l.Acquire(ctx))
-	next := l.join()
+	next := l.enqueue()
 	l.Release()
 	<-next
-	assert.Assert(t, full(l))
+	assert.Assert(t, isFull(l))
 }
 
-// Guards against a lost rack that holds up the handshakes with all other guards.
-func TestSilenceLeavesTheLimit(t *testing.T) {
+// Verifies that unresponsive guards, such as those of a failed rack, do not delay the
+// handshakes with all others.
+func TestMissingResponsesKeepTheLimit(t *testing.T) {
 	l := newLimit()
 	for range 100 {
 		acquire(t, l, 4)
-		assert.Assert(t, full(l))
+		assert.Assert(t, isFull(l))
 		for range 4 {
 			l.Release()
 		}
