--- a/entry/fleet/window/window.go
+++ b/entry/fleet/window/window.go
@@ -1,16 +1,16 @@
-// Package window numbers the starts of one session and keeps its low watermark:
-// the lowest number still open. Everything below the watermark is settled at the
-// entry, so the guard may forget it and refuses it.
+// Package window assigns sequence numbers to the starts of one session and tracks its
+// low watermark: the lowest number that is still open. Everything below the watermark
+// is settled at the entry, so the guard may forget it, and refuses it.
 package window
 
 import "sync"
 
-// Window is safe for concurrent use.
+// Window tracks the open sequence numbers of a session. It is safe for concurrent use.
 type Window struct {
 	mu   sync.Mutex
 	next uint64
 	low  uint64
-	// closed holds the numbers above low that are settled already.
+	// closed holds the numbers above low that are already settled.
 	closed map[uint64]struct{}
 	open   int
 }
@@ -20,8 +20,8 @@
 	return &Window{next: 1, low: 1, closed: map[uint64]struct{}{}}
 }
 
-// Open takes the next number. low is the watermark at that moment and is never
-// above seq.
+// Open assigns the next number. low is the watermark at that moment and is never above
+// seq.
 func (w *Window) Open() (seq, low uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -31,7 +31,7 @@
 	return seq, w.low
 }
 
-// Close settles a number for good. A number is closed once.
+// Close settles a number permanently. It must be called once per number.
 func (w *Window) Close(seq uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +57,7 @@
 	return w.low
 }
 
-// Count returns how many numbers are open.
+// Count returns the number of open sequence numbers.
 func (w *Window) Count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/fleet/window/window_test.go
+++ b/entry/fleet/window/window_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed makes every run check the same cases; -rapid.seed replaces it.
+// A fixed seed makes every run check the same cases; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-// The watermark never passes an open number and never lags behind a settled one.
-// The oracle is the set of open numbers.
+// The watermark never passes an open number and never lags behind a settled one. The
+// model is the set of open numbers.
 func TestWatermarkIsTheLowestOpen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New()
