--- a/guard/runs/crash.go
+++ b/guard/runs/crash.go
@@ -8,89 +8,91 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// mostBeside bounds the tasks that a report on a crash names.
-const mostBeside = 16
+// maxOtherTasks bounds how many tasks of other runs a crash report names.
+const maxOtherTasks = 16
 
-// Crash is what is known of a run whose runner crashed under it.
+// Crash describes the crash of a runner process from the point of view of one of its runs.
 type Crash struct {
 	// Runner is the process that crashed.
 	Runner work.Incarnation
-	// Others counts the other runs that were there, or may have begun.
+	// Others counts the other runs that the process had, including starts it had not answered.
 	Others int
-	// Newest is true for the run that began last: most tasks that crash their runner do
-	// so soon after their start.
+	// Newest is true for the run that started last: most tasks that crash their runner do so
+	// soon after their start.
 	Newest bool
-	// Beside names some of the others' tasks.
+	// Beside names the tasks of up to maxOtherTasks of the other runs.
 	Beside []work.TaskID
 }
 
-// Replace takes note that a process is there that carries out no start sent to the one before.
-// The older one has crashed unless it was about to leave; what ended with an older guard's host
-// is not reported here, as its runs are not in this account.
+// Replace records that another process runs in the place of the current one and executes no
+// start that was sent to the current one. The current process has crashed unless it was
+// draining. Runs that a previous guard process started and that ended with their runner are
+// not reported here, because this table does not hold them.
 func (b *Table) Replace(now time.Duration) []Report {
 	var reports []Report
 	if b.runner != nil && !b.runner.draining {
-		reports = b.crashed(now, func(*run) bool { return false })
+		reports = b.reportCrashes(now, func(*run) bool { return false })
 	}
 	for _, r := range b.runs {
-		reports = append(reports, b.over(now, r, Stopped)...)
+		reports = append(reports, b.end(now, r, Stopped)...)
 	}
 	b.runner = nil
 	return reports
 }
 
-// crashed reports to the owners of all runs that the runner crashed, also to those who know
-// already that its lease had run out: that it crashed may show with its next process only. Those
-// withheld are reported on later. Which of the
-// runs did it, if one did, is for the entries to find out: each sees its own jobs only.
-func (b *Table) crashed(now time.Duration, withheld func(*run) bool) []Report {
-	there := make([]*run, 0, len(b.runs))
+// reportCrashes reports the crash of the runner process to the owners of all its runs except
+// those that deferred selects; these are reported on later. Owners that were already told that
+// the lease had expired get the report too, because the crash may become known only with the
+// next process. Which run caused the crash, if one did, is for the entries to find out: each
+// entry sees its own jobs only.
+func (b *Table) reportCrashes(now time.Duration, deferred func(*run) bool) []Report {
+	active := make([]*run, 0, len(b.runs))
 	for _, r := range b.runs {
-		there = append(there, r)
+		active = append(active, r)
 	}
-	slices.SortFunc(there, byBegin)
+	slices.SortFunc(active, byStartTime)
 	var reports []Report
-	for i, r := range there {
-		if r.blamed || withheld(r) {
+	for i, r := range active {
+		if r.crashReported || deferred(r) {
 			continue
 		}
-		r.blamed = true
-		crash := &Crash{Runner: b.runner.Incarnation, Others: len(there) - 1, Newest: i == len(there)-1, Beside: besides(there, r)}
+		r.crashReported = true
+		crash := &Crash{Runner: b.runner.Incarnation, Others: len(active) - 1, Newest: i == len(active)-1, Beside: otherTasks(active, r)}
 		reports = append(reports, b.reportCrash(now, r, crash))
 	}
 	return reports
 }
 
 func (b *Table) reportCrash(now time.Duration, r *run, c *Crash) Report {
-	if !r.reported {
-		r.reported = true
-		b.order = append(b.order, r.id)
+	if !r.endReported {
+		r.endReported = true
+		b.endedOrder = append(b.endedOrder, r.id)
 	}
-	report := Report{Owner: r.owner, Run: r.id, State: Crashed, Began: r.began, Over: now, Crash: c}
-	b.ended[r.id] = fate{report, now}
+	report := Report{Owner: r.owner, Run: r.id, State: Crashed, Began: r.startedAt, Over: now, Crash: c}
+	b.endedRuns[r.id] = endedRun{report, now}
 	return report
 }
 
-// byBegin orders runs by when they began; those of one moment by name, so that the same
-// history gives the same reports.
-func byBegin(a, b *run) int {
+// byStartTime orders runs by start time, and runs with the same start time by task id, so that
+// the same history yields the same reports.
+func byStartTime(a, b *run) int {
 	x, y := a.id.Task, b.id.Task
-	return cmp.Or(cmp.Compare(a.since(), b.since()), cmp.Compare(x.Job, y.Job), cmp.Compare(x.Step, y.Step), cmp.Compare(x.Index, y.Index))
+	return cmp.Or(cmp.Compare(a.startTime(), b.startTime()), cmp.Compare(x.Job, y.Job), cmp.Compare(x.Step, y.Step), cmp.Compare(x.Index, y.Index))
 }
 
-// since is when the run began, or was ordered when that isn't known: a task may crash its
-// runner before the start is answered.
-func (r *run) since() time.Duration {
+// startTime returns when the run started, or when it was ordered if its start was not
+// answered: a task may crash its runner before the start is answered.
+func (r *run) startTime() time.Duration {
 	if r.started {
-		return r.began
+		return r.startedAt
 	}
-	return r.entered
+	return r.orderedAt
 }
 
-func besides(there []*run, r *run) []work.TaskID {
+func otherTasks(active []*run, r *run) []work.TaskID {
 	var tasks []work.TaskID
-	for _, o := range there {
-		if o != r && len(tasks) < mostBeside {
+	for _, o := range active {
+		if o != r && len(tasks) < maxOtherTasks {
 			tasks = append(tasks, o.id.Task)
 		}
 	}
--- a/guard/runs/crash_test.go
+++ b/guard/runs/crash_test.go
@@ -8,18 +8,18 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// A runner crashes under three runs of two entries. Each owner gets one report, with what else
-// was there; the start that was never answered counts, as a task may crash its runner before
-// the answer.
-func TestCrashNamesAllThatWasThere(t *testing.T) {
-	b := newBook(8)
-	old := mustStart(t, b, begin, entryA, order("old", 0))
-	_, _ = b.Started(begin+ms, old.Name)
-	other := mustStart(t, b, begin+5*ms, entryB, order("other", 0))
-	_, _ = b.Started(begin+6*ms, other.Name)
-	mustStart(t, b, begin+9*ms, entryA, order("unanswered", 0))
+// Guards against a run missing from the crash reports: a runner with three runs of two entries
+// crashes, and each owner gets one report that counts the other runs. An unanswered start
+// counts too, because a task may crash its runner before the start is answered.
+func TestCrashReportsCountAllRuns(t *testing.T) {
+	b := newTable(8)
+	old := mustStart(t, b, testStart, entryA, order("old", 0))
+	_, _ = b.Started(testStart+ms, old.Name)
+	other := mustStart(t, b, testStart+5*ms, entryB, order("other", 0))
+	_, _ = b.Started(testStart+6*ms, other.Name)
+	mustStart(t, b, testStart+9*ms, entryA, order("unanswered", 0))
 	got := map[string]Report{}
-	for _, r := range b.Lapse(begin+700*ms, true) {
+	for _, r := range b.Lapse(testStart+700*ms, true) {
 		assert.Equal(t, r.State, Crashed)
 		assert.Equal(t, r.Crash.Others, 2)
 		assert.Equal(t, len(r.Crash.Beside), 2)
@@ -27,46 +27,49 @@
 	}
 	assert.Equal(t, len(got), 3)
 	assert.Assert(t, got["unanswered"].Crash.Newest && !got["old"].Crash.Newest && !got["other"].Crash.Newest)
-	assert.Equal(t, len(b.Adopt(begin+3000*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})), 0, "reported once")
+	assert.Equal(t, len(b.Adopt(testStart+3000*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})), 0, "reported once")
 	assert.Equal(t, b.Capacity().Used, work.Amounts{})
 }
 
-// A runner that answers nothing may go on, and one that said that it leaves ended as planned:
-// neither crashed, and its tasks are blamed for nothing.
+// Guards against planned ends and unresponsiveness being reported as crashes: an unresponsive
+// runner may continue, and a draining one ended as planned, so their tasks must not become
+// suspects.
 func TestSilenceAndPlannedEndsAreNoCrash(t *testing.T) {
-	b := newBook(1)
-	mustStart(t, b, begin, entryA, order("j", 0))
-	assert.Equal(t, b.Lapse(begin+700*ms, false)[0].State, Stopped)
-	b = newBook(1)
-	mustStart(t, b, begin, entryA, order("j", 0))
+	b := newTable(1)
+	mustStart(t, b, testStart, entryA, order("j", 0))
+	assert.Equal(t, b.Lapse(testStart+700*ms, false)[0].State, Stopped)
+	b = newTable(1)
+	mustStart(t, b, testStart, entryA, order("j", 0))
 	b.Describe(need, nil, true)
-	assert.Equal(t, b.Adopt(begin+700*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})[0].State, Stopped)
-	b = newBook(1)
-	mustStart(t, b, begin, entryA, order("j", 0))
-	assert.Equal(t, b.Lose(begin + 700*ms)[0].State, Stopped)
+	assert.Equal(t, b.Adopt(testStart+700*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})[0].State, Stopped)
+	b = newTable(1)
+	mustStart(t, b, testStart, entryA, order("j", 0))
+	assert.Equal(t, b.Lose(testStart + 700*ms)[0].State, Stopped)
 }
 
-// A host goes dark with its runner: nothing answers until the lease has run out, and the next
-// life shows that the older one crashed. The owner learns of it then, once: left out, a task that
-// takes its runner's host down would never be suspected.
-func TestCrashThatLookedLikeSilenceIsToldLater(t *testing.T) {
-	b := newBook(1)
-	mustStart(t, b, begin, entryA, order("j", 0))
-	assert.Equal(t, b.Lapse(begin+700*ms, false)[0].State, Stopped)
-	got := b.Adopt(begin+3000*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})
+// Guards against a missed crash: a host fails together with its runner, nothing answers until
+// the lease has expired, and only the next process shows that the previous one crashed. The
+// owner must be told then, once, or a task that crashes the whole host would never become a
+// suspect.
+func TestCrashAfterLeaseExpiryIsReportedLater(t *testing.T) {
+	b := newTable(1)
+	mustStart(t, b, testStart, entryA, order("j", 0))
+	assert.Equal(t, b.Lapse(testStart+700*ms, false)[0].State, Stopped)
+	got := b.Adopt(testStart+3000*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Crashed)
-	assert.Equal(t, len(b.Adopt(begin+3100*ms, Process{Incarnation: work.Incarnation{ID: "i3"}})), 0)
+	assert.Equal(t, len(b.Adopt(testStart+3100*ms, Process{Incarnation: work.Incarnation{ID: "i3"}})), 0)
 }
 
-// An entry attaches again after its stream broke and asks for a run that the runner's crash
-// ended meanwhile: it learns of the crash, or the task would be started without end.
-func TestCrashIsToldAfterTheStreamBroke(t *testing.T) {
-	b := newBook(1)
+// Guards against a task that is started endlessly: an entry reconnects after its stream broke
+// and asks for a run that ended with the runner's crash in between; it must be told of the
+// crash.
+func TestCrashIsReportedAfterReconnect(t *testing.T) {
+	b := newTable(1)
 	x := order("j", 0)
-	mustStart(t, b, begin, entryA, x)
-	b.Replace(begin + 100*ms)
-	got := b.Resume(begin+200*ms, entryA, []work.RunID{x.Run})
+	mustStart(t, b, testStart, entryA, x)
+	b.Replace(testStart + 100*ms)
+	got := b.Resume(testStart+200*ms, entryA, []work.RunID{x.Run})
 	assert.Equal(t, got[0].State, Crashed)
 	assert.Assert(t, got[0].Crash != nil && got[0].Crash.Newest)
 }
--- a/guard/runs/process.go
+++ b/guard/runs/process.go
@@ -6,25 +6,25 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// known is what the runner's present process has said. It is replaced as a whole, so that nothing
-// of one process is taken for another's.
-type known struct {
+// processState is what the current runner process has reported. It is replaced as a whole, so
+// that no state of one process is attributed to another.
+type processState struct {
 	Process
-	// described is true once the process has said what it has.
+	// described is true once the process has reported its capacity.
 	described bool
-	// draining is set by the runner.
+	// draining is true once the process has reported that it is shutting down.
 	draining bool
-	// checked is true once an account of the process has been read: what an older
-	// guard left there is known from then on.
+	// checked is true once a run listing of the process has been read: from then on the runs
+	// that a previous guard process left there are known.
 	checked bool
-	// orphans are runs at the runner that this account doesn't hold; true while a
-	// stop of one is under way.
+	// orphans are runs at the runner that this table does not hold; the value is true while a
+	// stop of the run is in flight.
 	orphans map[work.RunName]bool
-	// seen is the highest end taken note of.
-	seen int64
+	// lastEndSeq is the highest sequence number of an ended run that has been read.
+	lastEndSeq int64
 }
 
-// Process returns the runner's process, nil when there is none.
+// Process returns the current runner process, nil if there is none.
 func (b *Table) Process() *Process {
 	if b.runner == nil {
 		return nil
@@ -32,63 +32,65 @@
 	return &b.runner.Process
 }
 
-// Adopt takes a new process of the runner, which has been fenced with a token above that of
-// the one before. The runs of the older process are over, but for those that the new one
-// lists: their starts reached it before the fence did.
+// Adopt makes p the current runner process. It has been fenced with a token above that of the
+// previous process. All runs of the previous process are over, except those that the new one
+// lists: their starts reached it before the fencing token did.
 func (b *Table) Adopt(now time.Duration, p Process, listed ...work.RunName) []Report {
-	moved := b.take(listed)
+	listedRuns := b.detach(listed)
 	reports := b.Replace(now)
-	for _, r := range moved {
-		b.enterAgain(r)
+	for _, r := range listedRuns {
+		b.reattach(r)
 	}
-	b.runner = &known{Process: p, orphans: map[work.RunName]bool{}}
+	b.runner = &processState{Process: p, orphans: map[work.RunName]bool{}}
 	return reports
 }
 
-// take takes the runs of the names out of the account. One that has been reported as over
-// stays: its task may have been started elsewhere, so it is an orphan at the next process.
-func (b *Table) take(names []work.RunName) []*run {
-	var taken []*run
+// detach removes the named runs from the table and returns them. A run that was already
+// reported as over stays: its task may have been started elsewhere, so the run counts as an
+// orphan at the next process.
+func (b *Table) detach(names []work.RunName) []*run {
+	var detached []*run
 	for _, n := range names {
-		if r := b.find(n); r != nil && !r.reported {
+		if r := b.find(n); r != nil && !r.endReported {
 			delete(b.runs, n.Task)
 			b.used = b.used.Sub(r.need)
-			taken = append(taken, r)
+			detached = append(detached, r)
 		}
 	}
-	return taken
+	return detached
 }
 
-// enterAgain takes a run into the account that runs at another process than its start was
-// sent to.
-func (b *Table) enterAgain(r *run) {
-	r.settled, r.until = 0, 0
-	r.barred, r.stopSent, r.inDoubt = false, false, false
+// reattach returns a detached run to the table; it runs at another process than the one its
+// start was sent to.
+func (b *Table) reattach(r *run) {
+	r.answeredAt, r.startValidUntil = 0, 0
+	r.stopAcked, r.stopSent, r.unresolved = false, false, false
 	b.runs[r.id.Task] = r
 	b.used = b.used.Add(r.need)
 }
 
-// Lose ends the runner's process without a successor; its runs are over, but for starts
-// without an answer where the runner may come back under its id.
+// Lose removes the runner process without a successor. Its runs are over, except for
+// unanswered starts if the runner may restart under the same id.
 func (b *Table) Lose(now time.Duration) []Report {
 	var reports []Report
 	for _, r := range b.runs {
-		if !b.doubt(r) {
-			reports = append(reports, b.over(now, r, Stopped)...)
+		if !b.markUnresolved(r) {
+			reports = append(reports, b.end(now, r, Stopped)...)
 		}
 	}
 	b.runner = nil
 	return reports
 }
 
-// doubt reports whether a process that is started under the id of this one may carry out the
-// run's start. Where processes don't say when they were started, each has an id of its own.
-func (b *Table) doubt(r *run) bool {
-	r.inDoubt = r.inDoubt || b.runner != nil && b.runner.Born > 0 && !r.started
-	return r.inDoubt
+// markUnresolved reports whether a process that is started under the id of the current one may
+// still execute the run's start, and remembers it in the run. Processes that do not report
+// their start time have an id of their own each, so for them it returns false.
+func (b *Table) markUnresolved(r *run) bool {
+	r.unresolved = r.unresolved || b.runner != nil && b.runner.Born > 0 && !r.started
+	return r.unresolved
 }
 
-// Describe takes what the current process says of itself.
+// Describe records the capacity, labels and drain state that the current process reports.
 func (b *Table) Describe(total work.Amounts, labels []string, draining bool) {
 	if b.runner == nil {
 		return
@@ -96,28 +98,28 @@
 	b.runner.described = true
 	b.runner.Total = total
 	b.runner.Labels = labels
-	// A process that leaves never comes back, so an older report that arrives late must
-	// not open it again.
+	// A draining process never returns to service, so an older report that arrives late must
+	// not reopen it.
 	b.runner.draining = b.runner.draining || draining
 }
 
-// Serves takes the service that the current process says it is of.
+// Serves records the service that the current process reports.
 func (b *Table) Serves(service string) {
 	if b.runner != nil {
 		b.runner.Service = service
 	}
 }
 
-// Expire reports on the starts in doubt whose callers no longer wait: no other start of their
-// tasks comes after that.
+// Expire reports on unresolved starts whose callers no longer wait: their tasks are not
+// started again after that.
 func (b *Table) Expire(now time.Duration) []Report {
 	var reports []Report
 	for _, r := range b.runs {
-		if !r.inDoubt || now < r.expires {
+		if !r.unresolved || now < r.deadline {
 			continue
 		}
 		if b.runner == nil {
-			reports = append(reports, b.over(now, r, Stopped)...)
+			reports = append(reports, b.end(now, r, Stopped)...)
 			continue
 		}
 		reports = append(reports, b.report(now, r, Stopped, Unwell)...)
--- a/guard/runs/resume.go
+++ b/guard/runs/resume.go
@@ -7,9 +7,9 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Resume compares the runs that an owner holds open with those here, after its
-// stream broke: each is reported on, others of the same entry are stopped. The
-// older stream delivers nothing any more, so a run that isn't here never starts.
+// Resume reconciles the runs that an owner considers open with the table after the owner's
+// stream broke. It reports on each open run and stops all other runs of the same entry. The
+// broken stream delivers no more orders, so an open run that is not in the table never starts.
 func (b *Table) Resume(now time.Duration, owner Owner, open []work.RunID) []Report {
 	for _, r := range b.runs {
 		if r.owner.Entry != owner.Entry {
@@ -21,14 +21,14 @@
 	}
 	var reports []Report
 	for _, id := range open {
-		r, here := b.runs[id.Task]
+		r, found := b.runs[id.Task]
 		switch {
-		case here && r.owner == owner && r.id == id && r.started:
-			reports = append(reports, Report{Owner: owner, Run: id, State: Running, Began: r.began})
-		case here && r.owner == owner && r.id == id:
-			// Its start is under way; the report follows.
+		case found && r.owner == owner && r.id == id && r.started:
+			reports = append(reports, Report{Owner: owner, Run: id, State: Running, Began: r.startedAt})
+		case found && r.owner == owner && r.id == id:
+			// Its start is in flight; the report follows.
 		default:
-			f, kept := b.ended[id]
+			f, kept := b.endedRuns[id]
 			if !kept || f.report.Owner != owner {
 				f.report = Report{Owner: owner, Run: id, State: NotStarted, Refusal: Unknown}
 			}
--- a/guard/runs/runs.go
+++ b/guard/runs/runs.go
@@ -1,6 +1,6 @@
-// Package runs is the guard's account of what its runner holds: which runs are
-// there, which may still come, what they take, and until when each may last. It
-// decides; package host carries out. It has no clock, input or output.
+// Package runs is the guard's table of the runs at its runner: which runs exist, which starts
+// may still be executed, the resources they reserve, and how long each may last. It only
+// decides; package host executes the decisions. It has no clock and does no I/O.
 package runs
 
 import (
@@ -11,21 +11,19 @@
 
 // Options of a Table. The zero value of a field takes its default.
 type Options struct {
-	// Silence is how long an entry may be silent before its runs are stopped.
+	// Silence is how long an entry may send nothing before its runs are stopped.
 	Silence time.Duration
-	// EndBound is the time after an entry's last sign of life by which its runs
-	// are over, also when the runner answers no order: the lease isn't extended
-	// beyond it.
+	// EndBound is the time after the last message of an entry by which its runs are over even
+	// if the runner answers no stop: the lease is not extended beyond it.
 	EndBound time.Duration
-	// Hold is the span that a lease is extended by.
+	// Hold is the duration by which a lease is extended.
 	Hold time.Duration
-	// Stale is the age above which an order isn't carried out.
+	// Stale is the age above which an order is rejected.
 	Stale time.Duration
 }
 
-// Defaults of Options. A caller whose connection broke submits its job again
-// after 1.3 s (the platform's resend_ms): what an entry started before must be
-// over by then.
+// Defaults of Options. A caller whose connection broke submits its job again after 1.3 s (the
+// platform's resend_ms); the runs that the first entry started must be over by then.
 const (
 	DefaultSilence  = 520 * time.Millisecond
 	DefaultEndBound = 1150 * time.Millisecond
@@ -33,74 +31,75 @@
 	DefaultStale    = 350 * time.Millisecond
 )
 
-// keepEnded is how long the fate of a run that is over is kept, for an entry
-// that attaches again and asks for it.
-const keepEnded = 10 * time.Second
+// endedRetention is how long the final report of a run is kept for an entry that reconnects
+// and asks for it.
+const endedRetention = 10 * time.Second
 
-// run is one start that may be at the runner.
+// run is one start that the runner may have received.
 type run struct {
 	id    work.RunID
 	owner Owner
 	name  work.RunName
 	need  work.Amounts
 	spec  string
-	// expires is when its caller stops waiting, uptime.
-	expires time.Duration
-	// entered is the uptime of its order.
-	entered time.Duration
-	// started is true once the runner has said so, and began is the uptime then.
-	started bool
-	began   time.Duration
-	// settled is the uptime from which the runner's account decides: its
-	// account asked for later holds the run, its end, or neither, and then the
-	// run is over. Zero while the start or its bar is unanswered.
-	settled time.Duration
-	// stopping is the uptime since which it is to end; zero if it isn't.
-	stopping time.Duration
-	// barred is true once the runner has acknowledged a stop.
-	barred bool
-	// stopSent keeps a second stop from being sent while one is under way.
+	// deadline is the uptime at which the caller stops waiting.
+	deadline time.Duration
+	// orderedAt is the uptime at which the order arrived.
+	orderedAt time.Duration
+	// started is true once the runner has confirmed the start, and startedAt is the uptime of
+	// the confirmation.
+	started   bool
+	startedAt time.Duration
+	// answeredAt is the uptime at which the start or a stop was answered, zero before that. A
+	// run listing requested later is conclusive: it contains the run, its end, or neither, and
+	// in the last case the run is over.
+	answeredAt time.Duration
+	// stoppingSince is the uptime at which the run was marked for stopping; zero if it is not.
+	stoppingSince time.Duration
+	// stopAcked is true once the runner has acknowledged a stop.
+	stopAcked bool
+	// stopSent is true while a stop is in flight; it prevents a second one.
 	stopSent bool
-	// until is the runner's time up to which the start order was valid.
-	until time.Duration
-	// reported is true once its owner knows that it is over, and blamed once it knows of the
-	// runner's crash.
-	reported, blamed bool
-	// inDoubt is true once the process that its start was sent to is over or silent, and the
-	// start may still be carried out by another under the same id.
-	inDoubt bool
+	// startValidUntil is the time on the runner's clock up to which the start is valid.
+	startValidUntil time.Duration
+	// endReported is true once the owner has been told that the run is over, and crashReported
+	// once it has been told of the runner's crash.
+	endReported, crashReported bool
+	// unresolved is true once the process that the start was sent to is over or unresponsive
+	// while another process under the same id may still execute the start.
+	unresolved bool
 }
 
-// fate is the last report on a run that is over.
-type fate struct {
+// endedRun is the final report on a run and the uptime at which it was made.
+type endedRun struct {
 	report Report
 	at     time.Duration
 }
 
-// Table is the account of what runs. It is not safe for concurrent use.
+// Table tracks the runs at the runner. It is not safe for concurrent use.
 type Table struct {
 	opt Options
-	// runner is nil while there is none.
-	runner *known
-	// leaving is set by the guard's own end.
-	leaving bool
-	used    work.Amounts
-	runs    map[work.TaskID]*run
-	// numbers are the highest run numbers used, by task.
-	numbers map[work.TaskID]numbered
-	alive   map[Owner]time.Duration
-	ended   map[work.RunID]fate
-	order   []work.RunID
-	// asked is what the newest order needed.
-	asked work.Amounts
+	// runner is the current process of the runner, nil if there is none.
+	runner *processState
+	// shuttingDown is true once the guard itself shuts down.
+	shuttingDown bool
+	used         work.Amounts
+	runs         map[work.TaskID]*run
+	// lastNumbers holds the highest run number used for each task.
+	lastNumbers map[work.TaskID]taskNumber
+	lastHeard   map[Owner]time.Duration
+	endedRuns   map[work.RunID]endedRun
+	endedOrder  []work.RunID
+	// lastNeed is the resource request of the latest order.
+	lastNeed work.Amounts
 }
 
-type numbered struct {
+type taskNumber struct {
 	number int
 	at     time.Duration
 }
 
-// New returns an empty account.
+// New returns an empty table.
 func New(o Options) *Table {
 	if o.Silence == 0 {
 		o.Silence = DefaultSilence
@@ -115,23 +114,25 @@
 		o.Stale = DefaultStale
 	}
 	return &Table{
-		opt:     o,
-		runs:    map[work.TaskID]*run{},
-		numbers: map[work.TaskID]numbered{},
-		alive:   map[Owner]time.Duration{},
-		ended:   map[work.RunID]fate{},
+		opt:         o,
+		runs:        map[work.TaskID]*run{},
+		lastNumbers: map[work.TaskID]taskNumber{},
+		lastHeard:   map[Owner]time.Duration{},
+		endedRuns:   map[work.RunID]endedRun{},
 	}
 }
 
-// Leave closes the guard for good.
-func (b *Table) Leave() { b.leaving = true }
+// Leave makes the table reject all starts from now on, because the guard shuts down.
+func (b *Table) Leave() { b.shuttingDown = true }
 
-// Open reports whether starts are taken.
-func (b *Table) Open() bool { return !b.leaving && b.runner != nil && b.runner.open() }
+// Open reports whether starts are accepted.
+func (b *Table) Open() bool { return !b.shuttingDown && b.runner != nil && b.runner.acceptsStarts() }
 
-func (k *known) open() bool { return k.described && k.checked && !k.draining && len(k.orphans) == 0 }
+func (k *processState) acceptsStarts() bool {
+	return k.described && k.checked && !k.draining && len(k.orphans) == 0
+}
 
-// Capacity returns what the runner has and what is taken.
+// Capacity returns the runner's capacity and the part of it that is reserved.
 func (b *Table) Capacity() Capacity {
 	if b.runner == nil {
 		return Capacity{}
@@ -139,15 +140,15 @@
 	return Capacity{Process: b.runner.Process, Open: b.Open(), Cleared: b.runner.checked && len(b.runner.orphans) == 0, Used: b.used}
 }
 
-// HasFree reports whether there is room for another run like the newest asked for.
+// HasFree reports whether another run of the size that was requested last fits.
 func (b *Table) HasFree() bool {
-	return b.Open() && b.asked.Fits(b.runner.Total.Sub(b.used))
+	return b.Open() && b.lastNeed.Fits(b.runner.Total.Sub(b.used))
 }
 
-// Idle reports whether nothing is at the runner.
+// Idle reports whether no runs, including orphans, are at the runner.
 func (b *Table) Idle() bool { return len(b.runs) == 0 && b.orphans() == 0 }
 
-// orphans counts the runs at the runner that this account doesn't hold.
+// orphans counts the runs at the runner that this table does not hold.
 func (b *Table) orphans() int {
 	if b.runner == nil {
 		return 0
@@ -155,49 +156,51 @@
 	return len(b.runner.orphans)
 }
 
-// Holds reports whether runs of this account are at the runner.
+// Holds reports whether the table contains runs.
 func (b *Table) Holds() bool { return len(b.runs) > 0 }
 
-// Checked reports whether an account of this life has been read.
+// Checked reports whether a run listing of the current process has been read.
 func (b *Table) Checked() bool { return b.runner != nil && b.runner.checked }
 
-// Seen is the highest end of the process taken note of.
+// Seen returns the highest sequence number of an ended run that has been read from the current
+// process.
 func (b *Table) Seen() int64 {
 	if b.runner == nil {
 		return 0
 	}
-	return b.runner.seen
+	return b.runner.lastEndSeq
 }
 
-// Alive takes note that the owner lived at the uptime given.
+// Alive records that the owner was alive at the given uptime.
 func (b *Table) Alive(o Owner, at time.Duration) {
-	if at > b.alive[o] {
-		b.alive[o] = at
+	if at > b.lastHeard[o] {
+		b.lastHeard[o] = at
 	}
 }
 
-// Ask decides on one ordered run. sent is the earliest uptime at which the owner
-// can have sent the order. The run is to be started, or refused with a report.
+// Ask decides on one ordered run: it returns either a start to send to the runner or a report
+// that rejects the order. sent is the earliest uptime at which the owner can have sent the
+// order.
 func (b *Table) Ask(now, sent time.Duration, owner Owner, o Order) (*Start, *Report) {
 	if why := b.refuse(now, sent, owner, o); why != NoRefusal {
 		return nil, &Report{Owner: owner, Run: o.Run, State: NotStarted, Refusal: why}
 	}
-	return b.enter(now, sent, owner, o), nil
+	return b.add(now, sent, owner, o), nil
 }
 
-// enter takes a run into the account.
-func (b *Table) enter(now, sent time.Duration, owner Owner, o Order) *Start {
-	n := max(o.Run.Attempt, b.numbers[o.Run.Task].number+1)
+// add inserts a run into the table and reserves its resources.
+func (b *Table) add(now, sent time.Duration, owner Owner, o Order) *Start {
+	n := max(o.Run.Attempt, b.lastNumbers[o.Run.Task].number+1)
 	r := &run{
-		id:      o.Run,
-		owner:   owner,
-		name:    work.RunName{Task: o.Run.Task, Number: n},
-		need:    o.Need,
-		spec:    o.Spec,
-		expires: sent + o.Life,
-		entered: now,
-	}
-	b.numbers[o.Run.Task] = numbered{n, now}
+		id:        o.Run,
+		owner:     owner,
+		name:      work.RunName{Task: o.Run.Task, Number: n},
+		need:      o.Need,
+		spec:      o.Spec,
+		deadline:  sent + o.Life,
+		orderedAt: now,
+	}
+	b.lastNumbers[o.Run.Task] = taskNumber{n, now}
 	b.runs[o.Run.Task] = r
 	b.used = b.used.Add(o.Need)
 	return &Start{Run: o.Run, Name: r.name, Spec: o.Spec}
@@ -210,58 +213,59 @@
 	if !b.Open() {
 		return Closed
 	}
-	if other, here := b.runs[o.Run.Task]; here {
-		// The caller has submitted its job again to another entry, so nobody
-		// waits for the older run any more.
+	if other, found := b.runs[o.Run.Task]; found {
+		// The caller has submitted its job again to another entry, so no caller waits for the
+		// older run any more.
 		if other.owner != owner {
 			b.stop(now, other)
 		}
 		return Closed
 	}
-	b.asked = o.Need
+	b.lastNeed = o.Need
 	if !o.Need.Fits(b.runner.Total.Sub(b.used)) {
 		return Full
 	}
 	return NoRefusal
 }
 
-// ValidUntil notes the runner's time up to which a start is valid.
+// ValidUntil records the time on the runner's clock up to which a start is valid.
 func (b *Table) ValidUntil(name work.RunName, until time.Duration) {
 	if r := b.find(name); r != nil {
-		r.until = max(r.until, until)
+		r.startValidUntil = max(r.startValidUntil, until)
 	}
 }
 
-// Started takes note that the runner has begun the run.
+// Started records that the runner has started the run.
 func (b *Table) Started(now time.Duration, name work.RunName) (Report, bool) {
 	r := b.find(name)
 	if r == nil {
 		return Report{}, false
 	}
-	r.settled = now
-	if r.started || r.reported {
+	r.answeredAt = now
+	if r.started || r.endReported {
 		return Report{}, false
 	}
-	return r.begin(now), true
+	return r.markRunning(now), true
 }
 
-// begin takes note that the run goes on.
-func (r *run) begin(now time.Duration) Report {
-	r.started, r.began, r.inDoubt = true, now, false
+// markRunning records that the run is running and returns the report on it.
+func (r *run) markRunning(now time.Duration) Report {
+	r.started, r.startedAt, r.unresolved = true, now, false
 	return Report{Owner: r.owner, Run: r.id, State: Running, Began: now}
 }
 
-// Declined takes note that the runner has not begun the run and won't.
+// Declined records that the runner has not started the run and will not start it.
 func (b *Table) Declined(now time.Duration, name work.RunName, why Refusal) []Report {
 	r := b.find(name)
 	if r == nil || r.started {
 		return nil
 	}
-	return b.close(now, r, NotStarted, why)
+	return b.endWithReason(now, r, NotStarted, why)
 }
 
-// Doubtful takes note that a start got no answer: it may be carried out later,
-// so the run keeps its room until a bar or its lease makes sure.
+// Doubtful records that a start was not answered. The runner may execute it later, so the run
+// keeps its reserved resources until an acknowledged stop or the end of its lease rules that
+// out.
 func (b *Table) Doubtful(now time.Duration, name work.RunName) {
 	r := b.find(name)
 	if r == nil || r.started {
@@ -270,18 +274,18 @@
 	b.stop(now, r)
 }
 
-// Barred takes note that the runner has acknowledged a stop at the uptime given.
+// Barred records that the runner acknowledged a stop at the given uptime.
 func (b *Table) Barred(now time.Duration, name work.RunName) {
 	r := b.find(name)
 	if r == nil {
 		return
 	}
 	r.stopSent = false
-	r.barred = true
-	r.settled = now
+	r.stopAcked = true
+	r.answeredAt = now
 }
 
-// StopFailed takes note that a stop was not acknowledged; it is sent again.
+// StopFailed records that a stop was not acknowledged; Stops returns it again.
 func (b *Table) StopFailed(name work.RunName) {
 	if r := b.find(name); r != nil {
 		r.stopSent = false
@@ -294,14 +298,14 @@
 	}
 }
 
-// Cancel stops a run at its owner's wish.
+// Cancel stops a run at its owner's request. It returns a report if the run is already over.
 func (b *Table) Cancel(now time.Duration, owner Owner, id work.RunID) (Report, bool) {
-	r, here := b.runs[id.Task]
-	if here && r.owner == owner && r.id == id {
+	r, found := b.runs[id.Task]
+	if found && r.owner == owner && r.id == id {
 		b.stop(now, r)
 		return Report{}, false
 	}
-	if f, kept := b.ended[id]; kept && f.report.Owner == owner {
+	if f, kept := b.endedRuns[id]; kept && f.report.Owner == owner {
 		return f.report, true
 	}
 	return Report{Owner: owner, Run: id, State: NotStarted, Refusal: Unknown}, true
@@ -316,52 +320,52 @@
 }
 
 func (b *Table) stop(now time.Duration, r *run) {
-	if r.stopping == 0 {
-		r.stopping = max(now, 1)
+	if r.stoppingSince == 0 {
+		r.stoppingSince = max(now, 1)
 	}
 }
 
-// Lapse tells the owners of all runs that these are over: the lease of the
-// runner, which answers nothing, has run out. Their room stays taken until the
-// runner itself accounts for them. A start without an answer may have been carried
-// out before the runner went silent, so none is reported as not started, and one that a
-// process under the same id may carry out is reported on later. gone is true when
-// the runner's process has ended; a runner that is silent may go on and has not crashed.
+// Lapse reports the end of all runs to their owners after the lease of an unresponsive runner
+// has expired. The runs keep their reserved resources until a run listing of the runner shows
+// that they are over. An unanswered start may have been executed before the runner became
+// unresponsive, so none is reported as not started; one that a process under the same id may
+// still execute is reported on later. gone is true if the runner's process has ended; a
+// process that is only unresponsive may continue and has not crashed.
 func (b *Table) Lapse(now time.Duration, gone bool) []Report {
 	if gone && b.runner != nil && !b.runner.draining {
-		return b.crashed(now, b.doubt)
+		return b.reportCrashes(now, b.markUnresolved)
 	}
 	var reports []Report
 	for _, r := range b.runs {
-		if !b.doubt(r) {
+		if !b.markUnresolved(r) {
 			reports = append(reports, b.report(now, r, Stopped, Unwell)...)
 		}
 	}
 	return reports
 }
 
-// over ends a run and gives its room back.
-func (b *Table) over(now time.Duration, r *run, s State) []Report {
-	return b.close(now, r, s, Unwell)
+// end ends a run and releases its resources.
+func (b *Table) end(now time.Duration, r *run, s State) []Report {
+	return b.endWithReason(now, r, s, Unwell)
 }
 
-func (b *Table) close(now time.Duration, r *run, s State, why Refusal) []Report {
+func (b *Table) endWithReason(now time.Duration, r *run, s State, why Refusal) []Report {
 	delete(b.runs, r.id.Task)
 	b.used = b.used.Sub(r.need)
 	return b.report(now, r, s, why)
 }
 
-// report makes the last report on a run, once.
+// reportEnd makes the final report on a run, once.
 func (b *Table) report(now time.Duration, r *run, s State, why Refusal) []Report {
-	if r.reported {
+	if r.endReported {
 		return nil
 	}
-	r.reported = true
-	report := Report{Owner: r.owner, Run: r.id, State: s, Began: r.began, Over: now}
+	r.endReported = true
+	report := Report{Owner: r.owner, Run: r.id, State: s, Began: r.startedAt, Over: now}
 	if s == NotStarted {
 		report.Refusal = why
 	}
-	b.ended[r.id] = fate{report, now}
-	b.order = append(b.order, r.id)
+	b.endedRuns[r.id] = endedRun{report, now}
+	b.endedOrder = append(b.endedOrder, r.id)
 	return []Report{report}
 }
--- a/guard/runs/sweep.go
+++ b/guard/runs/sweep.go
@@ -7,29 +7,29 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// clockMargin covers the runner's clock being read before it answers, and its
-// granularity of a millisecond.
+// clockMargin covers the delay between the runner reading its clock and sending its answer,
+// and the clock's granularity of a millisecond.
 const clockMargin = 50 * time.Millisecond
 
-// Read takes the runner's account, asked for at the uptime given, and returns
-// what became of runs. Accounts must be read in the order in which they were asked for, one at a time; they may be of
-// moments in another order.
+// Read applies a run listing of the runner that was requested at the uptime asked, and returns
+// reports on the runs whose state changed. Listings must be read one at a time in the order of
+// their requests; the moments at which the runner took them may be in another order.
 func (b *Table) Read(now, asked time.Duration, v work.Account) []Report {
 	if b.runner == nil {
 		return nil
 	}
 	var reports []Report
 	for _, e := range v.Ends {
-		b.runner.seen = max(b.runner.seen, e.Seq)
+		b.runner.lastEndSeq = max(b.runner.lastEndSeq, e.Seq)
 		delete(b.runner.orphans, e.Run)
 		if r := b.find(e.Run); r != nil {
-			reports = append(reports, b.over(now, r, stateOf(e.How))...)
+			reports = append(reports, b.end(now, r, stateOf(e.How))...)
 		}
 	}
 	present := make(map[work.RunName]bool, len(v.Running))
 	for _, n := range v.Running {
 		present[n] = true
-		if report, news := b.present(now, asked, n); news {
+		if report, changed := b.markPresent(now, asked, n); changed {
 			reports = append(reports, report)
 		}
 	}
@@ -42,14 +42,14 @@
 		}
 	}
 	for _, r := range b.runs {
-		if present[r.name] || !b.gone(r, asked, v.Clock) {
+		if present[r.name] || !b.confirmedOver(r, asked, v.Clock) {
 			continue
 		}
 		state := Stopped
 		if !r.started {
 			state = NotStarted
 		}
-		reports = append(reports, b.over(now, r, state)...)
+		reports = append(reports, b.end(now, r, state)...)
 	}
 	b.runner.checked = true
 	return reports
@@ -66,52 +66,52 @@
 	}
 }
 
-// present takes note of a run that the runner lists.
-func (b *Table) present(now, asked time.Duration, n work.RunName) (Report, bool) {
+// markPresent records that the runner lists a run.
+func (b *Table) markPresent(now, asked time.Duration, n work.RunName) (Report, bool) {
 	r := b.find(n)
 	if r == nil {
-		// Left by an older guard, whose account is lost: what it takes is not
-		// known, so nothing else is started until it is over.
+		// A previous guard process started it, and its table is lost. How many resources the
+		// run uses is unknown, so nothing else is started until it is over.
 		if _, listed := b.runner.orphans[n]; !listed {
 			b.runner.orphans[n] = false
 		}
 		return Report{}, false
 	}
-	if r.started || r.reported {
+	if r.started || r.endReported {
 		return Report{}, false
 	}
-	if r.settled == 0 {
-		// Not when this account was asked for: several are, side by side, and wait at
-		// the runner for an end. One that was asked for later may be of an earlier
-		// moment; taken for the newer, it would end a run that goes on, and its entry
-		// would start the task a second time. Only one that is asked for from now on
-		// is surely newer.
-		r.settled = now
+	if r.answeredAt == 0 {
+		// The time must be now, not the time of this listing's request. Several listings are
+		// requested concurrently and wait at the runner for a run to end, so one that was
+		// requested later may describe an earlier moment. If it were taken for the newer one,
+		// it would end a run that is still running, and the entry would start the task a
+		// second time. Only a listing requested from now on is certainly newer.
+		r.answeredAt = now
 	}
-	return r.begin(max(asked, r.entered)), true
+	return r.markRunning(max(asked, r.orderedAt)), true
 }
 
-// gone reports whether a run that is neither listed nor ended is over. Its
-// start or its bar was answered before the account was asked for, so the
-// account would hold it; or the start is valid no longer, on the runner's own
-// clock, so the runner will turn it down when it comes.
-func (b *Table) gone(r *run, asked, clock time.Duration) bool {
-	if r.settled > 0 && r.settled < asked {
+// confirmedOver reports whether a run that is neither listed nor ended is over. Either its
+// start or stop was answered before the listing was requested, so the listing would contain
+// it; or the start has expired on the runner's own clock, so the runner will reject it if it
+// arrives.
+func (b *Table) confirmedOver(r *run, asked, clock time.Duration) bool {
+	if r.answeredAt > 0 && r.answeredAt < asked {
 		return true
 	}
-	return !r.started && r.until > 0 && r.stopping > 0 && clock > r.until+clockMargin
+	return !r.started && r.startValidUntil > 0 && r.stoppingSince > 0 && clock > r.startValidUntil+clockMargin
 }
 
-// Stops returns the stops to be sent now: of runs that are to end, whose caller
-// no longer waits, or whose entry is silent, and of orphans.
+// Stops returns the stops to send now: for runs marked for stopping, runs whose caller no
+// longer waits or whose entry is silent, and orphans.
 func (b *Table) Stops(now time.Duration) []Stop {
 	var stops []Stop
 	for _, r := range b.runs {
-		if r.stopping == 0 && now >= b.lastsUntil(r) {
+		if r.stoppingSince == 0 && now >= b.stopTime(r) {
 			b.stop(now, r)
 		}
-		// A run whose lease has run out with its runner silent needs no stop.
-		if r.stopping > 0 && !r.barred && !r.stopSent && !r.reported {
+		// A run whose lease expired while its runner was unresponsive needs no stop.
+		if r.stoppingSince > 0 && !r.stopAcked && !r.stopSent && !r.endReported {
 			r.stopSent = true
 			stops = append(stops, Stop{r.name})
 		}
@@ -128,74 +128,76 @@
 	return stops
 }
 
-// lastsUntil is the uptime until which a run is wanted.
-func (b *Table) lastsUntil(r *run) time.Duration {
-	return min(r.expires, b.alive[r.owner]+b.opt.Silence)
+// stopTime returns the uptime at which a run is to be stopped: when its caller stops waiting,
+// or when its entry has been silent for too long.
+func (b *Table) stopTime(r *run) time.Duration {
+	return min(r.deadline, b.lastHeard[r.owner]+b.opt.Silence)
 }
 
-// endBound is the uptime by which a run must be over, answered or not.
-func (b *Table) endBound(r *run) time.Duration {
+// endDeadline returns the uptime by which a run must be over, whether or not its stop is
+// acknowledged.
+func (b *Table) endDeadline(r *run) time.Duration {
 	grace := b.opt.EndBound - b.opt.Silence
-	bound := b.lastsUntil(r) + grace
-	if r.stopping > 0 {
-		bound = min(bound, r.stopping+grace)
+	bound := b.stopTime(r) + grace
+	if r.stoppingSince > 0 {
+		bound = min(bound, r.stoppingSince+grace)
 	}
 	return bound
 }
 
-// HoldUntil is the uptime to which the runner's lease may be extended now. A
-// lease is the runner's as a whole: while a run's end is due and its stop isn't
-// acknowledged, the lease of all ends with it. Where only orphans run it is left to lapse,
-// which ends them also if their stops go unanswered.
+// HoldUntil returns the uptime to which the runner's lease may be extended now. The lease
+// covers the whole runner: while the stop of a run is due and not acknowledged, the lease
+// expires for all runs at that run's end deadline. If only orphans run, the lease is left to
+// expire, which ends them even if their stops go unanswered.
 func (b *Table) HoldUntil(now time.Duration) time.Duration {
 	if len(b.runs) == 0 && b.orphans() > 0 {
 		return now
 	}
 	until := now + b.opt.Hold
 	for _, r := range b.runs {
-		if !r.barred {
-			until = min(until, b.endBound(r))
+		if !r.stopAcked {
+			until = min(until, b.endDeadline(r))
 		}
 	}
 	return until
 }
 
-// Next is the uptime at which Stops has something new to say, the largest value
-// when nothing is due.
+// Next returns the earliest uptime at which another run is to be stopped, or the largest value
+// if there is none.
 func (b *Table) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, r := range b.runs {
-		if r.stopping == 0 {
-			next = min(next, b.lastsUntil(r))
+		if r.stoppingSince == 0 {
+			next = min(next, b.stopTime(r))
 		}
 	}
 	return next
 }
 
-// Forget drops what nobody will ask for any more.
+// Forget removes records past their retention time.
 func (b *Table) Forget(now time.Duration) {
 	n := 0
-	for _, id := range b.order {
-		if f, ok := b.ended[id]; ok && now-f.at < keepEnded {
+	for _, id := range b.endedOrder {
+		if f, ok := b.endedRuns[id]; ok && now-f.at < endedRetention {
 			break
 		}
-		delete(b.ended, id)
+		delete(b.endedRuns, id)
 		n++
 	}
-	b.order = b.order[n:]
-	for task, v := range b.numbers {
-		if _, here := b.runs[task]; !here && now-v.at > 6*keepEnded {
-			delete(b.numbers, task)
+	b.endedOrder = b.endedOrder[n:]
+	for task, v := range b.lastNumbers {
+		if _, found := b.runs[task]; !found && now-v.at > 6*endedRetention {
+			delete(b.lastNumbers, task)
 		}
 	}
-	for o, at := range b.alive {
-		if now-at > 6*keepEnded && !b.owns(o) {
-			delete(b.alive, o)
+	for o, at := range b.lastHeard {
+		if now-at > 6*endedRetention && !b.ownsRuns(o) {
+			delete(b.lastHeard, o)
 		}
 	}
 }
 
-func (b *Table) owns(o Owner) bool {
+func (b *Table) ownsRuns(o Owner) bool {
 	for _, r := range b.runs {
 		if r.owner == o {
 			return true
@@ -204,13 +206,13 @@
 	return false
 }
 
-// Old raises the number that the task's next run takes, after the runner knew
-// a higher one.
+// Old raises the number that the task's next run uses, after the runner rejected a start
+// because it knew a higher one.
 func (b *Table) Old(now time.Duration, task work.TaskID) {
-	n := b.numbers[task]
-	b.numbers[task] = numbered{n.number + oldStep, now}
+	n := b.lastNumbers[task]
+	b.lastNumbers[task] = taskNumber{n.number + runNumberSkip, now}
 }
 
-// oldStep skips the numbers that earlier guards may have used for the task; a
-// task is tried a handful of times.
-const oldStep = 8
+// runNumberSkip is how far Old raises the number. It skips the numbers that previous guard
+// processes may have used for the task; a task is attempted only a handful of times.
+const runNumberSkip = 8
--- a/guard/runs/types.go
+++ b/guard/runs/types.go
@@ -6,13 +6,13 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Owner is one life of an entry.
+// Owner is one incarnation of an entry.
 type Owner struct {
 	Entry       string
 	Incarnation uint64
 }
 
-// State of a run, as its owner is told.
+// State is the state of a run as reported to its owner.
 type State int
 
 // States.
@@ -20,11 +20,11 @@
 	Running State = iota + 1
 	Done
 	Failed
-	// Stopped: over before its work was done.
+	// Stopped means that the run is over before its work was done.
 	Stopped
-	// NotStarted: it never ran and never will.
+	// NotStarted means that the run never ran and never will.
 	NotStarted
-	// Crashed: its runner crashed under it.
+	// Crashed means that the runner crashed while the run was there.
 	Crashed
 )
 
@@ -34,35 +34,35 @@
 // Refusals.
 const (
 	NoRefusal Refusal = iota
-	// Full: no room.
+	// Full means that the runner's free capacity does not suffice.
 	Full
-	// Late: the order was under way for too long.
+	// Late means that the order was in transit for too long, or its caller no longer waits.
 	Late
-	// Closed: no starts are taken.
+	// Closed means that no starts are accepted.
 	Closed
-	// Unwell: the runner turned it down or didn't answer.
+	// Unwell means that the runner rejected the start or did not answer.
 	Unwell
-	// Unknown: there is no such run.
+	// Unknown means that there is no such run.
 	Unknown
 )
 
-// Report tells an owner what became of a run.
+// Report tells an owner the state of a run.
 type Report struct {
 	Owner   Owner
 	Run     work.RunID
 	State   State
 	Refusal Refusal
-	// Began is the uptime at which the run was known to have begun; zero for one
-	// that was not.
+	// Began is the uptime at which the run was known to have started; zero if it is not known
+	// to have started.
 	Began time.Duration
-	// Over is the uptime at which it was known to be over; zero while it lasts.
+	// Over is the uptime at which it was known to be over; zero while it runs.
 	Over time.Duration
 	// Crash is set with the state Crashed.
 	Crash *Crash
 }
 
-// Ran is how long the run has lasted at an uptime; zero when it is not known to
-// have begun.
+// Ran returns how long the run has lasted at the uptime now, zero if it is not known to have
+// started.
 func (r Report) Ran(now time.Duration) time.Duration {
 	switch {
 	case r.Began == 0:
@@ -74,7 +74,7 @@
 	}
 }
 
-// Order asks for one run.
+// Order requests one run.
 type Order struct {
 	Run  work.RunID
 	Spec string
@@ -83,23 +83,25 @@
 	Life time.Duration
 }
 
-// Process is what is known of one process of the runner.
+// Process identifies and describes one process of the runner.
 type Process struct {
 	work.Incarnation
 	Service string
 	Address string
 	Labels  []string
 	Total   work.Amounts
-	// Token fences the orders of older guards off.
+	// Token is the fencing token: the process rejects calls with a lower one, such as those of
+	// previous guard processes.
 	Token int64
 }
 
-// Capacity is what the runner has and what is taken.
+// Capacity is the runner's capacity and its usage.
 type Capacity struct {
 	Process
-	// Open is false while no starts are taken.
+	// Open is true while starts are accepted.
 	Open bool
-	// Cleared is true once nothing that an older guard ordered runs or can begin.
+	// Cleared is true once nothing that a previous guard process ordered runs or can still
+	// start.
 	Cleared bool
 	Used    work.Amounts
 }
