--- a/guard/host/adopt.go
+++ b/guard/host/adopt.go
@@ -12,7 +12,7 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// Heard takes a runner's report about itself. It returns false for one that can't be taken.
+// Heard handles a runner's report about itself. It returns false if the report is malformed.
 func (h *Host) Heard(r runner.Report) bool {
 	h.mu.Lock()
 	if p := h.process; p != nil && p.ID == r.Instance {
@@ -22,42 +22,43 @@
 			return false
 		}
 		if p.Incarnation == r.Incarnation() {
-			if r.Seq > p.heard {
-				p.heard = r.Seq
+			if r.Seq > p.lastReport {
+				p.lastReport = r.Seq
 				h.table.Serves(r.Service)
 				h.table.Describe(r.Capacity, r.Labels, r.Draining)
-				p.read(r.Clock, h.steady())
+				p.syncClock(r.Clock, h.monotonic())
 			}
 			h.mu.Unlock()
 			h.sink.CapacityChanged()
 			return true
 		}
 	}
-	h.propose(r)
+	h.addCandidate(r)
 	h.mu.Unlock()
 	return true
 }
 
-// errNoStart means a report that doesn't say when its process was started, of a runner that did.
+// errNoStart means that a report lacks the process's start time although earlier reports of
+// the runner had one.
 var errNoStart = errors.New("host: report names no start time")
 
-// propose has a process confirmed that is not known to be the runner's present one. The lock
+// addCandidate records a process that is not the current one and starts its confirmation. h.mu
 // is held.
-func (h *Host) propose(r runner.Report) {
+func (h *Host) addCandidate(r runner.Report) {
 	if c := h.candidate; c == nil || c.Instance != r.Instance || r.Born > c.Born || r.Born == c.Born && r.Seq > c.Seq {
 		h.candidate = &r
 	}
 	if !h.adopting {
 		h.adopting = true
-		h.calls.Go(h.adopt)
+		h.calls.Go(h.adoptCandidate)
 	}
 }
 
-// restarted proposes the process that answered in the place of the present one, under its id. What
-// it has is known from its first report. The lock is held.
-func (h *Host) restarted(answer work.Account) {
+// handleRestart adds the process that answered in place of the current one, under the same id,
+// as a candidate. Its capacity is known once its first report arrives. h.mu is held.
+func (h *Host) handleRestart(answer work.Account) {
 	old := h.table.Process()
-	h.propose(runner.Report{
+	h.addCandidate(runner.Report{
 		Instance: old.ID,
 		Born:     answer.Born,
 		Service:  old.Service,
@@ -66,7 +67,7 @@
 	})
 }
 
-// Left takes note that a runner has ended as planned.
+// Left handles a runner's notice that it has shut down as planned.
 func (h *Host) Left(instance string) bool {
 	h.mu.Lock()
 	p := h.process
@@ -75,33 +76,33 @@
 		h.candidate = nil
 	}
 	if known && p.Born > 0 {
-		// It may be said of an older process.
+		// The notice may be about an older process under the same id.
 		h.calls.Go(func() { h.confirmLeft(p) })
 	}
 	h.mu.Unlock()
 	if known && p.Born == 0 {
-		h.gone(p)
+		h.removeProcess(p)
 	}
 	return true
 }
 
-// confirmLeft ends the runs of a process once nothing listens at its address any more.
+// confirmLeft removes a process once nothing listens at its address any more.
 func (h *Host) confirmLeft(p *process) {
 	for range adoptTries {
 		_, err := h.firstPoll(p.api)
 		if errors.Is(err, runner.ErrNobody) {
-			h.gone(p)
+			h.removeProcess(p)
 			return
 		}
 		if errors.Is(err, runner.ErrReplaced) || h.ctx.Err() != nil {
 			return
 		}
-		uptime.Sleep(h.ctx, adoptPause)
+		uptime.Sleep(h.ctx, adoptRetryDelay)
 	}
 }
 
-// gone takes note that a process has ended as planned.
-func (h *Host) gone(p *process) {
+// removeProcess removes a process that has shut down as planned; its runs are over.
+func (h *Host) removeProcess(p *process) {
 	h.mu.Lock()
 	if h.process != p {
 		h.mu.Unlock()
@@ -114,10 +115,10 @@
 	h.deliver(reports)
 }
 
-// adopt asks a process that has announced itself whether it is there. A report
-// that was held up may come from one that is over, after its successor's:
-// only an answer to an order meant for it shows which one lives.
-func (h *Host) adopt() {
+// adoptCandidate asks a process that has announced itself whether it is running. A delayed
+// report of a process that has ended may arrive after its successor's, so only an answer to a
+// call addressed to it shows which process is running.
+func (h *Host) adoptCandidate() {
 	for range adoptTries {
 		h.mu.Lock()
 		c := h.candidate
@@ -128,7 +129,7 @@
 		}
 		h.mu.Unlock()
 		if !h.confirm(*c) {
-			uptime.Sleep(h.ctx, adoptPause)
+			uptime.Sleep(h.ctx, adoptRetryDelay)
 		}
 	}
 	h.mu.Lock()
@@ -136,41 +137,42 @@
 	h.mu.Unlock()
 }
 
-// confirm returns true when the candidate is adopted or known to be over.
+// confirm returns true if the candidate was adopted or is known to have ended.
 func (h *Host) confirm(c runner.Report) bool {
 	if err := h.probe(c); err != nil {
-		return h.unconfirmed(c, err)
+		return h.discardIfEnded(c, err)
 	}
-	token := h.spend(c)
+	token := h.nextToken(c)
 	target := runner.Target{Address: c.Address, Incarnation: c.Incarnation(), Token: token}
 	api := h.opt.Dial(target)
 	asked := uptime.Now()
 	account, err := h.firstPoll(api)
 	if errors.Is(err, runner.ErrFenced) && account.Clock > 0 {
-		// The report is older than an order of an earlier guard.
+		// A previous guard process has used a higher fencing token than the report's clock
+		// yields.
 		api.Close()
 		c.Clock = account.Clock + time.Millisecond
-		target.Token = h.spend(c)
+		target.Token = h.nextToken(c)
 		api = h.opt.Dial(target)
 		asked = uptime.Now()
 		account, err = h.firstPoll(api)
 	}
 	if err != nil {
 		api.Close()
-		return h.unconfirmed(c, err)
+		return h.discardIfEnded(c, err)
 	}
-	h.adopted(c, &process{
-		Incarnation: c.Incarnation(),
-		api:         api,
-		polledAt:    asked,
-		accountAt:   account.Clock,
+	h.install(c, &process{
+		Incarnation:  c.Incarnation(),
+		api:          api,
+		requestedAt:  asked,
+		listingClock: account.Clock,
 	}, target.Token, account)
 	return true
 }
 
-// probe asks whether a process is there that announced itself under the id of the present one, or
-// of the one before. It uses the token that they know: where the report is an older process's, a
-// higher one would fence this guard's own orders off.
+// probe checks that a process that announced itself under the id of the current or the
+// previous process is running. It uses the token that those processes know: if the report is
+// an older process's, a higher token would fence off this guard's own calls.
 func (h *Host) probe(c runner.Report) error {
 	h.mu.Lock()
 	f := h.fence
@@ -187,16 +189,16 @@
 	return err
 }
 
-// spend returns the token for a candidate, and keeps it.
-func (h *Host) spend(c runner.Report) int64 {
+// nextToken returns the fencing token for a candidate and remembers it.
+func (h *Host) nextToken(c runner.Report) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.fence = fence{c.Instance, h.fence.next(c.Incarnation(), c.Clock)}
 	return h.fence.token
 }
 
-// unconfirmed drops a candidate that is known to be over.
-func (h *Host) unconfirmed(c runner.Report, err error) bool {
+// discardIfEnded drops a candidate if the error shows that its process has ended.
+func (h *Host) discardIfEnded(c runner.Report, err error) bool {
 	confirmFailed.Log(h.ctx, h.logger, slog.String("runner", c.Incarnation().String()), slog.String("error", err.Error()))
 	over := errors.Is(err, runner.ErrReplaced)
 	h.mu.Lock()
@@ -207,38 +209,38 @@
 	return over
 }
 
-// adopted makes a confirmed process the runner's present one.
-func (h *Host) adopted(c runner.Report, p *process, token int64, account work.Account) {
+// install makes a confirmed process the current one.
+func (h *Host) install(c runner.Report, p *process, token int64, account work.Account) {
 	h.mu.Lock()
 	if h.candidate != nil && h.candidate.Incarnation() == c.Incarnation() {
-		// A newer report may have come meanwhile.
+		// A newer report may have arrived in the meantime.
 		c = *h.candidate
 		h.candidate = nil
 	}
 	now := uptime.Now()
-	p.heard = c.Seq
+	p.lastReport = c.Seq
 	p.readAt = now
-	p.clock = sample{account.Clock, h.steady()}
+	p.clock = clockSample{account.Clock, h.monotonic()}
 	old := h.process
 	h.process = p
-	reports := h.table.Adopt(now, runs.Process{Incarnation: c.Incarnation(), Service: c.Service, Address: c.Address, Token: token}, listed(account)...)
+	reports := h.table.Adopt(now, runs.Process{Incarnation: c.Incarnation(), Service: c.Service, Address: c.Address, Token: token}, listedRuns(account)...)
 	if c.Seq > 0 {
 		h.table.Describe(c.Capacity, c.Labels, c.Draining)
 	}
-	reports = append(reports, h.table.Read(now, p.polledAt, account)...)
+	reports = append(reports, h.table.Read(now, p.requestedAt, account)...)
 	h.mu.Unlock()
 	if old != nil {
 		old.api.Close()
 	}
 	runnerAdopted.Log(h.ctx, h.logger, slog.String("runner", c.Instance), slog.Int64("born_ms", c.Born), slog.String("service", c.Service),
 		slog.Int64("token", token), slog.Int64("cpu_milli", c.Capacity.CPUMilli), slog.Int("left_running", len(account.Running)))
-	signal(h.poll)
-	signal(h.sweep)
+	notify(h.poll)
+	notify(h.sweep)
 	h.deliver(reports)
 }
 
-// listed names the runs that an account lists, running or ended.
-func listed(v work.Account) []work.RunName {
+// listedRuns returns the names of all runs in a run listing, running or ended.
+func listedRuns(v work.Account) []work.RunName {
 	names := append([]work.RunName(nil), v.Running...)
 	for _, e := range v.Ends {
 		names = append(names, e.Run)
@@ -246,13 +248,14 @@
 	return names
 }
 
-// firstPoll reads a process's account and acknowledges nothing.
+// firstPoll requests a process's run listing without extending its lease or acknowledging any
+// ended run.
 func (h *Host) firstPoll(api Runner) (work.Account, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, startTimeout)
 	defer cancel()
 	return api.Poll(ctx, 0, 0, 0)
 }
 
-// steady is the clock by which leases are measured: like the runner's, it
-// stands still while the host is suspended.
-func (h *Host) steady() time.Duration { return time.Since(h.began) }
+// monotonic returns the clock by which leases are measured: like the runner's clock, it stops
+// while the host is suspended.
+func (h *Host) monotonic() time.Duration { return time.Since(h.startedAt) }
--- a/guard/host/events.go
+++ b/guard/host/events.go
@@ -8,33 +8,33 @@
 
 var (
 	runnerAdopted = eventlog.Define(2201, "guard.runner_adopted", slog.LevelInfo,
-		"A process of the runner that announced itself answered, and gets work once what an older guard left running is over. born_ms is when it was started, zero where it doesn't say: the same id with another start time is a restart.",
+		"A runner process that announced itself has answered. It receives starts once the runs of a previous guard process are over. born_ms is its start time, zero if it does not report one: the same id with another start time is a restart.",
 		"None.")
 	runnerLeft = eventlog.Define(2202, "guard.runner_left", slog.LevelInfo,
-		"The runner said that it ends; its runs are over.", "None.")
+		"The runner has shut down as planned; its runs are over.", "None.")
 	confirmFailed = eventlog.Define(2203, "guard.greet_failed", slog.LevelWarn,
-		"A process of the runner that announced itself did not answer, or another one did: its report was held up since a process that is over.",
-		"If it goes on, look at the runner: it announces an address at which nobody answers.")
+		"A runner process that announced itself did not answer, or another process answered: the report was a delayed one of a process that has ended.",
+		"If it persists, check the runner: it announces an address at which nothing answers.")
 	startFailed = eventlog.Define(2204, "guard.start_failed", slog.LevelWarn,
-		"A start was turned down or got no answer. Without an answer the run is barred, and its room stays taken until that is sure.",
-		"If it is frequent at one runner, look at that runner.")
+		"The runner rejected a start or did not answer it. An unanswered start is followed by a stop, and its resources stay reserved until the run is known to be over.",
+		"If it is frequent at one runner, check that runner.")
 	stopFailed = eventlog.Define(2205, "guard.stop_failed", slog.LevelWarn,
-		"A stop got no answer; it is sent again, and the lease is not extended beyond the run's end.",
+		"A stop was not acknowledged; it is sent again, and the lease is not extended beyond the run's end deadline.",
 		"As for start_failed.")
 	pollFailed = eventlog.Define(2206, "guard.look_failed", slog.LevelWarn,
-		"The runner did not give its account; the lease was not extended.",
+		"The runner did not answer a poll for its run listing; the lease was not extended.",
 		"As for start_failed.")
 	runStarted = eventlog.Define(2208, "guard.run_started", slog.LevelInfo,
-		"The runner has begun a run.", "None.")
+		"The runner has started a run.", "None.")
 	runEnded = eventlog.Define(2209, "guard.run_ended", slog.LevelInfo,
-		"A run is over, by the runner's account or its lease's end; its entry is told.", "None.")
+		"A run is over, according to the runner's run listing or because its lease expired; its entry is notified.", "None.")
 	reportMalformed = eventlog.Define(2210, "guard.report_malformed", slog.LevelWarn,
-		"A report came that is no runner's: it can't be read, lacks something or says what can't be. Nothing that is known of the runner has changed; at most one line in 5 s.",
-		"Find the program that writes to the guard's address for reports.")
+		"A report could not be parsed, lacks a field or holds an invalid value, so it was ignored; the recorded state of the runner is unchanged. Logged at most once in 5 s.",
+		"Find the program that sends to the guard's address for runner reports.")
 	runnerCrashed = eventlog.Define(2211, "guard.runner_crashed", slog.LevelWarn,
-		"The runner crashed: its process has ended, or another life answers, without its word that it leaves. runs are those that were there; newest is the job of the one that began last.",
-		"If the same job stands in several of these lines, its task crashes what starts it: its entry gives it up after two or three (job.not_completed, crashes_runners).")
+		"The runner crashed: its process has ended, or another process answers under its id, without a notice of shutdown. runs is the number of runs that it had; newest is the job of the run that started last.",
+		"If several of these lines name the same job, its task crashes the runners that start it: its entry fails the job after two or three crashes (job.not_completed, crashes_runners).")
 	orderRefused = eventlog.Define(2207, "guard.order_refused", slog.LevelInfo,
-		"An entry's order was turned down before it reached the runner.",
-		"reason full: the entry's knowledge was late, or load is high; stale: the network or the entry is slow; closed: the runner leaves or is not known yet.")
+		"The guard rejected an entry's order without sending it to the runner.",
+		"reason full: the entry's view of the capacity was outdated, or load is high; stale: the network or the entry is slow; closed: the runner is draining or not adopted yet.")
 )
--- a/guard/host/hedge.go
+++ b/guard/host/hedge.go
@@ -3,26 +3,28 @@
 import "time"
 
 const (
-	// maxHedgeDelay bounds the time after which an order without an answer is sent again.
+	// maxHedgeDelay bounds the time after which an unanswered call is hedged.
 	maxHedgeDelay = 75 * time.Millisecond
-	// hedgeDecay is the part of what was added to that time that an answered order takes back.
+	// hedgeDecay is the divisor by which each answered call reduces the added delay: it takes
+	// back 1/32 of it.
 	hedgeDecay = 32
 )
 
-// hedge is the time after which an order to a process is sent again. It grows with each order
-// that was sent again though the first was answered: the process, or this host, is late then. Lost
-// orders leave it as it is.
+// hedge computes the time after which an unanswered call to a process is hedged, that is, sent
+// again. The delay grows with each call that was hedged although the earlier copy was
+// answered, because the process or this host is then slow. Lost calls do not change it.
 type hedge struct {
-	// added to hedgeStartAfter.
+	// added is the delay on top of minHedgeDelay.
 	added time.Duration
 }
 
-func (h *hedge) delay() time.Duration { return hedgeStartAfter + h.added }
+func (h *hedge) delay() time.Duration { return minHedgeDelay + h.added }
 
-// answered takes note of an answered order, and of whether it was sent again in vain.
-func (h *hedge) answered(inVain bool) {
-	if inVain {
-		h.added = min(h.added+h.delay()/2, maxHedgeDelay-hedgeStartAfter)
+// record updates the delay after an answered call; needless is true if a hedge was sent
+// although an earlier copy was answered.
+func (h *hedge) record(needless bool) {
+	if needless {
+		h.added = min(h.added+h.delay()/2, maxHedgeDelay-minHedgeDelay)
 		return
 	}
 	h.added -= h.added / hedgeDecay
--- a/guard/host/host.go
+++ b/guard/host/host.go
@@ -1,5 +1,5 @@
-// Package host carries out what the account of runs decides: it is the only
-// caller of the runner on this host.
+// Package host executes what the run table decides: it is the only caller of the runner on
+// this host.
 package host
 
 import (
@@ -15,61 +15,62 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// Bounds of orders to the runner. It is on this host and answers within a
-// millisecond or two; the bounds leave room for a processor that is held back
-// for the rest of a tenth of a second.
+// Timeouts of calls to the runner. It is on this host and answers within a millisecond or two;
+// the timeouts allow for a process that the scheduler throttles for the rest of a 100 ms
+// period.
 const (
 	startTimeout = 150 * time.Millisecond
 	stopTimeout  = 120 * time.Millisecond
-	// pollWait is how long a poll may wait for an end. It also paces the renewal
-	// of the lease: five renewals may go unanswered before a lease of 600 ms ends.
+	// pollWait is how long a poll may wait at the runner for a run to end. It also determines
+	// how often the lease is renewed: five renewals may go unanswered before a lease of 600 ms
+	// expires.
 	pollWait   = 60 * time.Millisecond
 	pollMargin = 160 * time.Millisecond
-	// pollSlow is the time beyond its wait after which a poll counts as unanswered
-	// and the next is sent beside it. Until then the guard knows of no end, and the
-	// capacity of the runs that have ended stands empty: with one poll of 25 lost, a
-	// tenth of the time.
-	pollSlow = 20 * time.Millisecond
-	// hedgeFactor times the mean time until a poll is answered, leastHedgeDelay at the
-	// least, is the delay after which an unanswered poll is hedged by another. Without it
-	// a lost poll on a busy runner kept all ends from their entries for 80 ms: with one
-	// call in twenty lost, a fifth of the time.
-	hedgeFactor     = 1.5
-	leastHedgeDelay = 10 * time.Millisecond
-	// lostMemory is how long after a lost poll the next ones are waited for in this way:
-	// where none is lost, polls beside one another are work for nothing, half as many
-	// again on a busy runner.
-	lostMemory = 3 * time.Second
-	// pollMemory is the number of polls over which that mean is taken.
-	pollMemory = 8
-	// inFlightPolls bounds the polls that are under way.
-	inFlightPolls = 4
-	// stopPause spaces the attempts of a stop that fails at once.
-	stopPause = 30 * time.Millisecond
-	// silentPause spaces the polls at a runner whose leases have all run out.
-	silentPause = 500 * time.Millisecond
-	// foreignInterval spaces the lines on reports that are no runner's, and foreignText
-	// bounds what of them is written, bytes.
-	foreignInterval = 5 * time.Second
-	foreignText     = 200
-	// adoptTries and adoptPause bound the attempts to reach a new runner between two of
-	// its reports, which come every 1.5 s.
-	adoptTries = 6
-	adoptPause = 100 * time.Millisecond
-	// forgetEvery paces the removal of old records.
-	forgetEvery = 2 * time.Second
+	// pollHedgeMargin is the time beyond its wait after which a poll counts as unanswered and
+	// is hedged by another. Until then the guard learns of no ended run, and the capacity of
+	// runs that have ended stays unused: with one poll in 25 lost, for a tenth of the time.
+	pollHedgeMargin = 20 * time.Millisecond
+	// pollHedgeFactor times the mean poll time, but at least minPollHedgeDelay, is the delay
+	// after which an unanswered poll is hedged by another. Without it, a lost poll at a busy
+	// runner kept all ended runs from their entries for 80 ms: with one call in twenty lost,
+	// for a fifth of the time.
+	pollHedgeFactor   = 1.5
+	minPollHedgeDelay = 10 * time.Millisecond
+	// pollHedgeWindow is how long after a lost poll this shorter hedge delay applies. If no
+	// polls are lost, hedging them is wasted work: half as many polls again at a busy runner.
+	pollHedgeWindow = 3 * time.Second
+	// pollMeanWindow is the number of polls over which the mean poll time is averaged.
+	pollMeanWindow = 8
+	// maxInFlightPolls bounds the polls in flight.
+	maxInFlightPolls = 4
+	// retryDelay is the pause after a failed stop or poll, so that one that fails at once is
+	// not repeated in a tight loop.
+	retryDelay = 30 * time.Millisecond
+	// expiredPollInterval is the time between polls of a runner whose leases have all expired.
+	expiredPollInterval = 500 * time.Millisecond
+	// malformedLogInterval is the minimum time between log lines about malformed reports, and
+	// malformedLogBytes bounds how many bytes of a report's id and error are logged.
+	malformedLogInterval = 5 * time.Second
+	malformedLogBytes    = 200
+	// adoptTries and adoptRetryDelay bound the attempts to reach a new runner between two of
+	// its reports, which arrive every 1.5 s.
+	adoptTries      = 6
+	adoptRetryDelay = 100 * time.Millisecond
+	// pruneInterval is the time between removals of old records.
+	pruneInterval = 2 * time.Second
 )
 
 // Lease arithmetic.
 const (
-	// slowClock is the rate of the slowest runner's clock against this host's.
-	slowClock = 0.98
-	// lapseMargin is the time after a lease's end by which its runs are over:
-	// the platform names 50 ms for a stop.
-	lapseMargin = 150 * time.Millisecond
+	// minClockRate is the lowest rate at which a runner's clock may run relative to this
+	// host's.
+	minClockRate = 0.98
+	// leaseEndMargin is the time after the expiry of a lease by which its runs are over: the
+	// platform specifies 50 ms for stopping a run.
+	leaseEndMargin = 150 * time.Millisecond
 )
 
-// Runner takes orders for one process of the runner; see platform/runner.
+// Runner is the client of one runner process; see platform/runner.
 type Runner interface {
 	Start(ctx context.Context, run work.RunName, spec string, until time.Duration) (time.Duration, error)
 	Stop(ctx context.Context, run work.RunName) (time.Duration, error)
@@ -78,11 +79,11 @@
 	Close()
 }
 
-// Sink takes what the entries are to be told.
+// Sink receives what is to be sent to the entries.
 type Sink interface {
 	// Deliver hands reports to the sessions of their owners.
 	Deliver([]runs.Report)
-	// CapacityChanged says that Capacity returns something new.
+	// CapacityChanged signals that the result of Capacity has changed.
 	CapacityChanged()
 }
 
@@ -91,33 +92,34 @@
 	Runs runs.Options
 	// MaxLease is the longest lease that a runner grants.
 	MaxLease time.Duration
-	// Dial returns a process of the runner.
+	// Dial returns a client of the given runner process.
 	Dial    func(runner.Target) Runner
 	Logger  *slog.Logger
 	Metrics *Metrics
 }
 
-// Host is the account of the runner on this host and its only caller.
+// Host manages the runner on this host and is its only caller.
 type Host struct {
-	opt    Options
-	logger *slog.Logger
-	sink   Sink
-	began  time.Time
+	opt       Options
+	logger    *slog.Logger
+	sink      Sink
+	startedAt time.Time
 
 	mu    sync.Mutex
 	table *runs.Table
-	// process is the runner's present one, nil while there is none.
+	// process is the current runner process, nil if there is none.
 	process *process
-	// candidate is a process that has announced itself and is not adopted yet.
+	// candidate is the report of a process that has announced itself and is not adopted yet.
 	candidate *runner.Report
 	adopting  bool
 	fence     fence
-	// foreignAt is when a report that is no runner's was last written of; zero for never.
-	foreignAt time.Duration
-	// pollTakes is the mean time until a poll is answered.
-	pollTakes time.Duration
-	// lostAt is the uptime at which a poll was last known to be lost; zero for never.
-	lostAt time.Duration
+	// malformedLoggedAt is the uptime at which a malformed report was last logged; zero for
+	// never.
+	malformedLoggedAt time.Duration
+	// meanPollTime is the mean time until a poll is answered.
+	meanPollTime time.Duration
+	// lastPollLost is the uptime at which a poll was last found to be lost; zero for never.
+	lastPollLost time.Duration
 
 	sweep chan struct{}
 	poll  chan struct{}
@@ -128,24 +130,24 @@
 // New returns a host without a runner.
 func New(o Options) *Host {
 	return &Host{
-		opt:    o,
-		logger: o.Logger,
-		began:  time.Now(),
-		table:  runs.New(o.Runs),
-		// As on a quiet runner, until polls show otherwise.
-		pollTakes: pollWait,
-		sweep:     make(chan struct{}, 1),
-		poll:      make(chan struct{}, 1),
+		opt:       o,
+		logger:    o.Logger,
+		startedAt: time.Now(),
+		table:     runs.New(o.Runs),
+		// The value at an idle runner, until polls are measured.
+		meanPollTime: pollWait,
+		sweep:        make(chan struct{}, 1),
+		poll:         make(chan struct{}, 1),
 	}
 }
 
-// Run serves until the context ends. The sink must be ready.
+// Run serves until the context is cancelled. The sink must be ready.
 func (h *Host) Run(ctx context.Context, sink Sink) error {
 	h.mu.Lock()
 	h.sink = sink
 	h.ctx = ctx
 	h.mu.Unlock()
-	defer time.AfterFunc(h.clearAfter(), sink.CapacityChanged).Stop()
+	defer time.AfterFunc(h.priorLeasesExpired(), sink.CapacityChanged).Stop()
 	var loops sync.WaitGroup
 	loops.Go(func() { h.sweepLoop(ctx) })
 	loops.Go(func() { h.pollLoop(ctx) })
@@ -154,43 +156,44 @@
 	return nil
 }
 
-func signal(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Capacity returns what the runner has and what is taken.
+// Capacity returns the runner's capacity and usage.
 func (h *Host) Capacity() runs.Capacity {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	room := h.table.Capacity()
-	room.Cleared = room.Cleared || h.steady() > h.clearAfter()
-	return room
+	capacity := h.table.Capacity()
+	capacity.Cleared = capacity.Cleared || h.monotonic() > h.priorLeasesExpired()
+	return capacity
 }
 
-// clearAfter is the time after this guard's begin by which every lease that an
-// older guard can have had from the runner is over, on the slowest clock.
-func (h *Host) clearAfter() time.Duration {
-	return time.Duration(float64(h.opt.MaxLease)/slowClock) + lapseMargin
+// priorLeasesExpired returns the time after the start of this guard process by which every
+// lease that a previous guard process can have obtained from the runner has expired, even on
+// the slowest clock.
+func (h *Host) priorLeasesExpired() time.Duration {
+	return time.Duration(float64(h.opt.MaxLease)/minClockRate) + leaseEndMargin
 }
 
-// HasFree reports whether there is room for another run like the newest asked for.
+// HasFree reports whether another run of the size that was requested last fits.
 func (h *Host) HasFree() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.HasFree()
 }
 
-// Idle reports whether nothing is at the runner.
+// Idle reports whether no runs are at the runner.
 func (h *Host) Idle() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Idle()
 }
 
-// Leave takes no starts from now on.
+// Leave makes the host reject all starts from now on.
 func (h *Host) Leave() {
 	h.mu.Lock()
 	h.table.Leave()
@@ -198,23 +201,23 @@
 	h.sink.CapacityChanged()
 }
 
-// Alive takes note that an entry lived at the uptime given.
+// Alive records that an entry was alive at the given uptime.
 func (h *Host) Alive(o runs.Owner, at time.Duration) {
 	h.mu.Lock()
 	h.table.Alive(o, at)
 	h.mu.Unlock()
 }
 
-// Resume compares the open runs of an entry that has attached with those here.
+// Resume reconciles the open runs of an entry that has reconnected with those at the runner.
 func (h *Host) Resume(o runs.Owner, open []work.RunID) []runs.Report {
 	h.mu.Lock()
 	reports := h.table.Resume(uptime.Now(), o, open)
 	h.mu.Unlock()
-	signal(h.sweep)
+	notify(h.sweep)
 	return reports
 }
 
-// Order carries out an entry's orders. sent is the earliest uptime at which the
+// Order executes an entry's orders and cancellations. sent is the earliest uptime at which the
 // entry can have sent them.
 func (h *Host) Order(sent time.Duration, o runs.Owner, orders []runs.Order, cancels []work.RunID) {
 	now := uptime.Now()
@@ -229,11 +232,11 @@
 	for _, order := range orders {
 		start, report := h.table.Ask(now, sent, o, order)
 		if report != nil {
-			h.refused(*report, now-sent)
+			h.recordRefusal(*report, now-sent)
 			reports = append(reports, *report)
 		}
 		if start != nil {
-			h.launch(now, start)
+			h.sendStart(now, start)
 		}
 	}
 	h.mu.Unlock()
@@ -241,59 +244,60 @@
 		h.sink.Deliver(reports)
 	}
 	if len(cancels) > 0 {
-		signal(h.sweep)
+		notify(h.sweep)
 	}
 	if len(orders) > 0 {
-		signal(h.poll)
-		signal(h.sweep)
+		notify(h.poll)
+		notify(h.sweep)
 	}
 }
 
-// refused logs and counts an order that was turned down.
-func (h *Host) refused(r runs.Report, age time.Duration) {
+// recordRefusal logs and counts an order that was rejected.
+func (h *Host) recordRefusal(r runs.Report, age time.Duration) {
 	orderRefused.Log(h.ctx, h.logger, slog.String("job", r.Run.Task.Job), slog.Int("index", r.Run.Task.Index),
 		slog.Int("attempt", r.Run.Attempt), slog.String("reason", r.Refusal.String()),
 		slog.Int64("age_ms", age.Milliseconds()), slog.String("entry", r.Owner.Entry))
-	h.opt.Metrics.refused(r.Refusal)
+	h.opt.Metrics.countRefusal(r.Refusal)
 }
 
-// lease returns the process's time to which its lease may be extended now. The lock is held.
+// lease returns the time on the process's clock up to which its lease may be extended now.
+// h.mu is held.
 func (h *Host) lease(p *process, now time.Duration) time.Duration {
-	return p.lease(h.table.HoldUntil(now)-now, h.steady())
+	return p.lease(h.table.HoldUntil(now)-now, h.monotonic())
 }
 
-// launch sends a start. The lock is held.
-func (h *Host) launch(now time.Duration, s *runs.Start) {
+// sendStart sends a start. h.mu is held.
+func (h *Host) sendStart(now time.Duration, s *runs.Start) {
 	p := h.process
 	until := h.lease(p, now)
 	h.table.ValidUntil(s.Name, until)
 	delay := p.hedge.delay()
 	h.calls.Go(func() {
-		h.started(p, s, h.send(startTimeout, delay, func(ctx context.Context) (time.Duration, error) {
+		h.handleStartReply(p, s, h.send(startTimeout, delay, func(ctx context.Context) (time.Duration, error) {
 			return p.api.Start(ctx, s.Name, s.Spec, until)
 		}))
 	})
 }
 
-// started takes the answer of a start.
-func (h *Host) started(p *process, s *runs.Start, answer reply) {
+// handleStartReply handles the result of a start.
+func (h *Host) handleStartReply(p *process, s *runs.Start, answer reply) {
 	now := uptime.Now()
 	err := answer.err
 	h.mu.Lock()
-	p.answered(answer, h.steady())
+	p.recordReply(answer, h.monotonic())
 	var reports []runs.Report
-	switch why, known := declined(err); {
+	switch why, known := startRefusal(err); {
 	case err == nil:
-		if report, news := h.table.Started(now, s.Name); news {
+		if report, changed := h.table.Started(now, s.Name); changed {
 			reports = append(reports, report)
 		}
 		runStarted.Log(h.ctx, h.logger, slog.String("job", s.Run.Task.Job), slog.Int("index", s.Run.Task.Index),
 			slog.Int("attempt", s.Run.Attempt), slog.Int("run", s.Name.Number))
-	case errors.Is(err, runner.ErrOldRun) && answer.again:
-		// The run may have begun by the first order and be over: its end is in the
-		// runner's account.
+	case errors.Is(err, runner.ErrOldRun) && answer.hedged:
+		// The run may have been started by the first copy and have ended: in that case its end
+		// is in the runner's run listing.
 		h.table.Doubtful(now, s.Name)
-	case known && answer.sure:
+	case known && answer.definite:
 		if errors.Is(err, runner.ErrOldRun) {
 			h.table.Old(now, s.Run.Task)
 		}
@@ -306,15 +310,15 @@
 	if err != nil {
 		startFailed.Log(h.ctx, h.logger, slog.String("job", s.Run.Task.Job), slog.Int("index", s.Run.Task.Index),
 			slog.Int("attempt", s.Run.Attempt), slog.Int("run", s.Name.Number), slog.String("error", err.Error()))
-		signal(h.sweep)
+		notify(h.sweep)
 	}
 	h.deliver(reports)
-	signal(h.poll)
+	notify(h.poll)
 }
 
-// declined says why a start has not begun; sure is false when it may have, or
-// still may.
-func declined(err error) (why runs.Refusal, sure bool) {
+// startRefusal returns the reason for which a start was not executed. definite is false if the
+// runner may have executed it, or may still do so.
+func startRefusal(err error) (why runs.Refusal, definite bool) {
 	switch {
 	case errors.Is(err, runner.ErrUnreachable), errors.Is(err, runner.ErrUnwell), errors.Is(err, runner.ErrRefused):
 		return runs.Unwell, true
@@ -329,8 +333,8 @@
 	}
 }
 
-// noteCrash logs and counts the runner's crash, once for all runs.
-func (h *Host) noteCrash(reports []runs.Report) {
+// recordCrash logs and counts a runner crash, once for all its runs.
+func (h *Host) recordCrash(reports []runs.Report) {
 	for _, r := range reports {
 		if r.State == runs.Crashed && r.Crash.Newest {
 			runnerCrashed.Log(h.ctx, h.logger, slog.Int("runs", r.Crash.Others+1), slog.String("newest", r.Run.Task.Job))
@@ -340,7 +344,7 @@
 }
 
 func (h *Host) deliver(reports []runs.Report) {
-	h.noteCrash(reports)
+	h.recordCrash(reports)
 	for _, r := range reports {
 		if r.State == runs.Running {
 			continue
--- a/guard/host/host_test.go
+++ b/guard/host/host_test.go
@@ -18,48 +18,47 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// fakeRunner is a runner of which the test loses calls: a lost call is answered by
-// nothing until its caller gives up.
+// fakeRunner is a runner that can drop calls: a dropped call blocks until its caller gives up.
 type fakeRunner struct {
 	began time.Time
 
-	mu      sync.Mutex
-	lose    map[string]int
-	calls   map[string]int
-	refuse  error
-	running map[work.RunName]bool
-	ends    []work.End
-	barred  map[work.RunName]bool
-	ended   chan struct{}
+	mu        sync.Mutex
+	dropCalls map[string]int
+	calls     map[string]int
+	refuse    error
+	running   map[work.RunName]bool
+	ends      []work.End
+	stopped   map[work.RunName]bool
+	ended     chan struct{}
 }
 
 func newFakeRunner() *fakeRunner {
 	return &fakeRunner{
-		began:   time.Now().Add(-time.Hour),
-		lose:    map[string]int{},
-		calls:   map[string]int{},
-		running: map[work.RunName]bool{},
-		barred:  map[work.RunName]bool{},
-		ended:   make(chan struct{}, 100),
+		began:     time.Now().Add(-time.Hour),
+		dropCalls: map[string]int{},
+		calls:     map[string]int{},
+		running:   map[work.RunName]bool{},
+		stopped:   map[work.RunName]bool{},
+		ended:     make(chan struct{}, 100),
 	}
 }
 
-// lost reports whether this call of the name is to be lost.
-func (f *fakeRunner) lost(name string) bool {
+// dropped counts a call and reports whether it is to be dropped.
+func (f *fakeRunner) dropped(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls[name]++
-	if f.lose[name] == 0 {
+	if f.dropCalls[name] == 0 {
 		return false
 	}
-	f.lose[name]--
+	f.dropCalls[name]--
 	return true
 }
 
 func (f *fakeRunner) clock() time.Duration { return time.Since(f.began) }
 
 func (f *fakeRunner) Start(ctx context.Context, run work.RunName, _ string, _ time.Duration) (time.Duration, error) {
-	if f.lost("start") {
+	if f.dropped("start") {
 		<-ctx.Done()
 		return 0, runner.ErrUnanswered
 	}
@@ -73,18 +72,18 @@
 }
 
 func (f *fakeRunner) Stop(ctx context.Context, run work.RunName) (time.Duration, error) {
-	if f.lost("stop") {
+	if f.dropped("stop") {
 		<-ctx.Done()
 		return 0, runner.ErrUnanswered
 	}
 	f.mu.Lock()
-	f.barred[run] = true
+	f.stopped[run] = true
 	f.mu.Unlock()
 	f.end(run, work.Broken)
 	return f.clock(), nil
 }
 
-// end ends a run that is there.
+// end ends a run if it is running.
 func (f *fakeRunner) end(run work.RunName, how work.How) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +96,7 @@
 }
 
 func (f *fakeRunner) Poll(ctx context.Context, _ time.Duration, seen int64, wait time.Duration) (work.Account, error) {
-	if f.lost("poll") {
+	if f.dropped("poll") {
 		<-ctx.Done()
 		return work.Account{}, runner.ErrUnanswered
 	}
@@ -141,16 +140,16 @@
 	change()
 }
 
-// told keeps what the entries are told.
-type told struct {
+// reportRecorder records the reports delivered to entries.
+type reportRecorder struct {
 	mu      sync.Mutex
 	reports []runs.Report
 	at      []time.Time
 }
 
-func (s *told) CapacityChanged() {}
+func (s *reportRecorder) CapacityChanged() {}
 
-func (s *told) Deliver(r []runs.Report) {
+func (s *reportRecorder) Deliver(r []runs.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, one := range r {
@@ -159,8 +158,8 @@
 	}
 }
 
-// find waits for the report of a state and returns when it was told.
-func (s *told) find(t *testing.T, state runs.State) (runs.Report, time.Time) {
+// waitFor waits for a report with the given state and returns it with its delivery time.
+func (s *reportRecorder) waitFor(t *testing.T, state runs.State) (runs.Report, time.Time) {
 	t.Helper()
 	var report runs.Report
 	var at time.Time
@@ -173,15 +172,15 @@
 				return poll.Success()
 			}
 		}
-		return poll.Continue("told %v", s.reports)
+		return poll.Continue("delivered %v", s.reports)
 	}, poll.WithTimeout(3*time.Second), poll.WithDelay(time.Millisecond))
 	return report, at
 }
 
 var owner = runs.Owner{Entry: "e", Incarnation: 1}
 
-// startHost starts a host that has adopted the runner.
-func startHost(t *testing.T, f *fakeRunner) (*Host, *told) {
+// startHost starts a host and waits until it has adopted the runner.
+func startHost(t *testing.T, f *fakeRunner) (*Host, *reportRecorder) {
 	t.Helper()
 	h := New(Options{
 		MaxLease: 3 * time.Second,
@@ -189,7 +188,7 @@
 		Logger:   slog.New(slog.NewJSONHandler(io.Discard, nil)),
 		Metrics:  NewMetrics(tally.NoopScope),
 	})
-	sink := &told{}
+	sink := &reportRecorder{}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- h.Run(ctx, sink) }()
@@ -206,14 +205,14 @@
 		}
 		h.Heard(runner.Report{Instance: "i", Service: "s", Seq: 1, Clock: f.clock(), Capacity: work.Amounts{CPUMilli: 32000}})
 		if !h.Capacity().Open {
-			return poll.Continue("no room yet")
+			return poll.Continue("no free capacity yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(3*time.Second), poll.WithDelay(5*time.Millisecond))
 	return h, sink
 }
 
-// order asks for a run and returns its name at the runner.
+// order orders a run and returns its name at the runner.
 func order(h *Host) work.RunName {
 	task := work.TaskID{Job: "0123456789abcdef"}
 	now := uptime.Now()
@@ -221,7 +220,7 @@
 	return work.RunName{Task: task, Number: 1}
 }
 
-// keepAlive has the entry heard until the test ends.
+// keepAlive records the entry as alive until the test ends.
 func keepAlive(t *testing.T, h *Host) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	done := make(chan struct{})
@@ -241,57 +240,57 @@
 	}()
 }
 
-// A caller's answer is late because one order of its job was lost: the runner never
-// heard of it. It is sent again after 25 ms, not given up after 150.
+// Guards against a late result after one lost call: a start that never reached the runner is
+// sent again after a hedge delay of some milliseconds, rather than given up after 150 ms.
 func TestLostStartIsSentAgain(t *testing.T) {
 	f := newFakeRunner()
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
-	f.set(func() { f.lose["start"] = 1 })
+	f.set(func() { f.dropCalls["start"] = 1 })
 	began := time.Now()
 	run := order(h)
-	_, at := sink.find(t, runs.Running)
-	assert.Assert(t, at.Sub(began) < startTimeout, "told after %s", at.Sub(began))
+	_, at := sink.waitFor(t, runs.Running)
+	assert.Assert(t, at.Sub(began) < startTimeout, "delivered after %s", at.Sub(began))
 	f.end(run, work.Done)
-	_, _ = sink.find(t, runs.Done)
+	_, _ = sink.waitFor(t, runs.Done)
 	f.set(func() { assert.Equal(t, f.calls["start"], 2) })
 }
 
-// The first order is lost, and may be carried out seconds later; the second is turned
-// down for want of room. "Not started" would be untrue if the first came after all: it
-// is barred at the runner before the entry is told.
-func TestTurnedDownAfterALostOrderIsBarredFirst(t *testing.T) {
+// Guards against a false "not started": the first copy of a start is lost and may be executed
+// seconds later, and the second is rejected for lack of capacity. The guard must have a stop
+// acknowledged by the runner before it reports to the entry.
+func TestStartRejectedAfterALostCopyIsStoppedFirst(t *testing.T) {
 	f := newFakeRunner()
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
 	f.set(func() {
-		f.lose["start"] = 1
+		f.dropCalls["start"] = 1
 		f.refuse = runner.ErrFull
 	})
 	run := order(h)
-	report, _ := sink.find(t, runs.NotStarted)
+	report, _ := sink.waitFor(t, runs.NotStarted)
 	assert.Equal(t, report.Refusal, runs.Unwell)
 	f.set(func() {
-		assert.Assert(t, f.barred[run], "told as not started while the order may still be carried out")
+		assert.Assert(t, f.stopped[run], "reported as not started while the start may still be executed")
 	})
 }
 
-// The answer of the first order is lost though the run began, and it is over when the
-// second comes: the runner turns that down as old. The end is in the runner's account,
-// and the entry must be told of that, not that nothing has started.
-func TestOldAfterALostAnswerIsNoRefusal(t *testing.T) {
+// Guards against a false "not started": a start is executed but its answer is lost, and the
+// run has ended when the second copy arrives, which the runner rejects as old. The end is in
+// the runner's run listing, and the entry must be told of that.
+func TestOldRunAfterALostAnswerIsNotNotStarted(t *testing.T) {
 	f := newFakeRunner()
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
 	f.set(func() {
-		f.lose["start"] = 1
-		f.lose["poll"] = 1
+		f.dropCalls["start"] = 1
+		f.dropCalls["poll"] = 1
 		f.refuse = runner.ErrOldRun
 	})
 	run := order(h)
 	f.set(func() { f.running[run] = true })
 	f.end(run, work.Done)
-	_, _ = sink.find(t, runs.Done)
+	_, _ = sink.waitFor(t, runs.Done)
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
 	for _, r := range sink.reports {
@@ -299,75 +298,75 @@
 	}
 }
 
-// A caller's answer is late because its guard did not know that the run was over: the
-// guard's question to the runner was lost. The next one goes out beside it.
-func TestLostLookIsOvertaken(t *testing.T) {
+// Guards against a late result after a lost poll, during which the guard does not learn that
+// the run is over: another poll is sent before the first one times out.
+func TestLostPollIsHedged(t *testing.T) {
 	f := newFakeRunner()
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
 	run := order(h)
-	_, _ = sink.find(t, runs.Running)
+	_, _ = sink.waitFor(t, runs.Running)
 	time.Sleep(2 * pollWait)
-	f.set(func() { f.lose["poll"] = 1 })
+	f.set(func() { f.dropCalls["poll"] = 1 })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.lose["poll"] > 0 {
+		if f.dropCalls["poll"] > 0 {
 			return poll.Continue("no poll lost yet")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
 	began := time.Now()
 	f.end(run, work.Done)
-	_, at := sink.find(t, runs.Done)
-	assert.Assert(t, at.Sub(began) < pollMargin, "told after %s", at.Sub(began))
+	_, at := sink.waitFor(t, runs.Done)
+	assert.Assert(t, at.Sub(began) < pollMargin, "delivered after %s", at.Sub(began))
 }
 
-// Tasks wait for room that stands empty: a poll at a busy runner was lost, and its
-// guard knows of none of the ends until the poll is given up, 80 ms later, though one
-// came every 10 ms before. On a busy runner the next poll goes out after some 15 ms;
-// on a quiet one, where polls take their whole wait, none goes out beside another.
-func TestBusyRunnerIsLookedAtSooner(t *testing.T) {
+// Guards against tasks waiting while capacity is free: a poll at a busy runner is lost, and
+// the guard learns of no ended run until it gives up the poll 80 ms later, although one ended
+// every 10 ms before. At a busy runner the next poll must be sent after about 15 ms; at an
+// idle one, where polls take their whole wait, none is hedged.
+func TestPollsOfABusyRunnerAreHedgedSooner(t *testing.T) {
 	f := newFakeRunner()
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
-	assert.Equal(t, h.hedgeDelay(), pollWait+pollSlow, "nothing is known of the runner")
+	assert.Equal(t, h.pollHedgeDelay(), pollWait+pollHedgeMargin, "no polls have been measured")
 	order(h)
-	_, _ = sink.find(t, runs.Running)
-	var lost time.Duration
+	_, _ = sink.waitFor(t, runs.Running)
+	var lostAt time.Duration
 	took := func(d time.Duration) time.Duration {
 		h.mu.Lock()
 		for range 50 {
-			h.answered(d)
+			h.recordPollTime(d)
 		}
-		h.lostAt = lost
+		h.lastPollLost = lostAt
 		h.mu.Unlock()
-		return h.hedgeDelay()
+		return h.pollHedgeDelay()
 	}
-	assert.Equal(t, took(10*time.Millisecond), pollWait+pollSlow, "none was lost: nothing is gained by another")
-	lost = uptime.Now()
+	assert.Equal(t, took(10*time.Millisecond), pollWait+pollHedgeMargin, "no poll was lost, so a hedge gains nothing")
+	lostAt = uptime.Now()
 	assert.Assert(t, took(10*time.Millisecond) <= 16*time.Millisecond)
-	assert.Equal(t, took(time.Millisecond), leastHedgeDelay)
-	assert.Assert(t, took(pollWait) > pollWait+pollSlow/2)
+	assert.Equal(t, took(time.Millisecond), minPollHedgeDelay)
+	assert.Assert(t, took(pollWait) > pollWait+pollHedgeMargin/2)
 }
 
-// A stop that is lost is sent again: until the runner has it, the run holds its room.
+// A lost stop is sent again: until the runner receives it, the run keeps its resources.
 func TestLostStopIsSentAgain(t *testing.T) {
 	f := newFakeRunner()
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
 	run := order(h)
-	_, _ = sink.find(t, runs.Running)
-	f.set(func() { f.lose["stop"] = 1 })
+	_, _ = sink.waitFor(t, runs.Running)
+	f.set(func() { f.dropCalls["stop"] = 1 })
 	began := time.Now()
 	h.Order(uptime.Now(), owner, nil, []work.RunID{{Task: run.Task, Attempt: 1}})
-	_, at := sink.find(t, runs.Stopped)
-	assert.Assert(t, at.Sub(began) < stopTimeout, "told after %s", at.Sub(began))
+	_, at := sink.waitFor(t, runs.Stopped)
+	assert.Assert(t, at.Sub(began) < stopTimeout, "delivered after %s", at.Sub(began))
 }
 
-// A runner reports that it has left while a poll is about to be sent. The guard must
-// not break on the life that is gone: every run of its entries would be lost with it.
-func TestLookWithoutARunner(t *testing.T) {
+// Guards against a crash of the guard, which would lose every run of its entries: the runner
+// reports that it has shut down while a poll is about to be sent.
+func TestPollWithoutARunner(t *testing.T) {
 	f := newFakeRunner()
 	h, _ := startHost(t, f)
 	h.Left("i")
--- a/guard/host/loops.go
+++ b/guard/host/loops.go
@@ -12,11 +12,11 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// sweepLoop ends runs that are no longer wanted.
+// sweepLoop stops runs that are to end and prunes old records.
 func (h *Host) sweepLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var forgot time.Duration
+	var prunedAt time.Duration
 	for {
 		select {
 		case <-ctx.Done():
@@ -28,11 +28,11 @@
 		h.mu.Lock()
 		h.sendStops(now)
 		expired := h.table.Expire(now)
-		if now-forgot > forgetEvery {
+		if now-prunedAt > pruneInterval {
 			h.table.Forget(now)
-			forgot = now
+			prunedAt = now
 		}
-		wait := min(h.table.Next()-now, forgetEvery)
+		wait := min(h.table.Next()-now, pruneInterval)
 		h.mu.Unlock()
 		if len(expired) > 0 {
 			h.deliver(expired)
@@ -41,7 +41,7 @@
 	}
 }
 
-// sendStops sends the stops that are due. The lock is held.
+// sendStops sends the stops that are due. h.mu is held.
 func (h *Host) sendStops(now time.Duration) {
 	p := h.process
 	if p == nil {
@@ -54,21 +54,21 @@
 				return p.api.Stop(ctx, s.Name)
 			})
 			if answer.err != nil {
-				uptime.Sleep(h.ctx, stopPause)
+				uptime.Sleep(h.ctx, retryDelay)
 			}
-			h.stopped(p, s, answer)
+			h.handleStopReply(p, s, answer)
 		})
 	}
 }
 
-// stopped takes the answer of a stop.
-func (h *Host) stopped(p *process, s runs.Stop, answer reply) {
+// handleStopReply handles the result of a stop.
+func (h *Host) handleStopReply(p *process, s runs.Stop, answer reply) {
 	err := answer.err
 	h.mu.Lock()
-	p.answered(answer, h.steady())
+	p.recordReply(answer, h.monotonic())
 	switch {
 	case h.process != p:
-		// The run is over, or at the next process, which has had no stop.
+		// The run is over, or it is at the next process, which has received no stop.
 	case err == nil:
 		h.table.Barred(uptime.Now(), s.Name)
 	default:
@@ -79,20 +79,20 @@
 	if err != nil {
 		stopFailed.Log(h.ctx, h.logger, slog.String("job", s.Name.Task.Job), slog.Int("index", s.Name.Task.Index),
 			slog.Int("run", s.Name.Number), slog.String("error", err.Error()))
-		signal(h.sweep)
+		notify(h.sweep)
 	}
-	signal(h.poll)
+	notify(h.poll)
 }
 
-// pollLoop renews the lease and reads the runner's account while anything is
-// there, one poll at a time unless one goes unanswered.
+// pollLoop renews the lease and reads the runner's run listing while any runs are there, one
+// poll at a time unless one goes unanswered.
 func (h *Host) pollLoop(ctx context.Context) {
-	var under sync.WaitGroup
-	defer under.Wait()
-	free := make(chan struct{}, inFlightPolls)
+	var polls sync.WaitGroup
+	defer polls.Wait()
+	inFlight := make(chan struct{}, maxInFlightPolls)
 	for ctx.Err() == nil {
-		if h.wanted() {
-			h.pollRound(ctx, &under, free)
+		if h.needsPoll() {
+			h.pollRound(ctx, &polls, inFlight)
 			continue
 		}
 		select {
@@ -103,63 +103,63 @@
 	}
 }
 
-// wanted reports whether the runner's account is to be read.
-func (h *Host) wanted() bool {
+// needsPoll reports whether the runner's run listing is to be requested.
+func (h *Host) needsPoll() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.process != nil && (!h.table.Idle() || !h.table.Checked() || h.table.Seen() > h.process.acked)
+	return h.process != nil && (!h.table.Idle() || !h.table.Checked() || h.table.Seen() > h.process.ackedEnd)
 }
 
-// pollRound sends a poll and waits for it as long as one takes that is answered;
-// a poll that isn't goes on by itself.
-func (h *Host) pollRound(ctx context.Context, under *sync.WaitGroup, free chan struct{}) {
+// pollRound sends a poll and waits for its answer until the hedge delay has passed; an
+// unanswered poll then continues in the background.
+func (h *Host) pollRound(ctx context.Context, polls *sync.WaitGroup, inFlight chan struct{}) {
 	select {
 	case <-ctx.Done():
 		return
-	case free <- struct{}{}:
+	case inFlight <- struct{}{}:
 	}
 	done := make(chan time.Duration, 1)
-	under.Go(func() {
-		defer func() { <-free }()
+	polls.Go(func() {
+		defer func() { <-inFlight }()
 		done <- h.pollOnce(ctx)
 	})
-	if again, answered := awaitFor(done, h.hedgeDelay()); answered {
-		uptime.Sleep(ctx, again)
+	if pause, answered := awaitFor(done, h.pollHedgeDelay()); answered {
+		uptime.Sleep(ctx, pause)
 	}
 }
 
-// hedgeDelay is the time after which a poll that isn't answered is overtaken. Where polls
-// have been lost of late it is short: on a busy
-// runner an end would have come by then in four cases of five.
-func (h *Host) hedgeDelay() time.Duration {
+// pollHedgeDelay returns the time after which an unanswered poll is hedged by another. If
+// polls have been lost recently it is short: at a busy runner a run would have ended by then,
+// and the poll been answered, in four cases out of five.
+func (h *Host) pollHedgeDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.table.Idle() || h.lostAt == 0 || uptime.Now()-h.lostAt > lostMemory {
-		return pollWait + pollSlow
+	if h.table.Idle() || h.lastPollLost == 0 || uptime.Now()-h.lastPollLost > pollHedgeWindow {
+		return pollWait + pollHedgeMargin
 	}
-	return min(max(time.Duration(hedgeFactor*float64(h.pollTakes)), leastHedgeDelay), pollWait+pollSlow)
+	return min(max(time.Duration(pollHedgeFactor*float64(h.meanPollTime)), minPollHedgeDelay), pollWait+pollHedgeMargin)
 }
 
-// answered takes note of the time that an answered poll took. The lock is held.
-func (h *Host) answered(took time.Duration) {
-	h.pollTakes += (min(took, pollWait) - h.pollTakes) / pollMemory
+// recordPollTime updates the mean poll time. h.mu is held.
+func (h *Host) recordPollTime(took time.Duration) {
+	h.meanPollTime += (min(took, pollWait) - h.meanPollTime) / pollMeanWindow
 }
 
-// pollOnce returns the pause before the next poll.
-func (h *Host) pollOnce(ctx context.Context) (again time.Duration) {
+// pollOnce sends a poll, handles its answer and returns the pause before the next poll.
+func (h *Host) pollOnce(ctx context.Context) (pause time.Duration) {
 	asked := uptime.Now()
 	h.mu.Lock()
 	p := h.process
 	if p == nil {
-		// The runner has left since the poll was found to be wanted.
+		// The runner was removed after needsPoll returned true.
 		h.mu.Unlock()
 		return 0
 	}
-	left, leases := p.leased-h.steady(), h.table.Holds()
+	remaining, hasRuns := p.leasedUntil-h.monotonic(), h.table.Holds()
 	until := h.lease(p, asked)
 	seen := h.table.Seen()
 	wait := pollWait
-	if p.silent || h.table.Idle() || seen > p.acked && !h.table.Open() {
+	if p.unresponsive || h.table.Idle() || seen > p.ackedEnd && !h.table.Open() {
 		wait = 0
 	}
 	if h.table.Idle() {
@@ -175,60 +175,60 @@
 	}
 	now := uptime.Now()
 	h.mu.Lock()
-	if h.process != p || asked <= p.polledAt || p.older(asked, account, err) {
-		// Of another process, or hedged by a poll that was asked for later: accounts
-		// are read in the order in which they were asked for.
+	if h.process != p || asked <= p.requestedAt || p.outdated(asked, account, err) {
+		// The answer is of another process, or a poll that was requested later has been read
+		// already: run listings are read in the order of their requests.
 		h.mu.Unlock()
 		return 0
 	}
 	var reports []runs.Report
-	again = stopPause
-	p.silent = err != nil
+	pause = retryDelay
+	p.unresponsive = err != nil
 	if errors.Is(err, runner.ErrUnanswered) {
-		h.lostAt = now
+		h.lastPollLost = now
 	}
 	switch {
 	case err == nil:
-		again = 0
-		p.read(account.Clock, h.steady())
-		p.polledAt = asked
-		p.readAt, p.accountAt = now, account.Clock
-		p.acked = max(p.acked, seen)
-		h.answered(now - asked)
+		pause = 0
+		p.syncClock(account.Clock, h.monotonic())
+		p.requestedAt = asked
+		p.readAt, p.listingClock = now, account.Clock
+		p.ackedEnd = max(p.ackedEnd, seen)
+		h.recordPollTime(now - asked)
 		reports = h.table.Read(now, asked, account)
 	case errors.Is(err, runner.ErrRestarted):
-		h.restarted(account)
+		h.handleRestart(account)
 	case errors.Is(err, runner.ErrReplaced):
 		reports = h.table.Replace(now)
 		h.process = nil
-	case h.steady() > p.leased+lapseMargin:
+	case h.monotonic() > p.leasedUntil+leaseEndMargin:
 		reports = h.table.Lapse(now, errors.Is(err, runner.ErrNobody))
-		again = silentPause
+		pause = expiredPollInterval
 	}
 	h.sendStops(now)
 	h.mu.Unlock()
-	if err == nil && leases {
-		h.opt.Metrics.extended(left)
+	if err == nil && hasRuns {
+		h.opt.Metrics.leaseExtended(remaining)
 	}
 	h.deliver(reports)
-	return again
+	return pause
 }
 
-// Malformed takes note of a report that is no runner's. A program that sends many
-// writes one line a while.
+// Malformed counts a malformed report. Log lines are rate-limited, because a faulty program
+// may send many.
 func (h *Host) Malformed(instance string, err error) {
 	h.mu.Lock()
 	now := uptime.Now()
-	tell := h.foreignAt == 0 || now-h.foreignAt >= foreignInterval
-	if tell {
-		h.foreignAt = now
+	shouldLog := h.malformedLoggedAt == 0 || now-h.malformedLoggedAt >= malformedLogInterval
+	if shouldLog {
+		h.malformedLoggedAt = now
 	}
 	h.mu.Unlock()
-	h.opt.Metrics.foreign()
-	if tell {
-		reportMalformed.Log(context.Background(), h.logger, slog.String("runner", clip(instance)), slog.String("error", clip(err.Error())))
+	h.opt.Metrics.countMalformed()
+	if shouldLog {
+		reportMalformed.Log(context.Background(), h.logger, slog.String("runner", truncate(instance)), slog.String("error", truncate(err.Error())))
 	}
 }
 
-// clip bounds what a stranger wrote.
-func clip(s string) string { return s[:min(len(s), foreignText)] }
+// truncate bounds untrusted text in log lines.
+func truncate(s string) string { return s[:min(len(s), malformedLogBytes)] }
--- a/guard/host/metrics.go
+++ b/guard/host/metrics.go
@@ -8,17 +8,17 @@
 	"almondstand.dev/guard/runs"
 )
 
-// Metrics count the orders to the runner.
+// Metrics counts the calls to the runner.
 type Metrics struct {
 	starts, startErrors, stops, stopErrors, polls, pollErrors tally.Counter
-	// leasesLate counts extensions that came after the lease had run out, and
-	// leaseLeft is what was left of it at each extension.
+	// leasesLate counts lease extensions that came after the lease had expired, and leaseLeft
+	// records the time that was left of it at each extension.
 	leasesLate tally.Counter
 	leaseLeft  tally.Timer
 	refusals   map[runs.Refusal]tally.Counter
-	// malformed counts reports that are no runner's.
+	// malformed counts malformed runner reports.
 	malformed tally.Counter
-	// crashes counts the runner's crashes under runs.
+	// crashes counts crashes of a runner that had runs.
 	crashes tally.Counter
 }
 
@@ -54,15 +54,15 @@
 func (m *Metrics) stop(err error)  { count(m.stops, m.stopErrors, err) }
 func (m *Metrics) poll(err error)  { count(m.polls, m.pollErrors, err) }
 
-// extended takes note that the runner's lease was extended with so much left of it;
-// negative when it had run out.
-func (m *Metrics) extended(left time.Duration) {
+// leaseExtended records that the runner's lease was extended when it had the given time left,
+// negative if it had expired.
+func (m *Metrics) leaseExtended(left time.Duration) {
 	if left < 0 {
 		m.leasesLate.Inc(1)
 	}
 	m.leaseLeft.Record(max(left, 0))
 }
 
-func (m *Metrics) foreign() { m.malformed.Inc(1) }
+func (m *Metrics) countMalformed() { m.malformed.Inc(1) }
 
-func (m *Metrics) refused(why runs.Refusal) { m.refusals[why].Inc(1) }
+func (m *Metrics) countRefusal(why runs.Refusal) { m.refusals[why].Inc(1) }
--- a/guard/host/orders.go
+++ b/guard/host/orders.go
@@ -9,79 +9,78 @@
 )
 
 const (
-	// hedgeStartAfter is how long an order may go unanswered before it is sent again
-	// beside the first, at the least: a runner answers within a millisecond or two, unless
-	// it or this host is short of processor time. Orders name
-	// their run, so the runner does nothing for the second if the first has come, and
-	// turns the first down when it comes after the run's end. Without it a lost order
-	// cost its task 150 ms and a stop: with one order of 25 lost, three jobs of eight
-	// tasks in ten.
-	hedgeStartAfter = 12 * time.Millisecond
-	// sends bounds how often an order is sent: of 25 lost ones one is lost twice.
-	sends = 3
-	// lateTimer is how late a timer fires of a guard that was held back itself. The answer may
-	// have come meanwhile and be unread.
-	lateTimer = 6 * time.Millisecond
+	// minHedgeDelay is the shortest time after which an unanswered call is hedged: a runner
+	// answers within a millisecond or two unless it or this host is short of CPU time. Calls
+	// name their run, so the runner ignores a second copy if the first has arrived, and
+	// rejects a copy that arrives after the run's end. Without hedging, a lost call cost its
+	// task 150 ms and a stop: with one call in 25 lost, this hit three in ten jobs of eight
+	// tasks.
+	minHedgeDelay = 12 * time.Millisecond
+	// maxSends bounds how often a call is sent, the first copy included: with one call in 25
+	// lost, one in 25 of the lost ones is lost twice.
+	maxSends = 3
+	// timerStall is how late a timer must fire to show that this process was stalled itself.
+	// The answer may have arrived during the stall and not have been read yet.
+	timerStall = 6 * time.Millisecond
 )
 
-// reply is the end of an order.
+// reply is the result of a call.
 type reply struct {
 	clock time.Duration
 	err   error
-	// sure is true when the error is the runner's word on every time that the order
-	// was sent, so that none of them can be carried out later.
-	sure bool
-	// again is true when the order was sent more than once.
-	again bool
-	// copy numbers the time that this answer is to, from 1, and inVain is true when the order
-	// was sent again after that.
-	copy   int
-	inVain bool
+	// definite is true if the runner rejected the call and no copy of it went unanswered, so
+	// that none can be executed later.
+	definite bool
+	// hedged is true if the call was sent more than once.
+	hedged bool
+	// attempt is the number, from 1, of the copy that was answered, and needless is true if
+	// another copy was sent after that one.
+	attempt  int
+	needless bool
 }
 
-// send gives an order, and again when it goes unanswered for the delay; each time has the
-// timeout for itself. An order that was carried out ends it, whatever became of the
-// others.
+// send makes a call and hedges it whenever it goes unanswered for the delay; each copy has its
+// own timeout. The first success ends it, whatever happened to the other copies.
 func (h *Host) send(timeout, delay time.Duration, order func(context.Context) (time.Duration, error)) reply {
-	answers := make(chan reply, sends)
-	open, sent, lost := 0, 0, false
+	answers := make(chan reply, maxSends)
+	inFlight, sent, unanswered := 0, 0, false
 	last := reply{err: runner.ErrUnanswered}
 	for {
-		if sent < sends && h.ctx.Err() == nil {
+		if sent < maxSends && h.ctx.Err() == nil {
 			sent++
-			open++
-			this := sent
+			inFlight++
+			attempt := sent
 			h.calls.Go(func() {
 				ctx, cancel := context.WithTimeout(h.ctx, timeout)
 				defer cancel()
 				clock, err := order(ctx)
-				answers <- reply{clock: clock, err: err, copy: this}
+				answers <- reply{clock: clock, err: err, attempt: attempt}
 			})
 		}
-		if open == 0 {
+		if inFlight == 0 {
 			return last
 		}
-		answer, ok := await(answers, delay, sent < sends)
+		answer, ok := await(answers, delay, sent < maxSends)
 		if !ok {
 			continue
 		}
-		open--
-		answer.again, answer.inVain = sent > 1, answer.copy < sent
+		inFlight--
+		answer.hedged, answer.needless = sent > 1, answer.attempt < sent
 		if answer.err == nil {
 			return answer
 		}
 		last = answer
 		if errors.Is(answer.err, runner.ErrUnanswered) {
-			lost = true
+			unanswered = true
 			continue
 		}
-		// Turned down: to ask again is of no use.
-		last.sure = open == 0 && !lost
+		// The runner rejected the call; sending it again is of no use.
+		last.definite = inFlight == 0 && !unanswered
 		return last
 	}
 }
 
-// await waits for an answer; for the delay at most if the order may be sent again.
+// await waits for an answer, no longer than the delay if the call may be hedged.
 func await(answers <-chan reply, delay time.Duration, bounded bool) (reply, bool) {
 	if !bounded {
 		return <-answers, true
@@ -89,8 +88,8 @@
 	return awaitFor(answers, delay)
 }
 
-// awaitFor waits for a value, so long at most. A span in which this process did not run doesn't
-// count: what came in it is still to be read.
+// awaitFor waits up to the limit for a value. A time span in which this process was not
+// scheduled does not count, because a value that arrived during it has not been read yet.
 func awaitFor[T any](values <-chan T, limit time.Duration) (value T, ok bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -105,7 +104,7 @@
 			return value, true
 		default:
 		}
-		if time.Since(began) < limit+lateTimer {
+		if time.Since(began) < limit+timerStall {
 			return value, false
 		}
 		timer.Reset(limit)
--- a/guard/host/orders_test.go
+++ b/guard/host/orders_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against: an order is sent again though its answer has come, as the timer is up too.
-func TestAnswerThatIsThereIsNotHedged(t *testing.T) {
+// Guards against hedging a call whose answer has arrived, when the timer has fired too.
+func TestReceivedAnswerIsNotHedged(t *testing.T) {
 	for range 200 {
 		answers := make(chan int, 1)
 		answers <- 1
@@ -17,17 +17,17 @@
 	}
 }
 
-// Guards against: most orders are sent twice to a runner that answers late, its host being short of
-// processor time.
-func TestHedgeDelayGrowsWhileHedgesAreInVain(t *testing.T) {
+// Guards against sending most calls twice to a runner that answers slowly because its host is
+// short of CPU time.
+func TestHedgeDelayGrowsWithNeedlessHedges(t *testing.T) {
 	var h hedge
-	assert.Equal(t, h.delay(), hedgeStartAfter)
+	assert.Equal(t, h.delay(), minHedgeDelay)
 	for range 10 {
-		h.answered(true)
+		h.record(true)
 	}
 	assert.Equal(t, h.delay(), maxHedgeDelay)
 	for range 200 {
-		h.answered(false)
+		h.record(false)
 	}
-	assert.Assert(t, h.delay() < hedgeStartAfter+time.Millisecond, "%v", h.delay())
+	assert.Assert(t, h.delay() < minHedgeDelay+time.Millisecond, "%v", h.delay())
 }
--- a/guard/host/process.go
+++ b/guard/host/process.go
@@ -6,80 +6,86 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// process is what this guard knows of one process of the runner, and how it is called. It is
-// replaced as a whole: reports, accounts and clocks of one process say nothing of another, though
-// they may have one id.
+// process is the state of one runner process and its client. It is replaced as a whole,
+// because reports, run listings and clocks of one process do not apply to another, even under
+// the same id.
 type process struct {
 	work.Incarnation
 	api Runner
-	// heard is the number of the newest report.
-	heard int64
-	clock sample
-	hedge hedge
-	// leased is the steady time by which every lease given has run out.
-	leased time.Duration
-	// acked is the highest end that the process knows to be taken note of.
-	acked int64
-	// silent is true while it answers no polls.
-	silent bool
-	// polledAt is the uptime at which the newest account read was asked for.
-	polledAt time.Duration
-	// readAt is the uptime at which the newest account was read, and accountAt the
+	// lastReport is the sequence number of the latest report.
+	lastReport int64
+	clock      clockSample
+	hedge      hedge
+	// leasedUntil is the time of this host's monotonic clock by which every granted lease has
+	// expired.
+	leasedUntil time.Duration
+	// ackedEnd is the highest sequence number of an ended run that has been acknowledged to
+	// the process.
+	ackedEnd int64
+	// unresponsive is true while the process answers no polls.
+	unresponsive bool
+	// requestedAt is the uptime at which the latest run listing that was read had been
+	// requested.
+	requestedAt time.Duration
+	// readAt is the uptime at which the latest run listing was read, and listingClock the
 	// runner's clock in it.
-	readAt, accountAt time.Duration
+	readAt, listingClock time.Duration
 }
 
-// sample ties the runner's clock to this host's steady clock.
-type sample struct {
-	runner time.Duration
-	steady time.Duration
+// clockSample maps the runner's clock to this host's monotonic clock.
+type clockSample struct {
+	runner    time.Duration
+	monotonic time.Duration
 }
 
-// at is the least that the runner's clock shows at a steady time.
-func (s sample) at(steady time.Duration) time.Duration {
-	return s.runner + time.Duration(float64(steady-s.steady)*slowClock)
+// earliest returns the lowest time that the runner's clock can show at a time of this host's
+// monotonic clock.
+func (s clockSample) earliest(monotonic time.Duration) time.Duration {
+	return s.runner + time.Duration(float64(monotonic-s.monotonic)*minClockRate)
 }
 
-// read notes the process's clock from an answer.
-func (p *process) read(clock, steady time.Duration) {
-	if clock > 0 && clock > p.clock.at(steady) {
-		p.clock = sample{clock, steady}
+// syncClock updates the clock sample from an answer of the process.
+func (p *process) syncClock(clock, monotonic time.Duration) {
+	if clock > 0 && clock > p.clock.earliest(monotonic) {
+		p.clock = clockSample{clock, monotonic}
 	}
 }
 
-// answered notes what the answer of an order says of the process.
-func (p *process) answered(r reply, steady time.Duration) {
-	p.read(r.clock, steady)
+// recordReply updates the clock sample and the hedge delay from the result of a call.
+func (p *process) recordReply(r reply, monotonic time.Duration) {
+	p.syncClock(r.clock, monotonic)
 	if r.err == nil {
-		p.hedge.answered(r.inVain)
+		p.hedge.record(r.needless)
 	}
 }
 
-// lease returns the process's time to which its lease may be extended by a span.
-func (p *process) lease(span, steady time.Duration) time.Duration {
+// lease returns the time on the process's clock up to which its lease may be extended for the
+// duration span to pass.
+func (p *process) lease(span, monotonic time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
-	p.leased = max(p.leased, steady+span)
-	return p.clock.at(steady + span)
+	p.leasedUntil = max(p.leasedUntil, monotonic+span)
+	return p.clock.earliest(monotonic + span)
 }
 
-// older reports whether an account that was under way beside the last one read is of an
-// earlier moment, by the runner's clock: it may list a run whose end has been read, and
-// that would count as one that nobody here has started.
-func (p *process) older(asked time.Duration, v work.Account, err error) bool {
-	return err == nil && asked < p.readAt && v.Clock < p.accountAt
+// outdated reports whether a run listing whose poll was in flight together with that of the
+// last one read describes an earlier moment of the runner's clock. It may list a run whose end
+// has been read already, which would then count as an orphan.
+func (p *process) outdated(asked time.Duration, v work.Account, err error) bool {
+	return err == nil && asked < p.readAt && v.Clock < p.listingClock
 }
 
-// fence is the highest token that this guard has used for a runner's id.
+// fence is the highest fencing token that this guard has used for a runner id.
 type fence struct {
 	id    string
 	token int64
 }
 
-// next is the token for a process, at a time of its clock: above those of older guards, and of
-// the processes before it under its id. Clocks start anew with the process, start times don't; a
-// start time that was set back is caught by the token used before.
+// next returns the token for a process at a time of its clock. It is above those of previous
+// guard processes and of previous processes under the same id. A process's clock starts anew
+// with the process, but its start time does not; if the start time was set back, the token
+// used before ensures a higher one.
 func (f fence) next(i work.Incarnation, clock time.Duration) int64 {
 	token := i.Born + clock.Milliseconds()
 	if f.id == i.ID && i.Born > 0 {
--- a/guard/host/restart_test.go
+++ b/guard/host/restart_test.go
@@ -20,17 +20,17 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// restarting is a host with a stand-in runner that speaks over HTTP.
-type restarting struct {
+// restartFixture is a host with a stand-in runner that is called over HTTP.
+type restartFixture struct {
 	t      *testing.T
 	host   *Host
-	sink   *told
+	sink   *reportRecorder
 	runner *worker.Runner
 	// next numbers the tasks.
 	next int
 }
 
-func startRestarting(t *testing.T, r *worker.Runner) *restarting {
+func newRestartFixture(t *testing.T, r *worker.Runner) *restartFixture {
 	t.Helper()
 	h := New(Options{
 		MaxLease: time.Second,
@@ -38,7 +38,7 @@
 		Logger:   slog.New(slog.NewJSONHandler(io.Discard, nil)),
 		Metrics:  NewMetrics(tally.NoopScope),
 	})
-	x := &restarting{t: t, host: h, sink: &told{}, runner: r}
+	x := &restartFixture{t: t, host: h, sink: &reportRecorder{}, runner: r}
 	server := httptest.NewServer(runner.Handler(h))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -58,11 +58,11 @@
 	assert.NilError(t, r.Listen("127.0.0.1"))
 	go r.Run(ctx)
 	keepAlive(t, h)
-	x.until("the guard is open", func() bool { return h.Capacity().Open })
+	x.until("the guard accepts starts", func() bool { return h.Capacity().Open })
 	return x
 }
 
-func (x *restarting) until(what string, done func() bool) {
+func (x *restartFixture) until(what string, done func() bool) {
 	x.t.Helper()
 	poll.WaitOn(x.t, func(poll.LogT) poll.Result {
 		if done() {
@@ -72,15 +72,15 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// order asks for a run of a task and returns its id.
-func (x *restarting) order(index, attempt int, spec string) work.RunID {
+// order orders a run of a task and returns its id.
+func (x *restartFixture) order(index, attempt int, spec string) work.RunID {
 	id := work.RunID{Task: work.TaskID{Job: "0123456789abcdef", Index: index}, Attempt: attempt}
 	x.host.Order(uptime.Now(), owner, []runs.Order{{Run: id, Spec: spec, Need: work.Amounts{CPUMilli: 1000}, Life: 5 * time.Second}}, nil)
 	return id
 }
 
-// last waits for the last report on a run.
-func (x *restarting) last(id work.RunID) runs.Report {
+// finalReport waits for the final report on a run.
+func (x *restartFixture) finalReport(id work.RunID) runs.Report {
 	x.t.Helper()
 	var last runs.Report
 	x.until("the run's end is reported", func() bool {
@@ -97,13 +97,13 @@
 	return last
 }
 
-// run has a new task run, ordered again while it is known not to have started, and returns
-// what became of it.
-func (x *restarting) run(ms string) runs.State {
+// run runs a new task, which is ordered again while it is reported as not started, and returns
+// its final state.
+func (x *restartFixture) run(ms string) runs.State {
 	x.t.Helper()
 	x.next++
 	for attempt := 1; ; attempt++ {
-		state := x.last(x.order(x.next, attempt, `{"ms":`+ms+`,"cpu":1000}`)).State
+		state := x.finalReport(x.order(x.next, attempt, `{"ms":`+ms+`,"cpu":1000}`)).State
 		if state != runs.NotStarted {
 			return state
 		}
@@ -112,17 +112,18 @@
 	}
 }
 
-// restart has the runner start again under its id, report and run a task.
-func (x *restarting) restart() {
+// restart restarts the runner under the same id and waits until it has reported and run a
+// task.
+func (x *restartFixture) restart() {
 	x.runner.Restart()
 	x.runner.Report(x.t.Context())
-	x.until("a task is done after the restart", func() bool { return x.run("10") == runs.Done })
+	x.until("a task has finished after the restart", func() bool { return x.run("10") == runs.Done })
 }
 
-// Guards against: callers told "not run" of a task that ran on a runner which restarted under
-// its id.
+// Guards against callers being told "not run" about a task that ran on a runner that restarted
+// under the same id.
 func TestUnansweredStartMayHaveRunAfterRestart(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	x.runner.SetFault(worker.Fault{LateShare: 1, LateStarts: true})
 	id := x.order(0, 1, `{"ms":5000,"cpu":1000}`)
 	x.until("the run begins", func() bool { return x.runner.Judge.Starts() == 1 })
@@ -131,12 +132,12 @@
 	time.Sleep(startTimeout)
 	x.runner.Restart()
 	x.runner.Report(t.Context())
-	assert.Equal(t, x.last(id).State, runs.Crashed)
+	assert.Equal(t, x.finalReport(id).State, runs.Crashed)
 }
 
-// Guards against: starts at a restarted runner that has said that it leaves.
+// Guards against starts at a restarted runner that has reported that it is draining.
 func TestRestartedRunnerThatLeavesGetsNoStarts(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	for range 40 {
 		x.runner.Report(t.Context())
 	}
@@ -144,12 +145,13 @@
 	assert.Equal(t, x.run("10"), runs.Done)
 	x.runner.Leave()
 	x.runner.Report(t.Context())
-	assert.Assert(t, !x.host.Capacity().Open, "open after a report that the runner leaves")
+	assert.Assert(t, !x.host.Capacity().Open, "open after a report that the runner is draining")
 }
 
-// Guards against: a task that is done on a restarted runner is taken as stopped and runs again.
+// Guards against a task that finished on a restarted runner being taken for stopped and run
+// again.
 func TestEndsOfRestartedRunnerAreRead(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	for range 20 {
 		assert.Equal(t, x.run("5"), runs.Done)
 	}
@@ -157,34 +159,37 @@
 	assert.Equal(t, x.run("5"), runs.Done)
 	id := x.order(99, 1, `{"ms":100,"cpu":1000}`)
 	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
-	// The run ends while no poll waits for it.
+	// The run ends while no poll is waiting for it.
 	x.runner.SetFault(worker.Fault{Mute: true})
 	time.Sleep(150 * time.Millisecond)
 	x.runner.SetFault(worker.Fault{})
-	assert.Equal(t, x.last(id).State, runs.Done)
+	assert.Equal(t, x.finalReport(id).State, runs.Done)
 }
 
-// Guards against: a start sent to the process before a restart is carried out by the one after it.
+// Guards against a start that was sent to the process before a restart being executed by the
+// process after it.
 func TestLateStartIsFencedAfterRestart(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
-	// The start's validity, by the older clock, must outlast its delay by the newer.
+	x := newRestartFixture(t, &worker.Runner{})
+	// The start's expiry, set by the older process's clock, must be later than the delayed
+	// start's arrival on the newer process's clock.
 	const late = 1200 * time.Millisecond
 	time.Sleep(late)
 	x.runner.SetFault(worker.Fault{LateShare: 1, LateBy: late, LateStarts: true})
 	id := x.order(0, 1, `{"ms":2000,"cpu":1000}`)
-	time.Sleep(4 * hedgeStartAfter)
+	time.Sleep(4 * minHedgeDelay)
 	x.runner.Kill()
 	x.runner.SetFault(worker.Fault{})
 	x.runner.Restart()
 	x.runner.Report(t.Context())
-	assert.Equal(t, x.last(id).State, runs.Crashed)
+	assert.Equal(t, x.finalReport(id).State, runs.Crashed)
 	time.Sleep(late)
 	assert.Equal(t, x.runner.Judge.Starts(), 0)
 }
 
-// Guards against: a late report of the process before a restart takes the one after it out of use.
+// Guards against a delayed report of the process before a restart taking the process after it
+// out of use.
 func TestLateReportOfOlderProcessChangesNothing(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	x.runner.Leave()
 	late := x.runner.Held(t.Context())
 	x.restart()
@@ -195,9 +200,10 @@
 	assert.Equal(t, x.run("10"), runs.Done)
 }
 
-// Guards against: a late report of the process before a restart opens a runner that leaves.
+// Guards against a delayed report of the process before a restart reopening a runner that is
+// draining.
 func TestLateReportOfOlderProcessOpensNothing(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	late := x.runner.Held(t.Context())
 	x.restart()
 	assert.Equal(t, x.run("10"), runs.Done)
@@ -208,47 +214,49 @@
 	assert.Assert(t, !x.host.Capacity().Open)
 }
 
-// Guards against: a late word that the process before a restart has ended ends the runs of the one after it.
+// Guards against a delayed shutdown notice of the process before a restart ending the runs of
+// the process after it.
 func TestLateDeregistrationOfOlderProcessEndsNoRuns(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	x.restart()
 	assert.Equal(t, x.run("10"), runs.Done)
 	id := x.order(99, 1, `{"ms":1000,"cpu":1000}`)
 	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
 	x.runner.Deregister(t.Context(), x.runner.Instance())
-	assert.Equal(t, x.last(id).State, runs.Done)
+	assert.Equal(t, x.finalReport(id).State, runs.Done)
 }
 
-// Guards against: leases of an hour at a restarted runner, whose clock starts anew.
+// Guards against leases of an hour at a restarted runner, whose clock starts anew.
 func TestLeaseFollowsTheClockOfTheRestartedRunner(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	time.Sleep(300 * time.Millisecond)
 	x.restart()
 	assert.Equal(t, x.run("200"), runs.Done)
 	assert.Assert(t, x.runner.LongestLease() <= runs.DefaultHold+50*time.Millisecond, "%v", x.runner.LongestLease())
 }
 
-// Guards against: a task that crashes its runner, back under its id, is never suspected.
+// Guards against a task that crashes its runner never becoming a suspect because the runner
+// returns under the same id.
 func TestCrashIsReportedAfterRestartUnderTheSameID(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{})
+	x := newRestartFixture(t, &worker.Runner{})
 	id := x.order(0, 1, `{"ms":5000,"cpu":1000}`)
 	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
 	time.Sleep(startTimeout)
 	x.runner.Restart()
 	x.runner.Report(t.Context())
-	report := x.last(id)
+	report := x.finalReport(id)
 	assert.Equal(t, report.State, runs.Crashed)
 	assert.Assert(t, report.Crash != nil && report.Crash.Newest)
 }
 
-// Guards against: a runner that doesn't say when it was started gets no work.
+// Guards against a runner that does not report its start time receiving no work.
 func TestRunnerWithoutStartTimeIsServed(t *testing.T) {
-	x := startRestarting(t, &worker.Runner{Unborn: true})
+	x := newRestartFixture(t, &worker.Runner{Unborn: true})
 	assert.Equal(t, x.run("10"), runs.Done)
 	id := x.order(99, 1, `{"ms":5000,"cpu":1000}`)
 	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
 	x.runner.Reborn()
 	x.runner.Report(t.Context())
-	assert.Equal(t, x.last(id).State, runs.Crashed)
+	assert.Equal(t, x.finalReport(id).State, runs.Crashed)
 	assert.Equal(t, x.run("10"), runs.Done)
 }
