--- a/guard/ledger/ledger.go
+++ b/guard/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger holds, for one incarnation of a guard, what became of every
-// start that an entry numbered. It is the authority for "never started": a
-// sequence number is admitted once, written down before the runner is called,
-// and a number that was never seen is barred for good when an entry asks about
-// it. The ledger does no input or output; the clock is passed in.
+// Package ledger records, for one incarnation of a guard, the outcome of every start that an
+// entry has numbered. It is the authority for "never started": a sequence number is admitted
+// once, it is recorded before the runner is called, and when an entry asks about a number that
+// was never seen, that number is rejected for good. The ledger does no I/O; the clock is
+// passed in.
 package ledger
 
 import (
@@ -17,72 +17,72 @@
 	wirev1 "almondstand.dev/wire/wirev1"
 )
 
-// Errors of the ledger. None of them says whether a task started.
+// Errors of the ledger. None of them indicates whether a task started.
 var (
 	// ErrInvalidSeq means that a sequence number is 0.
 	ErrInvalidSeq = errors.New("ledger: sequence numbers start at 1")
-	// ErrFull means that no more records fit; nothing was written.
+	// ErrFull means that the limit on records is reached; nothing was recorded.
 	ErrFull = errors.New("ledger: too many unsettled records")
-	// ErrTooManySessions means that no further entry can open a session.
+	// ErrTooManySessions means that the limit on sessions is reached.
 	ErrTooManySessions = errors.New("ledger: too many sessions")
 	// ErrStaleEntry means that a newer incarnation of the entry has a session.
 	ErrStaleEntry = errors.New("ledger: a newer incarnation of this entry is known")
-	// ErrInvalidEntry means that an entry gave no id or incarnation.
+	// ErrInvalidEntry means that an entry sent no id or no incarnation.
 	ErrInvalidEntry = errors.New("ledger: an entry needs an id and an incarnation")
 )
 
 // Options of a Ledger.
 type Options struct {
-	// Incarnation of the guard; a request that names another is not served.
+	// Incarnation of the guard; a request for another one is not served.
 	Incarnation uint64
-	// Lease is how long a session lives without a call.
+	// Lease is how long a session stays open without a request.
 	Lease time.Duration
-	// MaxSessions bounds the sessions of all entries, MaxEntrySessions those of
-	// one entry: beyond it the one idle for longest is dropped.
+	// MaxSessions bounds the sessions of all entries, and MaxEntrySessions those of one entry:
+	// if an entry exceeds it, its longest idle session is dropped.
 	MaxSessions      int
 	MaxEntrySessions int
 	// MaxRecords bounds the records of all sessions, MaxSessionRecords those of one.
 	MaxRecords        int
 	MaxSessionRecords int
-	// MaxResultBytes bounds the results kept until they are acknowledged.
+	// MaxResultBytes bounds the size of the results kept until they are acknowledged.
 	MaxResultBytes int64
-	// NewSessionID mints ids that are never used twice, also not by another
-	// incarnation of a guard.
+	// NewSessionID returns an id that is never used twice, not even by another incarnation of
+	// a guard.
 	NewSessionID func() string
 }
 
 // Ledger holds the sessions of one guard incarnation. It is safe for
 // concurrent use.
 type Ledger struct {
-	opts    Options
-	records atomic.Int64
-	shelf   *shelf
+	opts        Options
+	records     atomic.Int64
+	resultCache *resultCache
 
-	// mu orders changes of the table; readers take the snapshot.
+	// mu serializes changes of the session table; readers load the current snapshot without
+	// it.
 	mu       sync.Mutex
 	sessions atomic.Pointer[map[string]*session]
 }
 
 // New returns an empty ledger.
 func New(opts Options) *Ledger {
-	l := &Ledger{opts: opts, shelf: newShelf(opts.MaxResultBytes)}
+	l := &Ledger{opts: opts, resultCache: newResultCache(opts.MaxResultBytes)}
 	l.sessions.Store(&map[string]*session{})
 	return l
 }
 
-// Ref names one start, as every request about it does.
+// Ref identifies one start; every request about the start carries it.
 type Ref struct {
 	Session string
 	Seq     uint64
 	// Incarnation of the guard that the request is meant for.
 	Incarnation uint64
-	// LowWatermark is the lowest sequence number still open at the entry; 0
-	// leaves it as it is.
+	// LowWatermark is the lowest sequence number that is still open at the entry; 0 leaves the
+	// session's watermark unchanged.
 	LowWatermark uint64
 }
 
-// Answer is what the ledger holds for a Ref: a task, or a report that is final
-// when there is no task.
+// Answer is the ledger's state for a Ref: a task, or, if there is no task, a final report.
 type Answer struct {
 	Task   *Task
 	Report *wirev1.TaskReport
@@ -90,8 +90,8 @@
 	Admitted bool
 }
 
-// Hello opens a session for an entry. A newer incarnation of the entry drops
-// the sessions of older ones: their waiting tasks never start.
+// Hello opens a session for an entry. A newer incarnation of the entry drops the sessions of
+// the older ones: their waiting tasks never start.
 func (l *Ledger) Hello(now time.Time, entry string, incarnation uint64) (string, error) {
 	if entry == "" || incarnation == 0 {
 		return "", ErrInvalidEntry
@@ -120,18 +120,18 @@
 	return s.id, nil
 }
 
-// outdated lists the sessions that a Hello ends: those of older incarnations,
-// and the longest idle one when the entry has too many.
+// outdated returns the sessions that a Hello ends: those of older incarnations, those whose
+// lease has expired, and the longest idle one if the entry has too many.
 func (l *Ledger) outdated(now time.Time, entry string, incarnation uint64) ([]*session, error) {
 	var old, same []*session
 	for _, s := range *l.sessions.Load() {
 		switch {
 		case s.entry != entry:
-		case s.lapsed(now), s.incarnation < incarnation:
+		case s.expired(now), s.incarnation < incarnation:
 			old = append(old, s)
 		case s.incarnation > incarnation:
-			// A Hello delayed in a socket since before the entry restarted would
-			// otherwise drop the sessions of the entry that lives.
+			// Otherwise a Hello that was delayed in a socket since before the entry restarted
+			// would drop the sessions of the running entry.
 			return nil, ErrStaleEntry
 		default:
 			same = append(same, s)
@@ -146,25 +146,24 @@
 	return append(old, idle), nil
 }
 
-// Admit takes a start. At most one call for a sequence number ever returns
-// Admitted; its record is written when Admit returns, so the caller may go on
-// to call the runner. dropped is called once, without locks held, when the
-// ledger itself ends the task before it began to run.
+// Admit admits a start. At most one call for a sequence number ever returns Admitted; its
+// record exists when Admit returns, so the caller may go on to call the runner. dropped is
+// called once, without locks held, if the ledger itself ends the task before it began to run.
 func (l *Ledger) Admit(now time.Time, ref Ref, dropped func()) (Answer, error) {
 	return l.with(now, ref, func(s *session) (Answer, error) {
 		return s.admit(ref.Seq, dropped)
 	})
 }
 
-// Resolve tells what became of a start. A sequence number that was never seen
-// is barred for good: a start of it that is still on its way will be refused.
+// Resolve returns the outcome of a start. A sequence number that was never seen is rejected
+// for good: a start with it that is still in transit will be refused.
 func (l *Ledger) Resolve(now time.Time, ref Ref) (Answer, error) {
 	return l.with(now, ref, func(s *session) (Answer, error) {
 		return s.resolve(ref.Seq, wirev1.RefusalReason_REFUSAL_REASON_BARRED)
 	})
 }
 
-// Cancel bars a task that has not started and stops one that runs.
+// Cancel rejects a task that has not started and stops one that is running.
 func (l *Ledger) Cancel(now time.Time, ref Ref) (Answer, error) {
 	var stop func()
 	var dropped *Task
@@ -184,24 +183,24 @@
 	return answer, err
 }
 
-// Ping renews a session's lease and takes its watermark; false when the
-// session is not known or the incarnation is another.
+// Ping renews a session's lease and updates its watermark; it returns false if the session is
+// unknown or the guard incarnation does not match.
 func (l *Ledger) Ping(now time.Time, ref Ref) bool {
 	ref.Seq = 1
 	answer, err := l.with(now, ref, func(*session) (Answer, error) { return Answer{}, nil })
 	return err == nil && answer.Report == nil
 }
 
-// Begin turns a waiting task into a running one; false when the task may not
-// run any more. stop ends the call to the runner when the task is cancelled.
+// Begin marks a waiting task as running; it returns false if the task must not run any more.
+// stop ends the call to the runner if the task is cancelled.
 //
-// The lease is looked at here too: a guard that was frozen with tasks in its
-// queue must not start them for an entry that gave up on it long ago.
+// The lease is checked here too: a guard process that was suspended with tasks in its queue
+// must not start them for an entry that has long given up on the guard.
 func (l *Ledger) Begin(now time.Time, t *Task, stop func()) bool {
 	s := t.session
 	s.mu.Lock()
-	lapsed := !s.gone && now.Sub(s.seen) > l.opts.Lease
-	if lapsed {
+	expired := !s.ended && now.Sub(s.lastRequest) > l.opts.Lease
+	if expired {
 		s.mu.Unlock()
 		l.remove([]*session{s})
 		return false
@@ -215,36 +214,36 @@
 	return true
 }
 
-// Refuse ends a waiting task as never started; false when it does not wait.
+// Refuse ends a waiting task as never started; it returns false if the task is not waiting.
 func (l *Ledger) Refuse(t *Task, reason wirev1.RefusalReason) bool {
 	return t.session.refuse(t, wirev1.TaskState_TASK_STATE_WAITING, reason)
 }
 
-// Disown ends a running task as never started: the runner itself refused it,
-// or nothing of the call reached it. False when the task does not run.
+// Disown ends a running task as never started, because the runner itself rejected it or
+// nothing of the call reached the runner. It returns false if the task is not running.
 func (l *Ledger) Disown(t *Task, reason wirev1.RefusalReason) bool {
 	return t.session.refuse(t, wirev1.TaskState_TASK_STATE_RUNNING, reason)
 }
 
-// Finish ends a running task with its result, which is kept until the entry
-// acknowledges it or the bound on kept results is reached.
+// Finish ends a running task with its result, which is kept until the entry acknowledges it or
+// the limit on kept results is reached.
 func (l *Ledger) Finish(t *Task, result *wirev1.Result) bool {
 	evicted, ok := t.session.finish(t, result)
 	for _, e := range evicted {
-		e.session.forgetResult(e)
+		e.session.evictResult(e)
 	}
 	return ok
 }
 
-// Expire drops the sessions whose lease has lapsed.
+// Expire drops the sessions whose lease has expired.
 func (l *Ledger) Expire(now time.Time) {
-	var lapsed []*session
+	var expired []*session
 	for _, s := range *l.sessions.Load() {
-		if s.lapsed(now) {
-			lapsed = append(lapsed, s)
+		if s.expired(now) {
+			expired = append(expired, s)
 		}
 	}
-	l.remove(lapsed)
+	l.remove(expired)
 }
 
 // Stats counts what the ledger holds.
@@ -258,7 +257,7 @@
 
 // Stats returns the counts.
 func (l *Ledger) Stats() Stats {
-	bytes, results := l.shelf.size()
+	bytes, results := l.resultCache.size()
 	return Stats{
 		Sessions:    len(*l.sessions.Load()),
 		Records:     int(l.records.Load()),
@@ -267,15 +266,15 @@
 	}
 }
 
-// with finds the session of a request, renews its lease, takes the watermark
-// and calls do with the session locked.
+// with finds the session of a request, renews its lease, updates its watermark and calls do
+// with the session locked.
 func (l *Ledger) with(now time.Time, ref Ref, do func(*session) (Answer, error)) (Answer, error) {
 	if ref.Seq == 0 {
 		return Answer{}, ErrInvalidSeq
 	}
 	if ref.Incarnation != l.opts.Incarnation {
-		// The ledger of the other incarnation is lost: "never started" said from
-		// this one could follow a start there.
+		// The ledger of the other incarnation is lost: if this one answered "never started",
+		// it could contradict a start there.
 		return final(wirev1.TaskState_TASK_STATE_WRONG_INCARNATION), nil
 	}
 	s := (*l.sessions.Load())[ref.Session]
@@ -283,13 +282,13 @@
 		return final(wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION), nil
 	}
 	s.mu.Lock()
-	if s.gone || now.Sub(s.seen) > l.opts.Lease {
+	if s.ended || now.Sub(s.lastRequest) > l.opts.Lease {
 		s.mu.Unlock()
 		l.remove([]*session{s})
 		return final(wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION), nil
 	}
-	if now.After(s.seen) {
-		s.seen = now
+	if now.After(s.lastRequest) {
+		s.lastRequest = now
 	}
 	dropped := s.settle(ref.LowWatermark)
 	answer, err := do(s)
@@ -300,7 +299,7 @@
 	return answer, err
 }
 
-// remove takes sessions out of the table and drops them.
+// remove deletes sessions from the table and drops them.
 func (l *Ledger) remove(old []*session) {
 	if len(old) == 0 {
 		return
--- a/guard/ledger/ledger_test.go
+++ b/guard/ledger/ledger_test.go
@@ -17,25 +17,25 @@
 const (
 	incarnation = 7
 	lease       = 10 * time.Second
-	// The bounds are low, so that runs reach them.
+	// The limits are low, so that test runs reach them.
 	maxRecords        = 10
 	maxSessionRecords = 6
 	maxResultBytes    = 2000
 	maxSessions       = 6
-	// fixedSeed and fixedChecks make a run repeatable; -rapid.seed asks for others.
+	// fixedSeed and fixedChecks make a run repeatable; -rapid.seed selects another seed.
 	fixedSeed   = "4711"
 	fixedChecks = "2000"
 )
 
 const (
-	waiting   = wirev1.TaskState_TASK_STATE_WAITING
-	running   = wirev1.TaskState_TASK_STATE_RUNNING
-	finished  = wirev1.TaskState_TASK_STATE_FINISHED
-	never     = wirev1.TaskState_TASK_STATE_NEVER_STARTED
-	unknown   = wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION
-	elsewhere = wirev1.TaskState_TASK_STATE_WRONG_INCARNATION
-	settled   = wirev1.TaskState_TASK_STATE_SETTLED
-	cancelled = wirev1.RefusalReason_REFUSAL_REASON_CANCELLED
+	waiting          = wirev1.TaskState_TASK_STATE_WAITING
+	running          = wirev1.TaskState_TASK_STATE_RUNNING
+	finished         = wirev1.TaskState_TASK_STATE_FINISHED
+	never            = wirev1.TaskState_TASK_STATE_NEVER_STARTED
+	unknown          = wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION
+	wrongIncarnation = wirev1.TaskState_TASK_STATE_WRONG_INCARNATION
+	settled          = wirev1.TaskState_TASK_STATE_SETTLED
+	cancelled        = wirev1.RefusalReason_REFUSAL_REASON_CANCELLED
 )
 
 func TestMain(m *testing.M) {
@@ -48,7 +48,7 @@
 }
 
 func newLedger(maxBytes int64) *ledger.Ledger {
-	var minted int
+	var created int
 	return ledger.New(ledger.Options{
 		Incarnation:       incarnation,
 		Lease:             lease,
@@ -58,8 +58,8 @@
 		MaxSessionRecords: maxSessionRecords,
 		MaxResultBytes:    maxBytes,
 		NewSessionID: func() string {
-			minted++
-			return fmt.Sprint("session-", minted)
+			created++
+			return fmt.Sprint("session-", created)
 		},
 	})
 }
@@ -69,69 +69,70 @@
 	seq     uint64
 }
 
-// oracle judges from outside: what callers were told, and what began to run.
+// oracle checks the ledger from outside, by the answers that callers got and the tasks that
+// started.
 type oracle struct {
 	ledger *ledger.Ledger
 	now    time.Time
-	// sessions in the order of their Hello, also those that are gone.
-	sessions []string
-	entryOf  map[string]string
-	newest   map[string]uint64
-	tasks    map[key]*ledger.Task
-	order    []key
-	begun    map[key]int
-	disowned map[key]bool
-	denied   map[key]bool
-	// recorded holds what the ledger must have a record of, until it is settled.
-	recorded map[key]bool
-	gone     map[string]bool
-	low      map[string]uint64
-	seen     map[string]time.Time
-	stopped  map[key]bool
+	// sessions holds the ids in the order of their Hello, including those that have ended.
+	sessions         []string
+	entryOf          map[string]string
+	newest           map[string]uint64
+	tasks            map[key]*ledger.Task
+	order            []key
+	begun            map[key]int
+	markedNotStarted map[key]bool
+	toldNeverStarted map[key]bool
+	// recorded holds the starts of which the ledger must have a record until they are settled.
+	recorded  map[key]bool
+	ended     map[string]bool
+	watermark map[string]uint64
+	lastSeen  map[string]time.Time
+	stopped   map[key]bool
 }
 
-// heard takes what a caller was told of a start.
-func (o *oracle) heard(t *rapid.T, k key, report *wirev1.TaskReport) {
+// checkReport checks a report on a start and records it.
+func (o *oracle) checkReport(t *rapid.T, k key, report *wirev1.TaskReport) {
 	switch report.GetState() {
 	case never:
-		o.denied[k] = true
+		o.toldNeverStarted[k] = true
 		o.recorded[k] = true
-		if o.begun[k] > 0 && !o.disowned[k] {
+		if o.begun[k] > 0 && !o.markedNotStarted[k] {
 			t.Fatalf("%v: said never started after it began", k)
 		}
 	case waiting, running, finished:
 		o.recorded[k] = true
-		if o.denied[k] {
+		if o.toldNeverStarted[k] {
 			t.Fatalf("%v: %v after never started", k, report.GetState())
 		}
-		if o.gone[k.session] {
-			t.Fatalf("%v: %v from a session that is gone", k, report.GetState())
+		if o.ended[k.session] {
+			t.Fatalf("%v: %v from a session that has ended", k, report.GetState())
 		}
-		if k.seq < o.low[k.session] {
+		if k.seq < o.watermark[k.session] {
 			t.Fatalf("%v: %v below the watermark", k, report.GetState())
 		}
 	case unknown:
-		o.gone[k.session] = true
+		o.ended[k.session] = true
 	}
-	if report.GetState() != unknown && o.now.Sub(o.seen[k.session]) > lease {
-		t.Fatalf("%v: %v after the lease lapsed", k, report.GetState())
+	if report.GetState() != unknown && o.now.Sub(o.lastSeen[k.session]) > lease {
+		t.Fatalf("%v: %v after the lease expired", k, report.GetState())
 	}
-	o.seen[k.session] = o.now
+	o.lastSeen[k.session] = o.now
 }
 
-// count returns the records that each session must have.
-func (o *oracle) count() map[string]int {
+// recordCounts returns the number of records that each session must have.
+func (o *oracle) recordCounts() map[string]int {
 	n := map[string]int{}
 	for k := range o.recorded {
-		if k.seq >= o.low[k.session] && !o.gone[k.session] {
+		if k.seq >= o.watermark[k.session] && !o.ended[k.session] {
 			n[k.session]++
 		}
 	}
 	return n
 }
 
-// ref draws a start to ask about, seldom for another incarnation.
-func (o *oracle) ref(t *rapid.T) (key, ledger.Ref) {
+// drawRef draws a start to ask about, sometimes with a raised watermark.
+func (o *oracle) drawRef(t *rapid.T) (key, ledger.Ref) {
 	if len(o.sessions) == 0 {
 		t.Skip("no session")
 	}
@@ -144,22 +145,22 @@
 	return k, r
 }
 
-// told judges one answer together with the watermark its request carried.
-func (o *oracle) told(t *rapid.T, k key, r ledger.Ref, a ledger.Answer, err error) {
+// checkAnswer checks one answer together with the watermark that its request carried.
+func (o *oracle) checkAnswer(t *rapid.T, k key, r ledger.Ref, a ledger.Answer, err error) {
 	if err != nil {
 		assert.ErrorIs(t, err, ledger.ErrFull)
-		full := o.ledger.Stats().Records == maxRecords || o.count()[k.session] == maxSessionRecords
-		assert.Assert(t, full, "refused for want of room that is there")
-		o.seen[k.session] = o.now
+		full := o.ledger.Stats().Records == maxRecords || o.recordCounts()[k.session] == maxSessionRecords
+		assert.Assert(t, full, "refused although the limits are not reached")
+		o.lastSeen[k.session] = o.now
 		return
 	}
 	if a.Report.GetState() != unknown {
-		o.low[k.session] = max(o.low[k.session], r.LowWatermark)
+		o.watermark[k.session] = max(o.watermark[k.session], r.LowWatermark)
 	}
-	o.heard(t, k, a.Report)
+	o.checkReport(t, k, a.Report)
 }
 
-func (o *oracle) held(t *rapid.T) key {
+func (o *oracle) drawTask(t *rapid.T) key {
 	if len(o.order) == 0 {
 		t.Skip("no task")
 	}
@@ -181,14 +182,14 @@
 	o.newest[entry] = version
 	o.entryOf[id] = entry
 	o.sessions = append(o.sessions, id)
-	o.seen[id] = o.now
+	o.lastSeen[id] = o.now
 }
 
-// dropEntry expects every session of an older incarnation to be gone.
+// dropEntry expects every session of an older incarnation to be ended.
 func (o *oracle) dropEntry(entry string) {
 	for _, id := range o.sessions {
 		if o.entryOf[id] == entry {
-			o.gone[id] = true
+			o.ended[id] = true
 		}
 	}
 }
@@ -197,9 +198,9 @@
 	return map[string]func(*rapid.T){
 		"hello": o.hello,
 		"start": func(t *rapid.T) {
-			k, r := o.ref(t)
+			k, r := o.drawRef(t)
 			a, err := o.ledger.Admit(o.now, r, nil)
-			o.told(t, k, r, a, err)
+			o.checkAnswer(t, k, r, a, err)
 			if a.Admitted {
 				assert.Assert(t, o.tasks[k] == nil, "%v admitted twice", k)
 				o.tasks[k] = a.Task
@@ -207,46 +208,46 @@
 			}
 		},
 		"resolve": func(t *rapid.T) {
-			k, r := o.ref(t)
+			k, r := o.drawRef(t)
 			a, err := o.ledger.Resolve(o.now, r)
-			o.told(t, k, r, a, err)
+			o.checkAnswer(t, k, r, a, err)
 		},
 		"cancel": func(t *rapid.T) {
-			k, r := o.ref(t)
+			k, r := o.drawRef(t)
 			a, err := o.ledger.Cancel(o.now, r)
-			o.told(t, k, r, a, err)
+			o.checkAnswer(t, k, r, a, err)
 			if a.Report.GetState() == running {
-				assert.Assert(t, o.stopped[k], "%v runs on after its cancel", k)
+				assert.Assert(t, o.stopped[k], "%v still runs after its cancel", k)
 			}
 		},
 		"wrong incarnation": func(t *rapid.T) {
-			_, r := o.ref(t)
+			_, r := o.drawRef(t)
 			r.Incarnation++
 			a, err := o.ledger.Admit(o.now, r, nil)
 			assert.NilError(t, err)
-			assert.Equal(t, a.Report.GetState(), elsewhere)
+			assert.Equal(t, a.Report.GetState(), wrongIncarnation)
 		},
 		"begin": func(t *rapid.T) {
-			k := o.held(t)
+			k := o.drawTask(t)
 			if !o.ledger.Begin(o.now, o.tasks[k], func() { o.stopped[k] = true }) {
 				return
 			}
 			o.begun[k]++
 			assert.Equal(t, o.begun[k], 1, "%v began twice", k)
-			assert.Assert(t, !o.denied[k], "%v began after never started", k)
-			assert.Assert(t, !o.gone[k.session], "%v began in a session that is gone", k)
-			assert.Assert(t, o.now.Sub(o.seen[k.session]) <= lease, "%v began after the lease", k)
-			assert.Assert(t, k.seq >= o.low[k.session], "%v began below the watermark", k)
+			assert.Assert(t, !o.toldNeverStarted[k], "%v began after never started", k)
+			assert.Assert(t, !o.ended[k.session], "%v began in a session that has ended", k)
+			assert.Assert(t, o.now.Sub(o.lastSeen[k.session]) <= lease, "%v began after the lease", k)
+			assert.Assert(t, k.seq >= o.watermark[k.session], "%v began below the watermark", k)
 		},
-		"refuse": func(t *rapid.T) { o.ledger.Refuse(o.tasks[o.held(t)], cancelled) },
+		"refuse": func(t *rapid.T) { o.ledger.Refuse(o.tasks[o.drawTask(t)], cancelled) },
 		"disown": func(t *rapid.T) {
-			k := o.held(t)
+			k := o.drawTask(t)
 			if o.ledger.Disown(o.tasks[k], cancelled) {
-				o.disowned[k] = true
+				o.markedNotStarted[k] = true
 			}
 		},
 		"finish": func(t *rapid.T) {
-			k := o.held(t)
+			k := o.drawTask(t)
 			payload := rapid.SliceOfN(rapid.Byte(), 0, 600).Draw(t, "payload")
 			if o.ledger.Finish(o.tasks[k], &wirev1.Result{Ok: true, Payload: payload}) {
 				assert.Equal(t, o.begun[k], 1)
@@ -260,41 +261,40 @@
 		"": func(t *rapid.T) {
 			s := o.ledger.Stats()
 			assert.Assert(t, s.Records <= maxRecords && s.Sessions <= maxSessions && s.ResultBytes <= maxResultBytes, "%+v", s)
-			for session, n := range o.count() {
+			for session, n := range o.recordCounts() {
 				assert.Assert(t, n <= maxSessionRecords, "%s has %d records", session, n)
 			}
 			for k, task := range o.tasks {
 				if task.Report().GetState() == never && o.begun[k] > 0 {
-					assert.Assert(t, o.disowned[k], "%v", k)
+					assert.Assert(t, o.markedNotStarted[k], "%v", k)
 				}
 			}
 		},
 	}
 }
 
-// Starts, their copies, resolves, cancels, watermarks, lapsed leases and new
-// incarnations come in any order. No start begins twice, none begins after a
-// caller heard that it never started (nor the other way round), and a session
-// that is gone stays gone.
+// Starts, their copies, resolves, cancels, watermarks, expired leases and new incarnations
+// arrive in any order. No start begins twice, none begins after a caller was told that it
+// never started (nor the other way round), and an ended session stays ended.
 func TestLedgerAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
-			ledger:   newLedger(maxResultBytes),
-			now:      time.Unix(1000, 0),
-			entryOf:  map[string]string{},
-			newest:   map[string]uint64{},
-			tasks:    map[key]*ledger.Task{},
-			begun:    map[key]int{},
-			disowned: map[key]bool{},
-			denied:   map[key]bool{},
-			recorded: map[key]bool{},
-			gone:     map[string]bool{},
-			low:      map[string]uint64{},
-			seen:     map[string]time.Time{},
-			stopped:  map[key]bool{},
+			ledger:           newLedger(maxResultBytes),
+			now:              time.Unix(1000, 0),
+			entryOf:          map[string]string{},
+			newest:           map[string]uint64{},
+			tasks:            map[key]*ledger.Task{},
+			begun:            map[key]int{},
+			markedNotStarted: map[key]bool{},
+			toldNeverStarted: map[key]bool{},
+			recorded:         map[key]bool{},
+			ended:            map[string]bool{},
+			watermark:        map[string]uint64{},
+			lastSeen:         map[string]time.Time{},
+			stopped:          map[key]bool{},
 		}
 		t.Repeat(o.actions())
-		// Watermarks past everything leave nothing behind.
+		// Watermarks above all sequence numbers leave no records behind.
 		for _, id := range o.sessions {
 			o.ledger.Ping(o.now, ledger.Ref{Session: id, Incarnation: incarnation, LowWatermark: 1 << 60})
 		}
@@ -304,8 +304,8 @@
 	})
 }
 
-// A reply is lost and results are many: the entry that resolves late hears that
-// the task ran and that its result is dropped, and never that it did not start.
+// Guards against a false "never started" when many results are kept: an entry whose reply was
+// lost and that resolves late must be told that the task ran and that its result was dropped.
 func TestDroppedResultStillSaysItRan(t *testing.T) {
 	l := newLedger(1500)
 	now := time.Unix(1000, 0)
@@ -330,10 +330,10 @@
 	assert.Equal(t, below.Report.GetState(), settled)
 }
 
-// The guard gave up on a call to the runner, which may never have begun the task.
-// That result too is dropped to make room: an entry that resolves late hears what
-// is known, and not that the task ran.
-func TestDroppedFailureSaysNoMoreThanBefore(t *testing.T) {
+// Guards against a false "ran": the guard gave up on a call to the runner, which may never
+// have started the task. If that result is evicted as well, an entry that resolves late must
+// be told only what is known, not that the task ran.
+func TestEvictedFailureKeepsItsCode(t *testing.T) {
 	l := newLedger(1500)
 	now := time.Unix(1000, 0)
 	id, err := l.Hello(now, "a", 1)
@@ -354,7 +354,7 @@
 	} {
 		a, err := l.Resolve(now, ledger.Ref{Session: id, Seq: seq, Incarnation: incarnation})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Task == nil, "its result is kept still")
+		assert.Assert(t, a.Task == nil, "its result is still kept")
 		assert.Equal(t, a.Report.GetState(), finished)
 		assert.Equal(t, a.Report.GetResult().GetFailure(), want)
 	}
--- a/guard/ledger/session.go
+++ b/guard/ledger/session.go
@@ -7,7 +7,7 @@
 	wirev1 "almondstand.dev/wire/wirev1"
 )
 
-// Task is one admitted start. Its record outlives the request that made it.
+// Task is one admitted start. Its record outlives the request that created it.
 type Task struct {
 	session *session
 	seq     uint64
@@ -25,8 +25,8 @@
 // Done is closed when the task has ended.
 func (t *Task) Done() <-chan struct{} { return t.done }
 
-// Report says what became of the task. Whoever holds the task gets its result
-// also when the ledger keeps it no more.
+// Report returns the outcome of the task so far. The holder of a Task gets its result even
+// after the ledger has evicted it.
 func (t *Task) Report() *wirev1.TaskReport {
 	t.session.mu.Lock()
 	defer t.session.mu.Unlock()
@@ -37,7 +37,7 @@
 	return &wirev1.TaskReport{State: t.state, Result: t.result, Reason: t.reason}
 }
 
-// end gives a task its last state.
+// end sets the final state of a task.
 func (t *Task) end(state wirev1.TaskState, reason wirev1.RefusalReason) {
 	t.state = state
 	t.reason = reason
@@ -45,15 +45,15 @@
 	close(t.done)
 }
 
-// closed is the record of a sequence number that needs no Task any more.
-type closed struct {
-	// reason is set when it never started; else its result was dropped.
+// closedRecord is the record of a sequence number that no longer needs a Task.
+type closedRecord struct {
+	// reason is set if the task never started; otherwise the result was evicted.
 	reason wirev1.RefusalReason
-	// failure is what the dropped result said, when it was no answer.
+	// failure is the failure code of the evicted result, if the task failed.
 	failure wirev1.FailureCode
 }
 
-func (c closed) report() *wirev1.TaskReport {
+func (c closedRecord) report() *wirev1.TaskReport {
 	if c.reason != wirev1.RefusalReason_REFUSAL_REASON_UNSPECIFIED {
 		return &wirev1.TaskReport{State: wirev1.TaskState_TASK_STATE_NEVER_STARTED, Reason: c.reason}
 	}
@@ -61,8 +61,8 @@
 		Failure: wirev1.FailureCode_FAILURE_CODE_RESULT_DROPPED,
 		Message: "the task ran; its result was dropped to bound the guard's memory",
 	}
-	// "Result dropped" tells that the task ran. Of a call that the guard gave up on
-	// nobody knows that, so its own failure stays.
+	// "Result dropped" implies that the task ran. That is unknown for a call that the guard
+	// gave up on, so its own failure code is kept.
 	if c.failure != wirev1.FailureCode_FAILURE_CODE_UNSPECIFIED {
 		result.Failure = c.failure
 		result.Message = "the guard keeps no more than that the task failed"
@@ -70,58 +70,59 @@
 	return &wirev1.TaskReport{State: wirev1.TaskState_TASK_STATE_FINISHED, Result: result}
 }
 
-// session is the ledger of one entry incarnation towards this guard.
+// session holds the records of one entry session at this guard.
 type session struct {
 	ledger      *Ledger
 	id          string
 	entry       string
 	incarnation uint64
 
-	mu   sync.Mutex
-	gone bool
-	seen time.Time
-	// low is the watermark: everything below is settled and has no record.
-	low    uint64
-	tasks  map[uint64]*Task
-	closed map[uint64]closed
+	mu          sync.Mutex
+	ended       bool
+	lastRequest time.Time
+	// lowWatermark is the lowest sequence number that can have a record: all below are
+	// settled.
+	lowWatermark  uint64
+	tasks         map[uint64]*Task
+	closedRecords map[uint64]closedRecord
 }
 
 func newSession(l *Ledger, entry string, incarnation uint64, now time.Time) *session {
 	return &session{
-		ledger:      l,
-		id:          l.opts.NewSessionID(),
-		entry:       entry,
-		incarnation: incarnation,
-		seen:        now,
-		low:         1,
-		tasks:       map[uint64]*Task{},
-		closed:      map[uint64]closed{},
+		ledger:        l,
+		id:            l.opts.NewSessionID(),
+		entry:         entry,
+		incarnation:   incarnation,
+		lastRequest:   now,
+		lowWatermark:  1,
+		tasks:         map[uint64]*Task{},
+		closedRecords: map[uint64]closedRecord{},
 	}
 }
 
-func (s *session) lapsed(now time.Time) bool {
+func (s *session) expired(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.seen) > s.ledger.opts.Lease
+	return now.Sub(s.lastRequest) > s.ledger.opts.Lease
 }
 
 func (s *session) lastSeen() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.UnixNano()
+	return s.lastRequest.UnixNano()
 }
 
 // find returns the record of a sequence number, if there is one.
 func (s *session) find(seq uint64) (Answer, bool) {
-	if seq < s.low {
-		// A start that was delayed until after its record was given up can't be
-		// told from a new one: without this it would run a second time.
+	if seq < s.lowWatermark {
+		// A start that was delayed until after its record was deleted cannot be told from a
+		// new one; without this check it would run a second time.
 		return final(wirev1.TaskState_TASK_STATE_SETTLED), true
 	}
 	if t := s.tasks[seq]; t != nil {
 		return Answer{Task: t, Report: t.reportLocked()}, true
 	}
-	if c, ok := s.closed[seq]; ok {
+	if c, ok := s.closedRecords[seq]; ok {
 		return Answer{Report: c.report()}, true
 	}
 	return Answer{}, false
@@ -145,25 +146,25 @@
 	return Answer{Task: t, Report: t.reportLocked(), Admitted: true}, nil
 }
 
-func (s *session) resolve(seq uint64, bar wirev1.RefusalReason) (Answer, error) {
+func (s *session) resolve(seq uint64, reason wirev1.RefusalReason) (Answer, error) {
 	if found, ok := s.find(seq); ok {
 		return found, nil
 	}
 	if !s.reserve() {
 		return Answer{}, ErrFull
 	}
-	// The start may still be in a socket. Its bar must be written before the
-	// entry hears "never started", or it would run after the entry has started
-	// the task elsewhere.
-	s.closed[seq] = closed{reason: bar}
-	return Answer{Report: s.closed[seq].report()}, nil
+	// The start may still be in a socket. The rejection must be recorded before the entry
+	// receives "never started", or the start could run after the entry has started the task
+	// elsewhere.
+	s.closedRecords[seq] = closedRecord{reason: reason}
+	return Answer{Report: s.closedRecords[seq].report()}, nil
 }
 
-// cancel stops a task. It returns what is to be called once unlocked.
+// cancel stops a task. It returns what to call after unlocking the session.
 func (s *session) cancel(t *Task) (stop func(), dropped *Task) {
 	switch t.state {
 	case wirev1.TaskState_TASK_STATE_WAITING:
-		s.shut(t, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+		s.endNeverStarted(t, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 		return nil, t
 	case wirev1.TaskState_TASK_STATE_RUNNING:
 		if t.cancelled {
@@ -176,29 +177,29 @@
 	}
 }
 
-// refuse ends a task of the given state as never started.
+// refuse ends a task as never started if it is in state from.
 func (s *session) refuse(t *Task, from wirev1.TaskState, reason wirev1.RefusalReason) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t.state != from {
 		return false
 	}
-	s.shut(t, reason)
+	s.endNeverStarted(t, reason)
 	return true
 }
 
-// shut ends a task as never started and keeps only the reason.
-func (s *session) shut(t *Task, reason wirev1.RefusalReason) {
+// endNeverStarted ends a task as never started and keeps only the reason.
+func (s *session) endNeverStarted(t *Task, reason wirev1.RefusalReason) {
 	t.end(wirev1.TaskState_TASK_STATE_NEVER_STARTED, reason)
 	if s.tasks[t.seq] != t {
 		return
 	}
 	delete(s.tasks, t.seq)
-	s.closed[t.seq] = closed{reason: reason}
+	s.closedRecords[t.seq] = closedRecord{reason: reason}
 }
 
-// finish ends a running task. It returns the tasks whose kept results had to
-// make room.
+// finish ends a running task. It returns the tasks whose results are evicted to stay within
+// the limit.
 func (s *session) finish(t *Task, result *wirev1.Result) ([]*Task, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,35 +211,36 @@
 	if s.tasks[t.seq] != t {
 		return nil, true
 	}
-	return s.ledger.shelf.put(t), true
+	return s.ledger.resultCache.put(t), true
 }
 
-// forgetResult keeps of a finished task only that it ended, and how it failed.
-func (s *session) forgetResult(t *Task) {
+// evictResult reduces the record of a finished task to the fact that it ended, and how it
+// failed.
+func (s *session) evictResult(t *Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.tasks[t.seq] != t {
 		return
 	}
 	delete(s.tasks, t.seq)
-	s.closed[t.seq] = closed{failure: t.result.GetFailure()}
+	s.closedRecords[t.seq] = closedRecord{failure: t.result.GetFailure()}
 }
 
-// settle raises the watermark and gives up the records below it. It returns
-// the tasks that waited there: the entry has answered for them, so they are
-// barred instead of run for nobody. Running ones go on and keep their slot.
+// settle raises the watermark and deletes the records below it. It returns the tasks that were
+// waiting there: the entry no longer needs them, so they are ended without being run. Running
+// tasks continue and keep their slot.
 func (s *session) settle(low uint64) []*Task {
-	if low <= s.low {
+	if low <= s.lowWatermark {
 		return nil
 	}
-	from := s.low
-	s.low = low
+	from := s.lowWatermark
+	s.lowWatermark = low
 	var dropped []*Task
-	if low-from > uint64(len(s.tasks)+len(s.closed)) {
+	if low-from > uint64(len(s.tasks)+len(s.closedRecords)) {
 		for seq := range s.tasks {
 			dropped = s.settleOne(seq, dropped)
 		}
-		for seq := range s.closed {
+		for seq := range s.closedRecords {
 			dropped = s.settleOne(seq, dropped)
 		}
 		return dropped
@@ -250,11 +252,11 @@
 }
 
 func (s *session) settleOne(seq uint64, dropped []*Task) []*Task {
-	if seq >= s.low {
+	if seq >= s.lowWatermark {
 		return dropped
 	}
-	if _, ok := s.closed[seq]; ok {
-		delete(s.closed, seq)
+	if _, ok := s.closedRecords[seq]; ok {
+		delete(s.closedRecords, seq)
 		s.release()
 	}
 	t := s.tasks[seq]
@@ -263,7 +265,7 @@
 	}
 	delete(s.tasks, seq)
 	s.release()
-	s.ledger.shelf.remove(t)
+	s.ledger.resultCache.remove(t)
 	if t.state != wirev1.TaskState_TASK_STATE_WAITING {
 		return dropped
 	}
@@ -271,30 +273,30 @@
 	return append(dropped, t)
 }
 
-// drop ends the session for good and returns the tasks that waited in it.
+// drop ends the session for good and returns the tasks that were waiting in it.
 func (s *session) drop() []*Task {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone = true
+	s.ended = true
 	var dropped []*Task
 	for seq, t := range s.tasks {
 		delete(s.tasks, seq)
 		s.release()
-		s.ledger.shelf.remove(t)
+		s.ledger.resultCache.remove(t)
 		if t.state != wirev1.TaskState_TASK_STATE_WAITING {
 			continue
 		}
 		t.end(wirev1.TaskState_TASK_STATE_NEVER_STARTED, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 		dropped = append(dropped, t)
 	}
-	s.ledger.records.Add(-int64(len(s.closed)))
-	clear(s.closed)
+	s.ledger.records.Add(-int64(len(s.closedRecords)))
+	clear(s.closedRecords)
 	return dropped
 }
 
-// reserve takes room for one record.
+// reserve counts one more record; it returns false if a limit is reached.
 func (s *session) reserve() bool {
-	if len(s.tasks)+len(s.closed) >= s.ledger.opts.MaxSessionRecords {
+	if len(s.tasks)+len(s.closedRecords) >= s.ledger.opts.MaxSessionRecords {
 		return false
 	}
 	if s.ledger.records.Add(1) > int64(s.ledger.opts.MaxRecords) {
