--- a/guard/advertise/advertise.go
+++ b/guard/advertise/advertise.go
@@ -1,5 +1,5 @@
-// Package advertise decides which entry is sent a runner's free capacity, and when. It
-// has no clock, input or output.
+// Package advertise decides when the free capacity of a runner is sent to which entry. It has
+// no clock and does no I/O.
 package advertise
 
 import (
@@ -11,46 +11,48 @@
 )
 
 const (
-	// idleInterval is the pause between two messages with capacity to an entry without
-	// pending tasks to which no report goes: that between two heartbeats. What an entry
-	// reads is wrong within some 50 ms at 17 starts and ends a second; sent five times a
-	// second, callers are served no better, and every guard of 55 entries sends 60 more
-	// messages a second (replay: 8 to 30 % fewer messages, answers in time within 0.6 %).
+	// idleInterval is the time between two capacity messages to an entry that has no pending
+	// tasks and receives no reports, the same as between heartbeats. The entry's view is
+	// outdated within about 50 ms at 17 starts and ends a second. Sending five times a second
+	// serves callers no better, and every guard of 55 entries sends 60 more messages a second
+	// (replay: 8 to 30 % fewer messages with this interval, answers in time within 0.6 %).
 	idleInterval = time.Second
-	// turnInterval is the time for which capacity that has become free is sent to one
-	// entry with pending tasks only: its start comes after 8 ms in the median. Sent to all
-	// at once, each of four entries would order a task, and three be rejected.
+	// turnInterval is the time for which newly free capacity is advertised to only one entry
+	// with pending tasks: the median time until its start arrives is 8 ms. If it were
+	// advertised to four entries at once, each would order a task, and three would be
+	// rejected.
 	turnInterval = 10 * time.Millisecond
 )
 
-// Session is the one with an entry to which capacity is sent.
+// Session is the session with an entry to which capacity is sent.
 type Session interface {
 	// HasPending reports whether tasks of the entry wait for capacity.
 	HasPending() bool
-	// PendingDemand is what these need, thousandths of a core, when the entry last said so.
+	// PendingDemand returns the CPU request of these tasks, in thousandths of a core, as last
+	// reported by the entry.
 	PendingDemand() int64
-	// Changed reports whether more than the amount allocated has changed since capacity
-	// was sent: that can't wait.
+	// Changed reports whether anything other than the allocated amount has changed since
+	// capacity was last sent: such a change is sent without delay.
 	Changed(runs.Capacity) bool
-	// LastSent is when capacity was sent last.
+	// LastSent returns the time at which capacity was last sent.
 	LastSent() time.Time
-	// SendAt has capacity sent at the time given, also if it was due before.
+	// SendAt schedules capacity to be sent at the given time, replacing an earlier schedule.
 	SendAt(time.Time)
-	// SendAfter has capacity sent once the interval since the last time has passed, or
-	// with the next reports unless it is contended.
+	// SendAfter schedules capacity to be sent once the interval since the last time has
+	// passed, or, unless it is contended, together with the next reports.
 	SendAfter(interval time.Duration, contended bool)
-	// Withhold sends nothing until some capacity is free.
+	// Withhold cancels a scheduled send until some capacity is free.
 	Withhold()
-	// Unread reports whether the entry has yet to confirm that it has read the capacity
-	// that was sent last.
+	// Unread reports whether the entry has not yet acknowledged the capacity that was sent
+	// last.
 	Unread() bool
-	// SendOnceRead has capacity sent once the entry has confirmed that.
+	// SendOnceRead schedules capacity to be sent once the entry has acknowledged it.
 	SendOnceRead()
 }
 
-// Capacity spreads a change of capacity: entries with pending tasks are sent free capacity
-// in turn, the others at their interval. free is true when one more run like the last
-// would fit.
+// Capacity schedules the messages about a change of capacity: entries with pending tasks are
+// sent free capacity in turn, the others at idleInterval. free is true if another run of the
+// size that was requested last fits.
 func Capacity[S Session](now time.Time, c runs.Capacity, free bool, all []S) {
 	var pending []S
 	for _, s := range all {
@@ -66,10 +68,10 @@
 		}
 	}
 	pending = slices.DeleteFunc(pending, func(s S) bool { return s.Changed(c) })
-	// An entry that runs late reads seconds after what is sent, and has pending tasks while
-	// the others have none: each guard would send it every start and end of everybody's
-	// runs, and reading them would take all its processor time. With one message unread at
-	// most it is sent no more than it reads.
+	// An overloaded entry reads messages seconds after they are sent, and has pending tasks
+	// while the others have none: each guard would send it every start and end of all entries'
+	// runs, and reading them would take all its CPU time. Limiting it to one unacknowledged
+	// message sends it no more than it reads.
 	pending = slices.DeleteFunc(pending, func(s S) bool {
 		unread := s.Unread()
 		if unread {
@@ -84,16 +86,17 @@
 		}
 		return
 	}
-	slices.SortStableFunc(pending, func(a, b S) int { return cmp.Compare(weight(now, b), weight(now, a)) })
+	slices.SortStableFunc(pending, func(a, b S) int { return cmp.Compare(sendPriority(now, b), sendPriority(now, a)) })
 	for i, s := range pending {
 		s.SendAt(now.Add(time.Duration(i) * turnInterval))
 	}
 }
 
-// weight of an entry for the next free capacity: the time since it was sent some, times its
-// pending demand. In plain turn entries get equal capacity however many callers each has:
-// with callers in proportion 1.17 to 1 and half as much again as can be done, 19 of 100
-// were rejected at one and 7 at the other.
-func weight[S Session](now time.Time, s S) float64 {
+// sendPriority returns an entry's priority for the next free capacity: the time since it was
+// last sent some, times its pending demand. With plain round-robin all entries get equal
+// capacity no matter how many callers each has: with callers in the proportion 1.17 to 1 and a
+// load of 1.5 times the capacity, 19 % of jobs were rejected at one entry and 7 % at the
+// other.
+func sendPriority[S Session](now time.Time, s S) float64 {
 	return now.Sub(s.LastSent()).Seconds() * float64(max(s.PendingDemand(), 1))
 }
--- a/guard/advertise/advertise_test.go
+++ b/guard/advertise/advertise_test.go
@@ -10,16 +10,16 @@
 	"almondstand.dev/guard/runs"
 )
 
-// session is an entry that keeps what it is told.
+// session records what is scheduled for an entry.
 type session struct {
-	pending, changed bool
-	demand           int64
-	sent             time.Time
-	at               time.Time
-	pace             time.Duration
-	contended        bool
-	withheld         bool
-	unread, owed     bool
+	pending, changed     bool
+	demand               int64
+	sent                 time.Time
+	at                   time.Time
+	interval             time.Duration
+	contended            bool
+	withheld             bool
+	unread, sendOnceRead bool
 }
 
 func (l *session) PendingDemand() int64              { return l.demand }
@@ -27,14 +27,14 @@
 func (l *session) Changed(runs.Capacity) bool        { return l.changed }
 func (l *session) LastSent() time.Time               { return l.sent }
 func (l *session) SendAt(at time.Time)               { l.at = at }
-func (l *session) SendAfter(d time.Duration, c bool) { l.pace, l.contended = d, c }
+func (l *session) SendAfter(d time.Duration, c bool) { l.interval, l.contended = d, c }
 func (l *session) Withhold()                         { l.withheld = true }
 func (l *session) Unread() bool                      { return l.unread }
-func (l *session) SendOnceRead()                     { l.owed = true }
+func (l *session) SendOnceRead()                     { l.sendOnceRead = true }
 
 var now = time.Unix(1000, 0)
 
-func room(used int64) runs.Capacity {
+func capacityUsed(used int64) runs.Capacity {
 	return runs.Capacity{
 		Process: runs.Process{Total: work.Amounts{CPUMilli: 32_000}},
 		Open:    true,
@@ -42,68 +42,74 @@
 	}
 }
 
-// Room for one task comes free and three entries wait for it. Told at once, all would
-// order and two be turned down: the one that was told longest ago comes first.
-func TestWaitingEntriesAreToldInTurn(t *testing.T) {
+// Guards against rejected orders: capacity for one task becomes free and several entries have
+// pending tasks. If all were told at once, all would order and all but one be rejected, so the
+// one that was sent capacity the longest time ago comes first.
+func TestPendingEntriesAreSentCapacityInTurn(t *testing.T) {
 	first := &session{pending: true, sent: now.Add(-time.Second)}
 	second := &session{pending: true, sent: now.Add(-time.Millisecond)}
 	other := &session{}
-	Capacity(now, room(29_000), true, []*session{second, other, first})
+	Capacity(now, capacityUsed(29_000), true, []*session{second, other, first})
 	assert.Equal(t, first.at, now)
 	assert.Equal(t, second.at, now.Add(turnInterval))
-	assert.Assert(t, other.at.IsZero() && other.contended, "an entry without waiting tasks is told at its pace, not along with reports")
+	assert.Assert(t, other.at.IsZero() && other.contended, "an entry without pending tasks is sent capacity at its interval, not along with reports")
 }
 
-// Two entries wait, one with four times as much work. Told in plain turn each would get
-// half of the room, and the callers of the larger be refused four times as often.
-func TestMoreRoomWhereMoreWaits(t *testing.T) {
+// Guards against unequal rejection rates: of two entries with pending tasks, one has four
+// times the demand. In plain round-robin each would get half of the capacity, and the callers
+// of the larger would be rejected four times as often.
+func TestCapacityFollowsPendingDemand(t *testing.T) {
 	large := &session{pending: true, demand: 8000, sent: now.Add(-10 * time.Millisecond)}
 	small := &session{pending: true, demand: 2000, sent: now.Add(-20 * time.Millisecond)}
-	Capacity(now, room(29_000), true, []*session{small, large})
+	Capacity(now, capacityUsed(29_000), true, []*session{small, large})
 	assert.Equal(t, large.at, now)
 	assert.Equal(t, small.at, now.Add(turnInterval))
 	small.sent = now.Add(-50 * time.Millisecond)
-	Capacity(now, room(29_000), true, []*session{small, large})
-	assert.Equal(t, small.at, now, "its turn comes too")
+	Capacity(now, capacityUsed(29_000), true, []*session{small, large})
+	assert.Equal(t, small.at, now, "the smaller demand gets its turn too")
 }
 
-// An entry that is short of processor time reads late, so its tasks are pending while the
-// others have none. Sent each change, it would read thousands of messages a second and
-// serve nobody any more; it is sent the newest once it has read the last. An entry that
-// reads at once has the first turn meanwhile.
-func TestLateEntryIsSentNoMoreThanItReads(t *testing.T) {
-	late := &session{pending: true, demand: 90_000, sent: now.Add(-time.Second), unread: true}
+// Guards against flooding an entry that is short of CPU time: it reads late, so its tasks are
+// pending while the others have none. Sent each change, it would read thousands of messages a
+// second and serve no callers any more; instead, it is sent the latest capacity once it has
+// acknowledged the previous message. An entry that reads promptly has the first turn in the
+// meantime.
+func TestSlowEntryIsSentNoMoreThanItReads(t *testing.T) {
+	slow := &session{pending: true, demand: 90_000, sent: now.Add(-time.Second), unread: true}
 	prompt := &session{pending: true, demand: 1000, sent: now.Add(-time.Millisecond)}
-	Capacity(now, room(29_000), true, []*session{late, prompt})
-	assert.Assert(t, late.owed && late.at.IsZero())
+	Capacity(now, capacityUsed(29_000), true, []*session{slow, prompt})
+	assert.Assert(t, slow.sendOnceRead && slow.at.IsZero())
 	assert.Equal(t, prompt.at, now)
-	late.changed = true
-	Capacity(now, room(29_000), true, []*session{late, prompt})
-	assert.Equal(t, late.at, now, "a runner that closes can't wait for the entry")
+	slow.changed = true
+	Capacity(now, capacityUsed(29_000), true, []*session{slow, prompt})
+	assert.Equal(t, slow.at, now, "a runner that stops accepting starts is reported without waiting for the entry")
 }
 
-// Nothing is free: saying so is of no use to entries with pending tasks, and costs them time.
-func TestNoRoomIsHeldBack(t *testing.T) {
+// Without free capacity nothing is sent to entries with pending tasks: it would not help them
+// and cost them CPU time.
+func TestNoCapacityIsNotSent(t *testing.T) {
 	l := &session{pending: true}
-	Capacity(now, room(32_000), false, []*session{l})
+	Capacity(now, capacityUsed(32_000), false, []*session{l})
 	assert.Assert(t, l.withheld && l.at.IsZero())
 }
 
-// A runner closes: entries learn at once, also those that wait, or they go on ordering.
-func TestNewsGoOutAtOnce(t *testing.T) {
-	waiting, idle := &session{pending: true, changed: true}, &session{changed: true}
-	Capacity(now, room(0), false, []*session{waiting, idle})
-	assert.Equal(t, waiting.at, now)
+// Guards against entries that keep ordering at a runner that stopped accepting starts: all are
+// told at once, including those with pending tasks.
+func TestRunnerStateIsSentAtOnce(t *testing.T) {
+	pending, idle := &session{pending: true, changed: true}, &session{changed: true}
+	Capacity(now, capacityUsed(0), false, []*session{pending, idle})
+	assert.Equal(t, pending.at, now)
 	assert.Equal(t, idle.at, now)
-	assert.Assert(t, !waiting.withheld)
+	assert.Assert(t, !pending.withheld)
 }
 
-// An entry without waiting tasks is told once a second and no more, however little room
-// is free: what it knows is soon wrong, and each message costs both ends processor time.
-func TestEntryWithoutWaitingTasksIsToldAtItsPace(t *testing.T) {
+// An entry without pending tasks is sent capacity once a second and no more often, however
+// little is free: its view is soon outdated anyway, and each message costs CPU time at both
+// ends.
+func TestEntryWithoutPendingTasksIsSentAtItsInterval(t *testing.T) {
 	for _, used := range []int64{0, 30_000} {
 		l := &session{}
-		Capacity(now, room(used), true, []*session{l})
-		assert.Equal(t, l.pace, idleInterval)
+		Capacity(now, capacityUsed(used), true, []*session{l})
+		assert.Equal(t, l.interval, idleInterval)
 	}
 }
