--- a/guard/uplink/capacity_test.go
+++ b/guard/uplink/capacity_test.go
@@ -18,12 +18,13 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// pendingEntry has pending tasks, reads all that is sent and confirms it when told to.
+// pendingEntry is an entry with pending tasks that reads all messages and acknowledges them
+// when the test says so.
 type pendingEntry struct {
 	wirev1connect.UnimplementedFleetServiceHandler
-	// says is false for an entry of an older release, which confirms nothing.
-	says    bool
-	confirm chan struct{}
+	// acknowledges is false for an entry of an older release, which sends no acknowledgements.
+	acknowledges bool
+	confirm      chan struct{}
 
 	mu         sync.Mutex
 	capacities int
@@ -36,7 +37,7 @@
 		return err
 	}
 	clock := m.GetClockUs()
-	if !e.says {
+	if !e.acknowledges {
 		clock = 0
 	}
 	first := &wirev1.AttachResponse{Handshake: &wirev1.EntryHandshake{Entry: "e", Incarnation: 1}, ReadUs: clock, HasPending: true}
@@ -70,7 +71,7 @@
 	}
 }
 
-// drained is the newest clock that was read.
+// drained returns the latest clock that was read.
 func drained(read chan int64) int64 {
 	newest := int64(0)
 	for {
@@ -101,7 +102,7 @@
 	return e.capacities
 }
 
-// busyHost has room for more, however much changes.
+// busyHost always has free capacity.
 type busyHost struct{ noHost }
 
 func (busyHost) HasFree() bool { return true }
@@ -109,15 +110,15 @@
 	return runs.Capacity{Process: runs.Process{Total: work.Amounts{CPUMilli: 16_000}}, Open: true}
 }
 
-// change has the guard's capacity change n times, 5 ms apart.
-func change(up *Uplink, n int) {
+// changeCapacity signals n changes of the guard's capacity, 5 ms apart.
+func changeCapacity(up *Uplink, n int) {
 	for range n {
 		up.CapacityChanged()
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// attachTo starts a guard with one entry and waits for its first message.
+// attachTo starts a guard with one entry and waits for its first capacity message.
 func attachTo(t *testing.T, e *pendingEntry) *Uplink {
 	t.Helper()
 	address := serveEntry(t, e)
@@ -130,18 +131,19 @@
 		if e.count() > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("no capacity yet")
+		return poll.Continue("no capacity received")
 	}, poll.WithTimeout(5*time.Second))
 	return up
 }
 
-// An entry on a small host has pending tasks and is late. The runner's capacity changes with
-// every run of every entry; sent each time, these messages are all that the entry does. It
-// is sent one, and the newest as soon as it has read that.
-func TestEntryThatReadsLateIsSentOneMessage(t *testing.T) {
-	e := &pendingEntry{says: true, confirm: make(chan struct{})}
+// Guards against flooding a slow entry on a small host that has pending tasks: the runner's
+// capacity changes with every run of every entry, and with a message for each the entry would
+// do nothing but read them. It is sent one message, and the latest capacity as soon as it has
+// acknowledged that.
+func TestSlowEntryIsSentOneMessage(t *testing.T) {
+	e := &pendingEntry{acknowledges: true, confirm: make(chan struct{})}
 	up := attachTo(t, e)
-	change(up, 40)
+	changeCapacity(up, 40)
 	assert.Equal(t, e.count(), 1)
 	e.confirm <- struct{}{}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -150,15 +152,15 @@
 		}
 		return poll.Continue("%d messages with capacity", e.count())
 	}, poll.WithTimeout(time.Second))
-	change(up, 40)
+	changeCapacity(up, 40)
 	assert.Equal(t, e.count(), 2)
 }
 
-// While releases are rolled out a guard meets entries that confirm nothing. They are sent
-// capacity as before: withheld, their pending tasks would find no runner.
-func TestEntryThatConfirmsNothingIsSentCapacity(t *testing.T) {
+// Guards against withholding capacity during a rolling upgrade from entries of a release that
+// sends no acknowledgements: their pending tasks would find no runner.
+func TestEntryWithoutAcknowledgementsIsSentCapacity(t *testing.T) {
 	e := &pendingEntry{confirm: make(chan struct{})}
 	up := attachTo(t, e)
-	change(up, 40)
+	changeCapacity(up, 40)
 	assert.Assert(t, e.count() > 10, "%d messages with capacity", e.count())
 }
--- a/guard/uplink/links.go
+++ b/guard/uplink/links.go
@@ -12,82 +12,83 @@
 
 // Timing of the subset of entries with which a guard keeps sessions.
 const (
-	// downAfter is how long an entry must be out of reach for another one to take its
-	// place: a process that is started anew is back sooner, and each session that is
-	// opened costs both ends some processor time.
+	// downAfter is how long an entry must be unreachable for another one to take its place: a
+	// restarted process is back sooner, and opening a session costs both ends CPU time.
 	downAfter = 400 * time.Millisecond
-	// linger is how long a session is kept that the subset no longer holds: entries that
-	// come and go in turn don't have sessions opened and ended each time.
+	// linger is how long a session is kept after its entry has left the subset, so that
+	// entries that come and go alternately do not cause sessions to be opened and closed each
+	// time.
 	linger = 2 * time.Second
-	// chooseEvery paces the choice; it is made at once when an entry is learnt of,
-	// attached to or found to be down.
-	chooseEvery = time.Second
-	// settledAfter is how long a session must have lasted for its entry's word on how many
-	// guards it sees to count. After a restart entries see few for a moment, and every
-	// guard would widen its subset just then: 4,000 sessions more with 240 guards.
+	// chooseInterval is the time between selections of the subset; it is also selected at once
+	// when an entry is discovered, connected or found to be down.
+	chooseInterval = time.Second
+	// settledAfter is how long a session must have lasted for its entry's guard count to be
+	// used. After a restart entries see few guards for a moment, and every guard would widen
+	// its subset at that time: 4,000 more sessions with 240 guards.
 	settledAfter = 5 * time.Second
 )
 
-// link is one address at which an entry is known.
+// link is the state of one known entry address.
 type link struct {
 	address string
-	// rank of the entry for this guard; see package subset.
+	// rank is the entry's rank for this guard; see package subset.
 	rank uint64
-	// named is when the settings or an entry last named it.
-	named time.Time
-	// reached is when a session last worked.
-	reached time.Time
-	// cancel ends the attempts and the session; nil while there are none.
+	// lastNamed is when the settings or an entry last listed the address.
+	lastNamed time.Time
+	// lastReached is when a session last worked.
+	lastReached time.Time
+	// cancel ends the connection attempts and the session; nil if there are none.
 	cancel context.CancelFunc
-	// session is the one that is attached; nil while there is none.
+	// session is the established session; nil if there is none.
 	session *session
-	// down is true while the entry has been out of reach for downAfter.
+	// down is true once the entry has been unreachable for downAfter, until it is connected
+	// again.
 	down bool
-	// owed is true when the last session broke: the entry may hold runs here open, so
-	// it is attached to again though the subset doesn't hold it any more.
-	owed bool
-	// unwanted is since when the subset doesn't hold the entry; zero while it does.
-	unwanted time.Time
+	// mustReconnect is true if the last session broke: the entry may have open runs here, so
+	// the guard reconnects even if the entry is no longer in the subset.
+	mustReconnect bool
+	// unselectedSince is when the entry left the subset; zero while it is in it.
+	unselectedSince time.Time
 }
 
-// know takes note of entries.
-func (u *Uplink) know(addresses []string) {
+// addEntries adds entries to those known and selects the subset again.
+func (u *Uplink) addEntries(addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.name(addresses)
+	u.addLinks(addresses)
 	u.choose()
 }
 
-// name adds entries to those known. The lock is held.
-func (u *Uplink) name(addresses []string) {
+// addLinks adds entries to those known. u.mu is held.
+func (u *Uplink) addLinks(addresses []string) {
 	for _, a := range addresses {
 		if l, known := u.links[a]; known {
-			l.named = time.Now()
+			l.lastNamed = time.Now()
 			continue
 		}
-		u.links[a] = &link{address: a, rank: subset.Rank(u.opt.Guard, a), named: time.Now()}
-		entryLearnt.Log(u.ctx, u.logger, slog.String("address", a))
+		u.links[a] = &link{address: a, rank: subset.Rank(u.opt.Guard, a), lastNamed: time.Now()}
+		entryDiscovered.Log(u.ctx, u.logger, slog.String("address", a))
 	}
 }
 
-// refresh chooses anew and drops entries that nobody names any more.
+// refresh selects the subset again and drops entries that nothing lists any more.
 func (u *Uplink) refresh() {
 	seeds := u.opt.Seeds()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.name(seeds)
+	u.addLinks(seeds)
 	var guards []int
 	for _, l := range u.links {
 		if l.session != nil {
-			u.name(l.session.entriesNamed())
-			if l.session.lasted() >= settledAfter {
-				guards = append(guards, l.session.guardsSeen())
+			u.addLinks(l.session.knownEntries())
+			if l.session.age() >= settledAfter {
+				guards = append(guards, l.session.guardCount())
 			}
 		}
 	}
 	u.size = subset.Next(u.size, len(u.links), guards)
 	for a, l := range u.links {
-		if l.forgotten() {
+		if l.expired() {
 			delete(u.links, a)
 			l.stop()
 			entryForgotten.Log(u.ctx, u.logger, slog.String("address", a))
@@ -96,8 +97,7 @@
 	u.choose()
 }
 
-// choose begins and ends attachments so that they are those of the subset. The lock is
-// held.
+// choose connects to the entries of the subset and releases the others. u.mu is held.
 func (u *Uplink) choose() {
 	entries := make([]subset.Entry, 0, len(u.links))
 	for _, l := range u.links {
@@ -109,16 +109,16 @@
 	}
 	for _, l := range u.links {
 		if chosen[l.address] {
-			u.want(l)
+			u.connect(l)
 		} else {
 			l.release()
 		}
 	}
 }
 
-// want attaches to an entry. The lock is held.
-func (u *Uplink) want(l *link) {
-	l.unwanted = time.Time{}
+// connect starts connecting to an entry of the subset. u.mu is held.
+func (u *Uplink) connect(l *link) {
+	l.unselectedSince = time.Time{}
 	if l.session != nil {
 		l.session.setRetiring(false)
 	}
@@ -127,30 +127,30 @@
 	}
 	ctx, cancel := context.WithCancel(u.ctx)
 	l.cancel = cancel
-	u.attach.Go(func() { u.keep(ctx, l) })
+	u.attach.Go(func() { u.keepConnected(ctx, l) })
 }
 
-// release lets an entry go that the subset doesn't hold. A session is ended by the
-// entry, once it has no runs here: only it knows what it has ordered. The lock is held.
+// release releases an entry outside the subset. An established session is ended by the entry
+// once it has no runs here, because only the entry knows what it has ordered. u.mu is held.
 func (l *link) release() {
 	switch {
 	case l.cancel == nil:
 		return
-	case l.unwanted.IsZero():
-		l.unwanted = time.Now()
+	case l.unselectedSince.IsZero():
+		l.unselectedSince = time.Now()
 	}
 	if l.session == nil {
-		if !l.owed || time.Since(l.reached) > forgetAfter {
+		if !l.mustReconnect || time.Since(l.lastReached) > forgetAfter {
 			l.stop()
 		}
 		return
 	}
-	if time.Since(l.unwanted) >= linger {
+	if time.Since(l.unselectedSince) >= linger {
 		l.session.setRetiring(true)
 	}
 }
 
-// stop ends the attempts. The lock is held.
+// stop ends the connection attempts. u.mu is held.
 func (l *link) stop() {
 	if l.cancel != nil {
 		l.cancel()
@@ -158,36 +158,37 @@
 	}
 }
 
-// forgotten reports whether an entry is out of reach and nobody names it.
-func (l *link) forgotten() bool {
-	return l.session == nil && time.Since(l.named) >= forgetAfter && time.Since(l.reached) >= forgetAfter
+// expired reports whether an entry has been neither reachable nor listed for forgetAfter.
+func (l *link) expired() bool {
+	return l.session == nil && time.Since(l.lastNamed) >= forgetAfter && time.Since(l.lastReached) >= forgetAfter
 }
 
-// known returns the addresses of the entries that answer.
-func (u *Uplink) known() []string {
+// reachable returns the addresses of the entries that were reached recently.
+func (u *Uplink) reachable() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	all := make([]string, 0, len(u.links))
 	for a, l := range u.links {
-		if time.Since(l.reached) < forgetAfter {
+		if time.Since(l.lastReached) < forgetAfter {
 			all = append(all, a)
 		}
 	}
 	return all
 }
 
-// keep holds one entry's attachment until the context ends or the entry has let go.
-func (u *Uplink) keep(ctx context.Context, l *link) {
-	away := time.Now()
+// keepConnected keeps a session with one entry until the context ends or the entry has
+// released the guard.
+func (u *Uplink) keepConnected(ctx context.Context, l *link) {
+	unreachableSince := time.Now()
 	for ctx.Err() == nil {
-		dial, retry := attempt(time.Since(away))
+		dial, retry := backoff(time.Since(unreachableSince))
 		s := newSession(u, l, dial)
 		began := time.Now()
 		err := s.run(ctx)
-		if time.Since(began) > lasting && s.attached {
-			away = time.Now()
+		if time.Since(began) > stableAfter && s.attached {
+			unreachableSince = time.Now()
 		}
-		if u.lost(ctx, l, s, err, time.Since(away)) {
+		if u.sessionEnded(ctx, l, s, err, time.Since(unreachableSince)) {
 			return
 		}
 		select {
@@ -197,17 +198,17 @@
 	}
 }
 
-// lost takes note of a session or an attempt that has ended. It returns true when the
-// entry has let go of a guard that is retiring.
-func (u *Uplink) lost(ctx context.Context, l *link, s *session, err error, away time.Duration) bool {
+// sessionEnded handles the end of a session or a failed attempt. It returns true if the entry
+// has released a guard that was retiring.
+func (u *Uplink) sessionEnded(ctx context.Context, l *link, s *session, err error, unreachableFor time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if l.session == s {
 		l.session = nil
-		// A stream that the entry ends in its turn leaves no run open.
-		l.owed = !errors.Is(err, io.EOF)
+		// An entry that ends a stream regularly has no run open.
+		l.mustReconnect = !errors.Is(err, io.EOF)
 	}
-	if s.attached && !l.owed && s.isRetiring() {
+	if s.attached && !l.mustReconnect && s.isRetiring() {
 		sessionRetired.Log(ctx, u.logger, slog.String("address", l.address), slog.String("entry", s.owner.Entry))
 		if l.cancel != nil && ctx.Err() == nil {
 			l.stop()
@@ -217,7 +218,7 @@
 	if s.attached && ctx.Err() == nil {
 		entryLost.Log(ctx, u.logger, slog.String("address", l.address), slog.String("entry", s.owner.Entry), slog.Any("error", err))
 	}
-	if down := away >= downAfter; down && !l.down && ctx.Err() == nil {
+	if down := unreachableFor >= downAfter; down && !l.down && ctx.Err() == nil {
 		l.down = true
 		u.choose()
 	}
--- a/guard/uplink/links_test.go
+++ b/guard/uplink/links_test.go
@@ -22,26 +22,26 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// manyGuards is what the entries of these tests say of the guards that they see: enough
-// for subsets to stay as they are.
+// manyGuards is the number of guards that the entries of these tests report: enough for
+// subsets to keep their size.
 const manyGuards = 100
 
-// entry is one that names the others and releases guards that ask for it.
+// entry is an entry that lists the others and releases guards that ask for it.
 type entry struct {
 	wirev1connect.UnimplementedFleetServiceHandler
 	name    string
 	address string
 	server  *http.Server
 	named   []string
-	// guards is the number of guards that the entry says it sees.
+	// guards is the guard count that the entry reports.
 	guards uint32
 
 	mu       sync.Mutex
 	sessions int
-	// holds keeps a guard from being released, as open runs do.
+	// holds prevents the release of a guard, as open runs do.
 	holds bool
-	// closed counts the messages in which a guard asked to be released.
-	closed int
+	// releaseRequests counts the messages in which a guard asked to be released.
+	releaseRequests int
 }
 
 func (e *entry) Attach(_ context.Context, st *connect.BidiStream[wirev1.AttachRequest, wirev1.AttachResponse]) error {
@@ -87,7 +87,7 @@
 func (e *entry) releases() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.closed++
+	e.releaseRequests++
 	return !e.holds
 }
 
@@ -104,7 +104,7 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// entries that name each other.
+// entries starts n entries that list each other.
 func entries(t *testing.T, n int) []*entry {
 	t.Helper()
 	all := make([]*entry, n)
@@ -126,7 +126,7 @@
 	return list
 }
 
-// startGuard has a guard run of which the settings name the first three entries.
+// startGuard starts a guard whose settings list the first three entries.
 func startGuard(t *testing.T, all []*entry, list func(context.Context) ([]string, error)) {
 	t.Helper()
 	seeds := addresses(all)[:3]
@@ -145,7 +145,7 @@
 	})
 }
 
-// deployment of so many entries and a guard that learns of them from three.
+// deployment starts n entries and a guard that discovers them from three of them.
 func deployment(t *testing.T, n int) []*entry {
 	t.Helper()
 	all := entries(t, n)
@@ -159,12 +159,12 @@
 	for _, e := range all {
 		ranked = append(ranked, subset.Entry{Address: e.address, Rank: subset.Rank("guard", e.address)})
 	}
-	wanted := map[string]bool{}
+	selected := map[string]bool{}
 	for _, a := range subset.Choose(ranked, subset.Size) {
-		wanted[a] = true
+		selected[a] = true
 	}
 	for _, e := range all {
-		if wanted[e.address] {
+		if selected[e.address] {
 			in = append(in, e)
 		} else {
 			out = append(out, e)
@@ -173,36 +173,37 @@
 	return in, out
 }
 
-// awaitAttached waits until just these entries have a session.
+// awaitAttached waits until exactly the wanted entries have a session.
 func awaitAttached(t *testing.T, all, want []*entry) {
 	t.Helper()
-	wanted := map[*entry]bool{}
+	selected := map[*entry]bool{}
 	for _, e := range want {
-		wanted[e] = true
+		selected[e] = true
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, e := range all {
-			if e.attached() != wanted[e] {
-				return poll.Continue("%s: attached %t, want %t", e.name, e.attached(), wanted[e])
+			if e.attached() != selected[e] {
+				return poll.Continue("%s: attached %t, want %t", e.name, e.attached(), selected[e])
 			}
 		}
 		return poll.Success()
 	}, poll.WithTimeout(8*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// Processor time and messages grow with the square of the deployment when each guard
-// keeps a session with each entry. A guard learns of all from its settings' entries,
-// attaches to its subset, and leaves the others, those of its settings too.
-func TestGuardServesASubset(t *testing.T) {
+// Guards against sessions between every guard and every entry, with which CPU time and
+// messages grow with the square of the deployment's size. A guard discovers all entries from
+// those in its settings, connects to its subset, and leaves the others, including those in its
+// settings.
+func TestGuardConnectsToItsSubset(t *testing.T) {
 	all := deployment(t, 20)
 	in, _ := chosen(all)
 	assert.Equal(t, len(in), subset.Size)
 	awaitAttached(t, all, in)
 }
 
-// An entry loses power. Its callers go to others, so the guard takes one more into its
-// subset; when the entry is back it is attached to again and the other one is left.
-func TestEntryOutOfReachIsReplacedUntilItIsBack(t *testing.T) {
+// An entry loses power and its callers go to other entries, so the guard adds another entry to
+// its subset. When the entry is back, the guard reconnects to it and leaves the other one.
+func TestUnreachableEntryIsReplacedUntilItIsBack(t *testing.T) {
 	all := deployment(t, 16)
 	in, out := chosen(all)
 	awaitAttached(t, all, in)
@@ -224,9 +225,9 @@
 	awaitAttached(t, all, in)
 }
 
-// A guard leaves an entry that has runs there. The entry alone knows what it has
-// ordered: ended by the guard, the session would leave the entry with runs of which
-// nothing is ever reported, and their callers without an answer.
+// Guards against callers without an answer when a guard leaves an entry that has runs there.
+// Only the entry knows what it has ordered: if the guard ended the session, nothing would be
+// reported on these runs any more.
 func TestEntryEndsTheSessionOfAGuardThatRetires(t *testing.T) {
 	all := deployment(t, 16)
 	in, out := chosen(all)
@@ -249,22 +250,22 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		out[0].mu.Lock()
 		defer out[0].mu.Unlock()
-		if out[0].closed > 0 {
+		if out[0].releaseRequests > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("not asked")
+		return poll.Continue("no release request")
 	}, poll.WithTimeout(8*time.Second))
-	assert.Assert(t, out[0].attached(), "the session goes on while the entry holds runs")
+	assert.Assert(t, out[0].attached(), "the session continues while the entry holds runs")
 	out[0].mu.Lock()
 	out[0].holds = false
 	out[0].mu.Unlock()
 	awaitAttached(t, all, in)
 }
 
-// Everything has lost power and all guards are back at once. Attached to first, the three
-// entries that every settings file names are busy with all guards' sessions, and the
-// others have no runners meanwhile. A guard that reads the list of entries attaches to
-// its subset at once, and to nobody else.
+// Guards against a slow recovery after a power loss, when all guards start at once. If they
+// all connected first to the three entries that every settings file lists, these would be busy
+// with all guards' sessions, and the others would have no runners in the meantime. A guard
+// that reads the list of entries connects to its subset at once, and to no other entry.
 func TestGuardAttachesToItsSubsetFromTheList(t *testing.T) {
 	all := entries(t, 20)
 	startGuard(t, all, func(context.Context) ([]string, error) { return addresses(all), nil })
@@ -272,14 +273,14 @@
 	awaitAttached(t, all, in)
 	for _, e := range all {
 		e.mu.Lock()
-		assert.Equal(t, e.closed, 0, "%s had a session that wasn't wanted", e.name)
+		assert.Equal(t, e.releaseRequests, 0, "%s had a session although it is not in the subset", e.name)
 		e.mu.Unlock()
 	}
 }
 
-// The store is away as a guard starts: it must not wait for it, and learns of the entries
-// from those that its settings name.
-func TestGuardStartsWhileTheStoreIsAway(t *testing.T) {
+// The store is down when a guard starts: the guard must not wait for it, and discovers the
+// entries from those in its settings.
+func TestGuardStartsWhileTheStoreIsDown(t *testing.T) {
 	all := entries(t, 5)
 	startGuard(t, all, func(ctx context.Context) ([]string, error) {
 		<-ctx.Done()
@@ -290,9 +291,9 @@
 	assert.Assert(t, time.Since(began) < lookupTimeout, "attached after %s", time.Since(began))
 }
 
-// Everything is back at once, and each entry sees one guard for a moment. Guards that took
-// that for a deployment with few of them would all widen their subsets just when every
-// process is busiest. Where it stays so, they widen.
+// Guards against all guards widening their subsets after a restart of the whole deployment,
+// when every process is busiest: each entry sees one guard for a moment, which looks like a
+// deployment with few guards. If the count stays low, the subsets widen.
 func TestSubsetWidensOnlyOnceSessionsHaveSettled(t *testing.T) {
 	all := entries(t, 20)
 	for _, e := range all {
--- a/guard/uplink/outbox.go
+++ b/guard/uplink/outbox.go
@@ -11,10 +11,10 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-func (s *session) setPending(w bool, wants int64) {
+func (s *session) setPending(pending bool, demand int64) {
 	s.mu.Lock()
-	changed := w && !s.pending
-	s.pending, s.demand = w, wants
+	changed := pending && !s.pending
+	s.pending, s.demand = pending, demand
 	s.mu.Unlock()
 	if changed {
 		s.up.CapacityChanged()
@@ -48,21 +48,21 @@
 	if r.State == runs.Running {
 		at = at.Add(startsDelay)
 	} else {
-		// The end says all that the begin would.
+		// The report on the end includes all that the one on the start says.
 		s.reports = slices.DeleteFunc(s.reports, func(old runs.Report) bool { return old.Run == r.Run && old.State == runs.Running })
 	}
 	s.reports = append(s.reports, r)
-	sooner := s.reportsDue.IsZero() || at.Before(s.reportsDue)
-	if sooner {
+	earlier := s.reportsDue.IsZero() || at.Before(s.reportsDue)
+	if earlier {
 		s.reportsDue = at
 	}
 	if r.State == runs.NotStarted {
-		// What the entry believed of the capacity was wrong.
+		// The entry's view of the capacity was wrong.
 		s.withReports = true
 	}
 	s.mu.Unlock()
-	if sooner {
-		signal(s.wake)
+	if earlier {
+		notify(s.wake)
 	}
 }
 
@@ -71,16 +71,16 @@
 	s.mu.Lock()
 	s.capacityDue = at
 	s.mu.Unlock()
-	signal(s.wake)
+	notify(s.wake)
 }
 
 // SendAfter implements advertise.Session.
-func (s *session) SendAfter(pace time.Duration, contended bool) {
+func (s *session) SendAfter(interval time.Duration, contended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if due := s.capacitySent.Add(pace); s.capacityDue.IsZero() || due.Before(s.capacityDue) {
+	if due := s.capacitySent.Add(interval); s.capacityDue.IsZero() || due.Before(s.capacityDue) {
 		s.capacityDue = due
-		signal(s.wake)
+		notify(s.wake)
 	}
 	s.withReports = s.withReports || !contended
 }
@@ -99,30 +99,31 @@
 	return s.unread()
 }
 
-// unread reports whether the entry has yet to confirm the capacity sent last. The lock is
+// unread reports whether the entry has not yet acknowledged the capacity sent last. s.mu is
 // held.
 func (s *session) unread() bool { return s.readClock > 0 && s.capacityClock > s.readClock }
 
 // SendOnceRead implements advertise.Session.
 func (s *session) SendOnceRead() {
 	s.mu.Lock()
-	s.capacityDue, s.owed = time.Time{}, true
+	s.capacityDue, s.deferred = time.Time{}, true
 	s.mu.Unlock()
 }
 
-// takeOwed reports whether capacity that waited for the entry may be sent now.
-func (s *session) takeOwed() bool {
+// takeDeferred reports whether capacity that was deferred until the entry's acknowledgement
+// may be sent now, and clears the deferral.
+func (s *session) takeDeferred() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := s.owed && !s.unread()
+	due := s.deferred && !s.unread()
 	if due {
-		s.owed = false
+		s.deferred = false
 	}
 	return due
 }
 
-// send writes messages until the stream ends: reports at once, capacity that
-// changed at a bounded pace, and a heartbeat when there is nothing else.
+// send sends messages until the stream ends: reports when due, changed capacity at a bounded
+// rate, and a heartbeat if there is nothing else.
 func (s *session) send(ctx context.Context, st *stream) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -156,8 +157,8 @@
 	}
 }
 
-// take returns what is to be sent now; capacity is true when the capacity goes along,
-// and wait is the time until it is due.
+// take returns what is to be sent now; capacity is true if the capacity is to be included, and
+// wait is the time until something is due.
 func (s *session) take(now time.Time) (reports []*wirev1.RunReport, capacity bool, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +167,8 @@
 	if !due && !capacity {
 		return nil, false, s.untilDue(now)
 	}
-	// Every report goes along, also a begin that could wait: capacity counts its run.
+	// All reports are included, even one on a start that could wait, because the capacity
+	// counts its run.
 	up := uptime.Now()
 	for _, r := range s.reports {
 		reports = append(reports, wireReport(r, up))
@@ -181,8 +183,8 @@
 	return reports, true, 0
 }
 
-// untilDue is the time until something is to be sent, heartbeatInterval at most. The lock
-// is held.
+// untilDue returns the time until something is to be sent, at most heartbeatInterval. s.mu is
+// held.
 func (s *session) untilDue(now time.Time) time.Duration {
 	wait := heartbeatInterval
 	for _, at := range []time.Time{s.capacityDue, s.reportsDue} {
@@ -193,7 +195,8 @@
 	return wait
 }
 
-// capacity returns the capacity that is due now, for a message of the clock given.
+// capacity returns the current capacity for a message with the given clock, and records it as
+// sent.
 func (s *session) capacity(clock time.Duration) *wirev1.Capacity {
 	r := s.up.host.Capacity()
 	s.mu.Lock()
--- a/guard/uplink/session.go
+++ b/guard/uplink/session.go
@@ -19,11 +19,11 @@
 
 // Errors of a session.
 var (
-	// ErrSilent means that the entry sent nothing for too long.
+	// ErrSilent means that the entry sent nothing for listenFor.
 	ErrSilent = errors.New("uplink: entry is silent")
-	// ErrReplaced means that a newer session of the same entry took over.
+	// ErrReplaced means that a newer session of the same entry has replaced this one.
 	ErrReplaced = errors.New("uplink: session replaced")
-	// ErrHandshake means that the entry's first message was no handshake.
+	// ErrHandshake means that the entry's first message was not a handshake.
 	ErrHandshake = errors.New("uplink: no handshake")
 )
 
@@ -34,38 +34,40 @@
 	up    *Uplink
 	link  *link
 	owner runs.Owner
-	// dial is the time for its connection to come about.
+	// dial is the timeout for establishing the connection.
 	dial time.Duration
-	// attached is true once the handshake is done, and began when that was.
-	attached bool
-	began    time.Time
-	cancel   context.CancelCauseFunc
-	wake     chan struct{}
+	// attached is true once the handshake is done, and attachedAt is the time of that.
+	attached   bool
+	attachedAt time.Time
+	cancel     context.CancelCauseFunc
+	wake       chan struct{}
 
 	mu      sync.Mutex
 	reports []runs.Report
-	// reportsDue is when the oldest of the reports is to be sent; zero for none.
+	// reportsDue is when the oldest of the reports is to be sent; zero if there is none.
 	reportsDue time.Time
-	// pending is true while tasks of the entry wait for capacity.
+	// pending is true while the entry has tasks that wait for capacity.
 	pending bool
-	// demand is what they need, thousandths of a core.
+	// demand is the CPU request of these tasks, in thousandths of a core.
 	demand int64
-	// capacityDue is when capacity is to be sent; zero while it need not be.
+	// capacityDue is when capacity is to be sent; zero if it is not scheduled.
 	capacityDue time.Time
-	// capacitySent is when it was sent last, and sentCapacity what.
+	// capacitySent is when capacity was last sent, and sentCapacity its value.
 	capacitySent time.Time
 	sentCapacity runs.Capacity
 	// capacityClock is the clock of the message that carried it, and readClock that of the
-	// newest message that the entry has taken in; zero while the entry doesn't say.
+	// latest message that the entry has acknowledged; zero if the entry does not send
+	// acknowledgements.
 	capacityClock, readClock time.Duration
-	// owed is true while capacity waits for the entry to have read the last.
-	owed bool
-	// withReports is true when capacity goes with the next reports.
+	// deferred is true while capacity is deferred until the entry has acknowledged the
+	// previous one.
+	deferred bool
+	// withReports is true if capacity is to be sent with the next reports.
 	withReports bool
 	// retiring is true while the guard asks the entry to end the session.
 	retiring, sentRetiring bool
-	// entries are those that the entry last named, and guards the number of guards that
-	// are attached to it.
+	// entries are the addresses that the entry last listed, and guards is the number of guards
+	// that are attached to it.
 	entries []string
 	guards  int
 }
@@ -76,15 +78,15 @@
 
 func (s *session) end() { s.cancel(ErrReplaced) }
 
-// run attaches and serves until the stream ends.
+// run connects and serves the session until the stream ends.
 func (s *session) run(ctx context.Context) error {
 	transport := fleetwire.NewTransport(s.dial)
 	defer transport.Close()
 	ctx, s.cancel = context.WithCancelCause(ctx)
 	defer s.cancel(nil)
 	defer context.AfterFunc(ctx, transport.Close)()
-	silence := time.AfterFunc(listenFor, func() { s.cancel(ErrSilent) })
-	defer silence.Stop()
+	silenceTimer := time.AfterFunc(listenFor, func() { s.cancel(ErrSilent) })
+	defer silenceTimer.Stop()
 	client := fleetwire.NewClient(&http.Client{Transport: transport}, s.link.address)
 	st := client.Attach(ctx)
 	defer func() { _ = st.CloseResponse() }()
@@ -92,7 +94,7 @@
 	if err := s.handshake(st); err != nil {
 		return s.cause(ctx, err)
 	}
-	defer s.up.dismiss(s)
+	defer s.up.remove(s)
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	defer s.cancel(nil)
@@ -102,17 +104,17 @@
 		if err != nil {
 			return s.cause(ctx, err)
 		}
-		silence.Reset(listenFor)
+		silenceTimer.Reset(listenFor)
 		if !s.accept(m) {
 			return ErrReplaced
 		}
 	}
 }
 
-// accept takes a message unless a newer session has taken over.
+// accept handles a message; it returns false if a newer session has replaced this one.
 func (s *session) accept(m *wirev1.AttachResponse) bool {
-	s.up.turn.Lock()
-	defer s.up.turn.Unlock()
+	s.up.receiving.Lock()
+	defer s.up.receiving.Unlock()
 	if !s.up.isCurrent(s) {
 		return false
 	}
@@ -120,7 +122,8 @@
 	return true
 }
 
-// cause prefers the reason for which the session was ended here.
+// cause returns the reason for which this side ended the session, if there is one, and the
+// stream's error otherwise.
 func (s *session) cause(ctx context.Context, err error) error {
 	if why := context.Cause(ctx); why != nil && !errors.Is(why, context.Canceled) {
 		return why
@@ -135,7 +138,7 @@
 			Guard:       s.up.opt.Guard,
 			Incarnation: s.up.opt.Incarnation,
 			Zone:        s.up.opt.Zone,
-			Entries:     s.up.known(),
+			Entries:     s.up.reachable(),
 		},
 		ClockUs: uptime.Now().Microseconds(),
 	})
@@ -151,9 +154,9 @@
 		return ErrHandshake
 	}
 	s.owner = runs.Owner{Entry: g.GetEntry(), Incarnation: g.GetIncarnation()}
-	s.attached, s.began = true, time.Now()
-	s.up.turn.Lock()
-	defer s.up.turn.Unlock()
+	s.attached, s.attachedAt = true, time.Now()
+	s.up.receiving.Lock()
+	defer s.up.receiving.Unlock()
 	s.up.admit(s)
 	var open []work.RunID
 	for _, o := range g.GetOpen() {
@@ -162,12 +165,12 @@
 	for _, r := range s.up.host.Resume(s.owner, open) {
 		s.push(r)
 	}
-	s.hear(m)
+	s.recordFleetState(m)
 	return nil
 }
 
-// hear takes note of what the entry says of the deployment.
-func (s *session) hear(m *wirev1.AttachResponse) {
+// recordFleetState records what a message says about the deployment, and its acknowledgement.
+func (s *session) recordFleetState(m *wirev1.AttachResponse) {
 	s.mu.Lock()
 	s.guards = int(m.GetGuards())
 	s.readClock = max(s.readClock, time.Duration(m.GetReadUs())*time.Microsecond)
@@ -176,28 +179,29 @@
 	}
 	s.mu.Unlock()
 	if len(m.GetEntries()) > 0 {
-		s.up.know(m.GetEntries())
+		s.up.addEntries(m.GetEntries())
 	}
 }
 
-// entriesNamed are those that the entry last named.
-func (s *session) entriesNamed() []string {
+// knownEntries returns the addresses that the entry last listed.
+func (s *session) knownEntries() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries
 }
 
-// guardsSeen is the number of guards attached to the entry.
-func (s *session) guardsSeen() int {
+// guardCount returns the number of guards attached to the entry.
+func (s *session) guardCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.guards
 }
 
-// lasted is how long the session has been attached. It is called only for one that is.
-func (s *session) lasted() time.Duration { return time.Since(s.began) }
+// age returns how long the session has been attached. It must only be called for an attached
+// one.
+func (s *session) age() time.Duration { return time.Since(s.attachedAt) }
 
-// setRetiring asks the entry to end the session, or takes that back.
+// setRetiring asks the entry to end the session, or withdraws the request.
 func (s *session) setRetiring(r bool) {
 	s.mu.Lock()
 	changed := s.retiring != r
@@ -207,7 +211,7 @@
 	}
 	s.mu.Unlock()
 	if changed {
-		signal(s.wake)
+		notify(s.wake)
 	}
 }
 
@@ -217,15 +221,15 @@
 	return s.retiring
 }
 
-// receive takes one message of the entry.
+// receive handles one message of the entry.
 func (s *session) receive(m *wirev1.AttachResponse) {
 	sent := time.Duration(m.GetEchoUs()) * time.Microsecond
 	if m.GetEchoUs() > 0 {
 		s.up.host.Alive(s.owner, sent)
 	}
 	s.setPending(m.GetHasPending(), m.GetPendingMilli())
-	s.hear(m)
-	if s.takeOwed() {
+	s.recordFleetState(m)
+	if s.takeDeferred() {
 		s.up.CapacityChanged()
 	}
 	var orders []runs.Order
@@ -251,7 +255,7 @@
 	}
 }
 
-func signal(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/guard/uplink/session_test.go
+++ b/guard/uplink/session_test.go
@@ -16,17 +16,17 @@
 	return work.RunID{Task: work.TaskID{Job: "0123456789abcdef", Index: index}, Attempt: 1}
 }
 
-// sentSession is a session whose room was told just now.
+// sentSession is a session whose capacity was sent just now.
 func sentSession() *session {
 	s := newSession(nil, nil, 0)
 	s.capacityDue, s.capacitySent = time.Time{}, time.Now()
 	return s
 }
 
-// An entry with 310 starts a second would read a message for each begin and another
-// for each end. The news that a run has begun waits for another message, 80 ms at
-// most, and the news of its end goes out at once in its stead, with the run time.
-func TestBeginsWait(t *testing.T) {
+// Guards against two messages per run, which an entry with 310 starts a second would have to
+// read. The report on a start waits up to 80 ms for another message, and the report on the
+// run's end replaces it and is sent at once, with the run time.
+func TestReportsOnStartsAreDelayed(t *testing.T) {
 	s := sentSession()
 	began := uptime.Now()
 	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: began})
@@ -43,22 +43,22 @@
 	assert.Equal(t, reports[1].GetRanUs(), int64(60_000))
 }
 
-// A begin that no other message takes along is told after its wait: the entry takes
-// a start for unanswered otherwise, and sends the guard nothing more.
-func TestBeginsAreTold(t *testing.T) {
+// A report on a start that no other message includes is sent after its delay: otherwise the
+// entry considers the start unanswered, and sends the guard no more orders.
+func TestReportsOnStartsAreSentAfterTheDelay(t *testing.T) {
 	s := sentSession()
 	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: uptime.Now()})
 	reports, _, _ := s.take(time.Now().Add(startsDelay))
 	assert.Equal(t, len(reports), 1)
 }
 
-// The room counts the runs that have begun. Told without them, an entry would count
-// its own starts twice and take a free runner for full.
-func TestRoomTakesBeginsAlong(t *testing.T) {
+// The capacity counts the runs that have started. Without the reports on them, an entry would
+// count its own starts twice and consider a free runner full.
+func TestCapacityIncludesReportsOnStarts(t *testing.T) {
 	s := sentSession()
 	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: uptime.Now()})
 	s.SendAt(time.Now())
-	reports, room, _ := s.take(time.Now())
-	assert.Assert(t, room)
+	reports, capacity, _ := s.take(time.Now())
+	assert.Assert(t, capacity)
 	assert.Equal(t, len(reports), 1)
 }
--- a/guard/uplink/uplink.go
+++ b/guard/uplink/uplink.go
@@ -1,4 +1,4 @@
-// Package uplink keeps a guard attached to its subset of the entries.
+// Package uplink keeps a guard connected to its subset of the entries.
 package uplink
 
 import (
@@ -16,51 +16,50 @@
 	"almondstand.dev/wire/fleetwire"
 )
 
-// Timing of attachments.
+// Timing of connections.
 const (
-	// firstRetry and lastRetry bound the pause between two attempts, and firstDial is
-	// the least time for a connection to come about. An entry that restarts is attached
-	// to within the two together, so they are short at first; each grows with the time
-	// that the entry has been out of reach, one part in retryPart and dialPart. A dial
-	// to a host without power hangs, also once the host is back. At the size designed
-	// for, 40 entries gone for good cost a guard 40 attempts a second until they are
+	// minRetry and maxRetry bound the pause between two attempts, and minDial is the shortest
+	// connection timeout. The guard reconnects to a restarted entry within the sum of the two,
+	// so they are short at first; both grow with the time for which the entry has been
+	// unreachable: the retry pause is 1/retryDivisor of it, the timeout 1/dialDivisor. A dial
+	// to a host without power hangs, even after the host is back. At the design size, 40
+	// entries that are permanently gone cost a guard 40 attempts a second until they are
 	// forgotten.
-	firstRetry = 25 * time.Millisecond
-	lastRetry  = time.Second
-	firstDial  = 80 * time.Millisecond
-	retryPart  = 8
-	dialPart   = 4
-	// lasting is the least time for which a session must last for the entry to count
-	// as one within reach.
-	lasting = time.Second
-	// forgetAfter drops an entry that was out of reach for so long, unless the
-	// settings name it or another entry does.
+	minRetry     = 25 * time.Millisecond
+	maxRetry     = time.Second
+	minDial      = 80 * time.Millisecond
+	retryDivisor = 8
+	dialDivisor  = 4
+	// stableAfter is how long a session must last for its entry to count as reachable.
+	stableAfter = time.Second
+	// forgetAfter is how long an entry must be unreachable to be forgotten, unless the
+	// settings or another entry list it.
 	forgetAfter = 20 * time.Second
-	// listenFor ends a stream on which the entry was silent for so long: entries
-	// send at least once a second.
+	// listenFor is how long an entry may be silent before its stream is closed: entries send
+	// at least once a second.
 	listenFor = 3 * time.Second
-	// heartbeatInterval is the pause after which a message is sent though there is nothing
-	// to tell: it carries the clock by which orders are dated.
+	// heartbeatInterval is the pause after which a message is sent even without content: it
+	// carries the clock by which the age of orders is determined.
 	heartbeatInterval = time.Second
-	// startsDelay is how long the news that a run has begun may wait for another
-	// message. Half of all tasks take 60 ms: their end goes out instead. An entry
-	// takes a start for unanswered after 320 ms, of which the runner has 150.
+	// startsDelay is how long the report that a run has started may wait for another message.
+	// Half of all tasks take 60 ms, so that the report on their end is sent instead. An entry
+	// considers a start unanswered after 320 ms, of which the runner has 150.
 	startsDelay = 80 * time.Millisecond
 )
 
-// Reading the list of entries at the start.
+// Timing of reading the list of entries when the guard starts.
 const (
-	// lookupHead is how long the seeds wait for the list: the store answers within 4 ms,
+	// lookupHeadStart is how long the seeds wait for the list: the store answers within 4 ms,
 	// and a data centre is some milliseconds away.
-	lookupHead = 60 * time.Millisecond
-	// lookupTimeout bounds the reading: by then the seeds have named the entries.
+	lookupHeadStart = 60 * time.Millisecond
+	// lookupTimeout bounds the read: by then the seeds have listed the entries.
 	lookupTimeout = 500 * time.Millisecond
 )
 
-// Host is the account of the runner; see guard/host.
+// Host manages the runner; see guard/host.
 type Host interface {
 	Capacity() runs.Capacity
-	// HasFree reports whether there is capacity for one more run like the last.
+	// HasFree reports whether another run of the size that was requested last fits.
 	HasFree() bool
 	Alive(o runs.Owner, at time.Duration)
 	Resume(o runs.Owner, open []work.RunID) []runs.Report
@@ -72,49 +71,48 @@
 	Guard       string
 	Incarnation uint64
 	Zone        string
-	// Seeds returns the addresses of entries that the settings name; it is asked
-	// again when no entry can be reached.
+	// Seeds returns the entry addresses in the settings; it is called again at each refresh.
 	Seeds func() []string
-	// Entries reads the list of those that are registered; nil where there is none. It
-	// is asked once, at the start.
+	// Entries reads the list of registered entries; nil if there is no such list. It is called
+	// once, when the guard starts.
 	Entries func(ctx context.Context) ([]string, error)
 	Logger  *slog.Logger
 }
 
-// Uplink is the set of attachments.
+// Uplink manages the guard's sessions with entries.
 type Uplink struct {
 	opt    Options
 	host   Host
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// links are the entries known, by address.
+	// links are the known entries, by address.
 	links map[string]*link
-	// size is the number of entries within reach to keep sessions with.
+	// size is the number of reachable entries to keep sessions with.
 	size int
 	// current is the newest session of each entry, by the entry's id.
 	current map[string]*session
-	// turn is held while a message is taken, and while a session takes over from
-	// an older one: an order of the older one can't slip in between the check that
-	// it counts and the word to the entry that its order never arrived.
-	turn   sync.Mutex
-	attach sync.WaitGroup
-	ctx    context.Context
+	// receiving is held while a message is handled, and while a session replaces an older one.
+	// Otherwise an order of the older session could arrive between the check that the session
+	// is current and the report to the entry that the order never arrived.
+	receiving sync.Mutex
+	attach    sync.WaitGroup
+	ctx       context.Context
 }
 
-// New returns an uplink without attachments.
+// New returns an uplink without sessions.
 func New(o Options, h Host) *Uplink {
 	return &Uplink{opt: o, host: h, logger: o.Logger, links: map[string]*link{}, size: subset.Size, current: map[string]*session{}}
 }
 
-// Run attaches until the context ends.
+// Run keeps the guard connected until the context ends.
 func (u *Uplink) Run(ctx context.Context) error {
 	u.mu.Lock()
 	u.ctx = ctx
 	u.mu.Unlock()
 	u.discover(ctx)
 	u.refresh()
-	ticker := time.NewTicker(chooseEvery)
+	ticker := time.NewTicker(chooseInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -127,10 +125,10 @@
 	return nil
 }
 
-// discover learns of the registered entries before the settings' seeds are named. After a
-// loss of power every guard would attach to the same three seeds first, and the other
-// entries have no runners until those three, busy with all guards, could name them. A list
-// that doesn't come in time costs lookupHead.
+// discover reads the registered entries before the settings' seeds are used. Otherwise, after
+// a power loss every guard would connect to the same three seeds first, and the other entries
+// would have no runners until those three, busy with all guards, could list them. If the list
+// does not arrive in time, this costs lookupHeadStart.
 func (u *Uplink) discover(ctx context.Context) {
 	if u.opt.Entries == nil {
 		return
@@ -145,32 +143,32 @@
 			lookupFailed.Log(ctx, u.logger, slog.String("error", err.Error()))
 			return
 		}
-		u.know(entries)
+		u.addEntries(entries)
 	})
 	select {
 	case <-done:
-	case <-time.After(lookupHead):
+	case <-time.After(lookupHeadStart):
 	case <-ctx.Done():
 	}
 }
 
-// attempt is the time for a connection to come about, and the pause after an attempt
-// that failed, with an entry that has been out of reach for so long.
-func attempt(away time.Duration) (dial, retry time.Duration) {
-	dial = min(max(away/dialPart, firstDial), fleetwire.DialTimeout)
-	retry = min(max(away/retryPart, firstRetry), lastRetry)
+// backoff returns the connection timeout and the pause after a failed attempt for an entry
+// that has been unreachable for the given time.
+func backoff(unreachableFor time.Duration) (dial, retry time.Duration) {
+	dial = min(max(unreachableFor/dialDivisor, minDial), fleetwire.DialTimeout)
+	retry = min(max(unreachableFor/retryDivisor, minRetry), maxRetry)
 	return dial, retry
 }
 
-// admit makes a session the only one of its entry. Nothing that arrives on the
-// older one counts from then on: an order that the network held up there would
-// come after the entry has been told that it never arrived.
+// admit makes a session the current one of its entry. Messages that arrive on the older
+// session are ignored from then on: an order that was delayed in the network could otherwise
+// arrive there after the entry has been told that it never arrived.
 func (u *Uplink) admit(s *session) {
 	u.mu.Lock()
 	older := u.current[s.owner.Entry]
 	u.current[s.owner.Entry] = s
 	l := s.link
-	l.reached, l.session = time.Now(), s
+	l.lastReached, l.session = time.Now(), s
 	if l.down {
 		l.down = false
 		u.choose()
@@ -181,15 +179,16 @@
 	}
 }
 
-// isCurrent reports whether a session's messages count, and keeps its entry known.
+// isCurrent reports whether a session is the current one of its entry, and marks the entry as
+// reached.
 func (u *Uplink) isCurrent(s *session) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s.link.reached = time.Now()
+	s.link.lastReached = time.Now()
 	return u.current[s.owner.Entry] == s
 }
 
-func (u *Uplink) dismiss(s *session) {
+func (u *Uplink) remove(s *session) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.current[s.owner.Entry] == s {
@@ -197,8 +196,8 @@
 	}
 }
 
-// Deliver implements host.Sink. Reports to an owner that isn't attached are
-// left out: it asks for them when it attaches again.
+// Deliver implements host.Sink. Reports to an owner that is not attached are discarded: it
+// asks for them when it reconnects.
 func (u *Uplink) Deliver(reports []runs.Report) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/guard/uplink/uplink_test.go
+++ b/guard/uplink/uplink_test.go
@@ -21,7 +21,7 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// silentEntry shakes hands with a guard and then says nothing more.
+// silentEntry completes the handshake and then sends nothing more.
 type silentEntry struct {
 	wirev1connect.UnimplementedFleetServiceHandler
 	attached atomic.Int64
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// serveEntry serves guards on a port of its own until the test ends.
+// serveEntry serves an entry on its own port until the test ends.
 func serveEntry(t *testing.T, e wirev1connect.FleetServiceHandler) (address string) {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -60,10 +60,10 @@
 func (noHost) Resume(runs.Owner, []work.RunID) []runs.Report               { return nil }
 func (noHost) Order(time.Duration, runs.Owner, []runs.Order, []work.RunID) {}
 
-// An entry gets no runners for good after its connection went silent. The guard
-// gives the silent session up after 3 s and must attach anew; the end of the
-// stream's context alone leaves it waiting for a message that never comes.
-func TestSilentSessionIsGivenUp(t *testing.T) {
+// Guards against an entry that permanently has no runners after its connection went silent.
+// The guard closes the silent session after 3 s and must reconnect; cancelling the stream's
+// context alone leaves it blocked in a receive.
+func TestSilentSessionIsClosed(t *testing.T) {
 	entry := &silentEntry{}
 	address := serveEntry(t, entry)
 	up := New(Options{Guard: "g", Seeds: func() []string { return []string{address} }, Logger: slog.New(slog.NewJSONHandler(io.Discard, nil))}, noHost{})
@@ -77,21 +77,21 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Fatal("the uplink did not end with its context")
+		t.Fatal("the uplink did not stop when its context ended")
 	}
 }
 
-// Everything has lost power; guards are back a moment before the entries. Callers are
-// refused for want of runners until the guards attach: a dial that was sent while the
-// entry's host was dark hangs, so a guard must not stay with it. Whatever the moment at
-// which the entry is back within the first half second, the next attempt is near.
-func TestEntryThatIsBackIsAttachedToSoon(t *testing.T) {
-	for away := time.Duration(0); away < 500*time.Millisecond; away += 10 * time.Millisecond {
-		dial, retry := attempt(away)
-		assert.Assert(t, dial+retry <= 200*time.Millisecond, "after %s: %s and %s", away, dial, retry)
-		assert.Assert(t, dial >= 50*time.Millisecond, "a connection needs some milliseconds")
+// Guards against rejected jobs after a power loss, when guards are back a moment before the
+// entries: until the guards connect there are no runners. A dial sent while the entry's host
+// was down hangs, so a guard must not wait for it. Whenever the entry is back within the first
+// half second, the next attempt must follow soon.
+func TestRestartedEntryIsReconnectedSoon(t *testing.T) {
+	for unreachableFor := time.Duration(0); unreachableFor < 500*time.Millisecond; unreachableFor += 10 * time.Millisecond {
+		dial, retry := backoff(unreachableFor)
+		assert.Assert(t, dial+retry <= 200*time.Millisecond, "after %s: %s and %s", unreachableFor, dial, retry)
+		assert.Assert(t, dial >= 50*time.Millisecond, "establishing a connection takes some milliseconds")
 	}
-	dial, retry := attempt(time.Minute)
-	assert.Equal(t, retry, lastRetry, "an entry gone for good costs little")
+	dial, retry := backoff(time.Minute)
+	assert.Equal(t, retry, maxRetry, "an entry that is permanently gone costs little")
 	assert.Equal(t, dial, fleetwire.DialTimeout)
 }
