--- a/guard/slots/slots.go
+++ b/guard/slots/slots.go
@@ -1,5 +1,5 @@
-// Package slots holds a guard's slots and its short queue. A slot is held from
-// before the runner is called until that call has truly ended.
+// Package slots manages a guard's slots and its short queue. A slot is held from before the
+// runner is called until that call has really ended.
 package slots
 
 import (
@@ -7,97 +7,98 @@
 	"sync"
 )
 
-// Verdict is what became of an offered ticket.
+// Verdict is the result of offering a ticket.
 type Verdict int
 
 // Verdicts of Offer.
 const (
-	// Granted: the ticket holds a slot until Release.
+	// Granted means that the ticket holds a slot until Release.
 	Granted Verdict = iota
-	// Queued: it waits and is granted by a later Release or SetRunner.
+	// Queued means that the ticket waits until a later Release or SetRunner grants it.
 	Queued
-	// Full: neither a slot nor room in the queue is free.
+	// Full means that no slot is free and the queue is full.
 	Full
-	// Leaving: nothing new starts here.
+	// Leaving means that no new tasks are started because the guard or its runner is shutting
+	// down.
 	Leaving
-	// Absent: no runner is known.
+	// Absent means that no runner is known.
 	Absent
 )
 
-// Ticket is one task's claim to a slot.
+// Ticket is one task's request for a slot.
 type Ticket[T any] struct {
 	Value T
-	// Owner is the session; the load report counts own and others' tickets.
+	// Owner is the session; Load counts its own tickets and those of others.
 	Owner string
-	// Urgency and TasksLeft order the queue: higher urgency first, then fewer
-	// tasks left, then the oldest. One that MaxOvertaken younger ones have gone
-	// before goes first.
+	// Urgency and TasksLeft determine the queue order: higher urgency first, then fewer tasks
+	// left, then the oldest. A ticket that MaxOvertaken younger ones have been granted before
+	// goes first.
 	Urgency   uint32
 	TasksLeft uint32
 
-	place place
-	// arrival numbers the tickets of the queue; overtaken counts the younger ones
-	// that were granted before this one.
-	arrival   uint64
-	overtaken int
+	position position
+	// arrival is the ticket's number in the order of queueing; bypassed counts the younger
+	// tickets that were granted before this one.
+	arrival  uint64
+	bypassed int
 }
 
-// MaxOvertaken is the number of younger tickets that may be granted before one
-// that waits. By the order alone a job of two tasks never got a slot where more
-// entries than slots each kept a job of one waiting: its session had its place in
-// the queue, and its jobs passed their answer time. A ticket now waits for that
-// many grants and those of the tickets it found, at most.
+// MaxOvertaken is the number of younger tickets that may be granted before a waiting one, to
+// prevent starvation. With the priority order alone, a job of two tasks never got a slot while
+// more entries than there are slots each kept a job of one task waiting: its session had its
+// place in the queue, but its jobs exceeded their response time. With the limit, a ticket
+// waits at most for that many grants and for those of the tickets that were queued before it.
 const MaxOvertaken = 8
 
-type place int
+type position int
 
 const (
-	nowhere place = iota
+	inactive position = iota
 	inQueue
 	inSlot
 )
 
-// Load is a consistent reading of the table.
+// Load is a consistent snapshot of the table.
 type Load struct {
-	// Version grows with every change.
+	// Version increases with every change.
 	Version uint64
 	Slots   int
 	Running int
 	Waiting int
-	// Own counts the open tickets of the owner asked about, Others the rest.
+	// Own counts the open tickets of the requested owner, Others the rest.
 	Own     int
 	Others  int
 	Leaving bool
 	Present bool
 }
 
-// Table is the slots and the queue of one guard. It is safe for concurrent use.
+// Table manages the slots and the queue of one guard. It is safe for concurrent use.
 type Table[T any] struct {
 	queueLen int
 
-	mu            sync.Mutex
-	version       uint64
-	slots         int
-	present       bool
-	runnerLeaving bool
-	closed        bool
-	running       int
-	arrivals      uint64
-	queue         []*Ticket[T]
-	open          map[string]int
+	mu             sync.Mutex
+	version        uint64
+	slots          int
+	present        bool
+	runnerDraining bool
+	closed         bool
+	running        int
+	arrivals       uint64
+	queue          []*Ticket[T]
+	open           map[string]int
 }
 
-// New returns a table without slots; SetRunner gives it some.
+// New returns a table without slots; SetRunner sets their number.
 func New[T any](queueLen int) *Table[T] {
 	return &Table[T]{queueLen: queueLen, open: map[string]int{}}
 }
 
-// Offer asks for a slot.
+// Offer requests a slot.
 func (t *Table[T]) Offer(k *Ticket[T]) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.leaving():
+	case t.draining():
 		return Leaving
 	case !t.present:
 		return Absent
@@ -111,57 +112,58 @@
 	return Queued
 }
 
-// Release frees the slot of a granted ticket and hands it to the next one in
-// the queue, which is then granted; nil when there is none.
+// Release frees the slot of a granted ticket and grants it to the next ticket in the queue,
+// which it returns; nil if there is none.
 func (t *Table[T]) Release(k *Ticket[T]) *Ticket[T] {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.place != inSlot {
+	if k.position != inSlot {
 		return nil
 	}
 	t.running--
-	t.forget(k)
-	return t.next()
+	t.deactivate(k)
+	return t.grantNext()
 }
 
-// Remove takes a waiting ticket out of the queue; false when it does not wait.
+// Remove removes a waiting ticket from the queue; it returns false if the ticket is not
+// waiting.
 func (t *Table[T]) Remove(k *Ticket[T]) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.place != inQueue {
+	if k.position != inQueue {
 		return false
 	}
 	i := slices.Index(t.queue, k)
 	t.queue = slices.Delete(t.queue, i, i+1)
-	t.forget(k)
+	t.deactivate(k)
 	return true
 }
 
-// Runner is what the table needs to know of the runner.
+// Runner is the state of the runner that the table depends on.
 type Runner struct {
 	Present bool
 	Leaving bool
 	Slots   int
 }
 
-// SetRunner takes the runner's state. It returns the tickets that are granted
-// by it, and those put out of the queue because nothing starts here now.
+// SetRunner sets the runner's state. It returns the tickets that are granted as a result, and
+// those removed from the queue because no tasks are started any more.
 func (t *Table[T]) SetRunner(r Runner) (granted, removed []*Ticket[T]) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	same := t.present == r.Present && t.runnerLeaving == r.Leaving && t.slots == r.Slots
+	same := t.present == r.Present && t.runnerDraining == r.Leaving && t.slots == r.Slots
 	if same {
 		return nil, nil
 	}
 	t.version++
 	t.present = r.Present
-	t.runnerLeaving = r.Leaving
+	t.runnerDraining = r.Leaving
 	t.slots = r.Slots
-	if !t.present || t.leaving() {
+	if !t.present || t.draining() {
 		return nil, t.clear()
 	}
 	for {
-		k := t.next()
+		k := t.grantNext()
 		if k == nil {
 			return granted, nil
 		}
@@ -169,7 +171,8 @@
 	}
 }
 
-// Close refuses every new ticket from now on and returns those that waited.
+// Close makes the table refuse every new ticket from now on and returns those that were
+// waiting.
 func (t *Table[T]) Close() []*Ticket[T] {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,7 +181,7 @@
 	return t.clear()
 }
 
-// Load reads the table for one owner; "" counts every ticket as others'.
+// Load returns the state of the table for one owner; with "" every ticket counts as others'.
 func (t *Table[T]) Load(owner string) Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,18 +193,18 @@
 		Waiting: len(t.queue),
 		Own:     own,
 		Others:  t.running + len(t.queue) - own,
-		Leaving: t.leaving(),
+		Leaving: t.draining(),
 		Present: t.present,
 	}
 }
 
-func (t *Table[T]) leaving() bool { return t.closed || t.runnerLeaving }
+func (t *Table[T]) draining() bool { return t.closed || t.runnerDraining }
 
-// admit gives a new ticket its place.
-func (t *Table[T]) admit(k *Ticket[T], p place) {
+// admit puts a new ticket into a slot or into the queue.
+func (t *Table[T]) admit(k *Ticket[T], p position) {
 	t.version++
 	t.open[k.Owner]++
-	k.place = p
+	k.position = p
 	if p == inSlot {
 		t.running++
 		return
@@ -217,7 +220,7 @@
 	t.queue = slices.Insert(t.queue, i, k)
 }
 
-// before orders the queue; a tie leaves the older ticket in front.
+// before defines the queue order; equal tickets keep their order of arrival.
 func before[T any](a, b *Ticket[T]) bool {
 	if a.Urgency != b.Urgency {
 		return a.Urgency > b.Urgency
@@ -225,34 +228,34 @@
 	return a.TasksLeft < b.TasksLeft
 }
 
-// first is the place in the queue of the ticket that goes next: the oldest of
-// those overtaken too often, else the head.
-func (t *Table[T]) first() int {
+// nextIndex returns the queue index of the ticket to grant next: the oldest of those bypassed
+// MaxOvertaken times, otherwise the head.
+func (t *Table[T]) nextIndex() int {
 	first := -1
 	for i, k := range t.queue {
-		if k.overtaken >= MaxOvertaken && (first < 0 || k.arrival < t.queue[first].arrival) {
+		if k.bypassed >= MaxOvertaken && (first < 0 || k.arrival < t.queue[first].arrival) {
 			first = i
 		}
 	}
 	return max(first, 0)
 }
 
-// next moves the first ticket of the queue into a free slot.
-func (t *Table[T]) next() *Ticket[T] {
+// grantNext moves the next ticket of the queue into a free slot.
+func (t *Table[T]) grantNext() *Ticket[T] {
 	if len(t.queue) == 0 || t.running >= t.slots {
 		return nil
 	}
-	i := t.first()
+	i := t.nextIndex()
 	k := t.queue[i]
 	t.queue = slices.Delete(t.queue, i, i+1)
 	for _, waiting := range t.queue {
 		if waiting.arrival < k.arrival {
-			waiting.overtaken++
+			waiting.bypassed++
 		}
 	}
 	t.version++
 	t.running++
-	k.place = inSlot
+	k.position = inSlot
 	return k
 }
 
@@ -260,14 +263,14 @@
 	removed := t.queue
 	t.queue = nil
 	for _, k := range removed {
-		t.forget(k)
+		t.deactivate(k)
 	}
 	return removed
 }
 
-func (t *Table[T]) forget(k *Ticket[T]) {
+func (t *Table[T]) deactivate(k *Ticket[T]) {
 	t.version++
-	k.place = nowhere
+	k.position = inactive
 	t.open[k.Owner]--
 	if t.open[k.Owner] == 0 {
 		delete(t.open, k.Owner)
--- a/guard/slots/slots_test.go
+++ b/guard/slots/slots_test.go
@@ -14,7 +14,7 @@
 
 const (
 	queueLen = 3
-	// fixedSeed and fixedChecks make a run repeatable; -rapid.seed asks for others.
+	// fixedSeed and fixedChecks make a run repeatable; -rapid.seed selects another seed.
 	fixedSeed   = "4712"
 	fixedChecks = "2000"
 )
@@ -30,33 +30,33 @@
 
 type ticket = slots.Ticket[int]
 
-// oracle holds the same tickets in two plain lists.
+// oracle models the table with two plain lists.
 type oracle struct {
-	table   *slots.Table[int]
-	runner  slots.Runner
-	closed  bool
-	offered int
-	running []*ticket
-	queue   []*ticket
-	version uint64
-	// overtaken counts, by Value, the younger tickets granted before one.
-	overtaken map[int]int
+	table     *slots.Table[int]
+	runner    slots.Runner
+	closed    bool
+	lastValue int
+	running   []*ticket
+	queue     []*ticket
+	version   uint64
+	// bypassed counts, by Value, the younger tickets that were granted before a ticket.
+	bypassed map[int]int
 }
 
-func (o *oracle) overdue(k *ticket) bool { return o.overtaken[k.Value] >= slots.MaxOvertaken }
+func (o *oracle) starving(k *ticket) bool { return o.bypassed[k.Value] >= slots.MaxOvertaken }
 
-// head is the ticket that must be granted next.
+// head returns the ticket that must be granted next.
 func (o *oracle) head() *ticket {
 	if len(o.queue) == 0 || len(o.running) >= o.runner.Slots || !o.runner.Present {
 		return nil
 	}
 	return slices.MinFunc(o.queue, func(a, b *ticket) int {
 		switch {
-		case o.overdue(a) && o.overdue(b):
+		case o.starving(a) && o.starving(b):
 			return a.Value - b.Value
-		case o.overdue(a):
+		case o.starving(a):
 			return -1
-		case o.overdue(b):
+		case o.starving(b):
 			return 1
 		}
 		if a.Urgency != b.Urgency {
@@ -69,7 +69,8 @@
 	})
 }
 
-// granted moves the next ticket and checks that the table chose the same one.
+// granted moves the next ticket to the running ones and checks that the table chose the same
+// one.
 func (o *oracle) granted(t *rapid.T, got *ticket) {
 	want := o.head()
 	if want != got {
@@ -82,15 +83,15 @@
 	o.running = append(o.running, got)
 	for _, k := range o.queue {
 		if k.Value < got.Value {
-			o.overtaken[k.Value]++
+			o.bypassed[k.Value]++
 		}
 	}
 }
 
 func (o *oracle) offer(t *rapid.T) {
-	o.offered++
+	o.lastValue++
 	k := &ticket{
-		Value:     o.offered,
+		Value:     o.lastValue,
 		Owner:     rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"),
 		Urgency:   rapid.Uint32Range(1, 3).Draw(t, "urgency"),
 		TasksLeft: rapid.Uint32Range(1, 3).Draw(t, "left"),
@@ -114,7 +115,7 @@
 
 func (o *oracle) release(t *rapid.T) {
 	if len(o.running) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no ticket holds a slot")
 	}
 	k := rapid.SampledFrom(o.running).Draw(t, "ticket")
 	o.running = slices.DeleteFunc(o.running, func(r *ticket) bool { return r == k })
@@ -122,7 +123,7 @@
 	assert.Assert(t, o.table.Release(k) == nil, "a slot was freed twice")
 }
 
-// churn lets tickets come and go for so long that some are overtaken too often.
+// churn offers and releases tickets until some have been bypassed MaxOvertaken times.
 func (o *oracle) churn(t *rapid.T) {
 	for range 2 * slots.MaxOvertaken {
 		o.offer(t)
@@ -132,7 +133,7 @@
 
 func (o *oracle) remove(t *rapid.T) {
 	if len(o.queue) == 0 {
-		t.Skip("nothing waits")
+		t.Skip("no ticket is waiting")
 	}
 	k := rapid.SampledFrom(o.queue).Draw(t, "ticket")
 	assert.Assert(t, o.table.Remove(k))
@@ -185,11 +186,11 @@
 	o.version = l.Version
 }
 
-// Offers, ends, cancels, runners that come, shrink and go in any order: no slot
-// is held twice, no ticket is lost, and the queue's order is kept.
+// Offers, releases, removals and runners that appear, shrink and disappear, in any order: no
+// slot is held twice, no ticket is lost, and the queue order is kept.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{table: slots.New[int](queueLen), overtaken: map[int]int{}}
+		o := &oracle{table: slots.New[int](queueLen), bypassed: map[int]int{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer":  o.offer,
 			"offer2": o.offer,
@@ -204,9 +205,9 @@
 	})
 }
 
-// More entries than slots each keep a job of one urgent task waiting. A job of two
-// tasks has its place in the queue, but with the order alone each slot that comes
-// free goes to one of theirs that came later, and its caller gets no answer in time.
+// Guards against starvation: while more entries than there are slots each keep a job of one
+// urgent task waiting, the queue order alone grants every free slot to one of their later
+// tickets, and a job of two tasks gets no slot within its caller's response time.
 func TestNoTicketStarves(t *testing.T) {
 	table := slots.New[int](queueLen)
 	table.SetRunner(slots.Runner{Present: true, Slots: 1})
@@ -220,6 +221,6 @@
 		table.Offer(&ticket{Urgency: 5, TasksLeft: 1})
 		running = table.Release(running)
 		grants++
-		assert.Assert(t, grants <= queueLen+slots.MaxOvertaken, "still waits")
+		assert.Assert(t, grants <= queueLen+slots.MaxOvertaken, "still waiting")
 	}
 }
