--- a/guard/runs/crash.go
+++ b/guard/runs/crash.go
@@ -28,15 +28,15 @@
 // start that was sent to the current one. The current process has crashed unless it was
 // draining. Runs that a previous guard process started and that ended with their runner are
 // not reported here, because this table does not hold them.
-func (b *Table) Replace(now time.Duration) []Report {
+func (t *Table) Replace(now time.Duration) []Report {
 	var reports []Report
-	if b.runner != nil && !b.runner.draining {
-		reports = b.reportCrashes(now, func(*run) bool { return false })
+	if t.runner != nil && !t.runner.draining {
+		reports = t.reportCrashes(now, func(*run) bool { return false })
 	}
-	for _, r := range b.runs {
-		reports = append(reports, b.end(now, r, Stopped)...)
+	for _, r := range t.runs {
+		reports = append(reports, t.end(now, r, Stopped)...)
 	}
-	b.runner = nil
+	t.runner = nil
 	return reports
 }
 
@@ -45,9 +45,9 @@
 // the lease had expired get the report too, because the crash may become known only with the
 // next process. Which run caused the crash, if one did, is for the entries to find out: each
 // entry sees its own jobs only.
-func (b *Table) reportCrashes(now time.Duration, deferred func(*run) bool) []Report {
-	active := make([]*run, 0, len(b.runs))
-	for _, r := range b.runs {
+func (t *Table) reportCrashes(now time.Duration, deferred func(*run) bool) []Report {
+	active := make([]*run, 0, len(t.runs))
+	for _, r := range t.runs {
 		active = append(active, r)
 	}
 	slices.SortFunc(active, byStartTime)
@@ -57,19 +57,19 @@
 			continue
 		}
 		r.crashReported = true
-		crash := &Crash{Runner: b.runner.Incarnation, Others: len(active) - 1, Newest: i == len(active)-1, Beside: otherTasks(active, r)}
-		reports = append(reports, b.reportCrash(now, r, crash))
+		crash := &Crash{Runner: t.runner.Incarnation, Others: len(active) - 1, Newest: i == len(active)-1, Beside: otherTasks(active, r)}
+		reports = append(reports, t.reportCrash(now, r, crash))
 	}
 	return reports
 }
 
-func (b *Table) reportCrash(now time.Duration, r *run, c *Crash) Report {
+func (t *Table) reportCrash(now time.Duration, r *run, c *Crash) Report {
 	if !r.endReported {
 		r.endReported = true
-		b.endedOrder = append(b.endedOrder, r.id)
+		t.endedOrder = append(t.endedOrder, r.id)
 	}
 	report := Report{Owner: r.owner, Run: r.id, State: Crashed, Began: r.startedAt, Over: now, Crash: c}
-	b.endedRuns[r.id] = endedRun{report, now}
+	t.endedRuns[r.id] = endedRun{report, now}
 	return report
 }
 
--- a/guard/runs/process.go
+++ b/guard/runs/process.go
@@ -25,35 +25,35 @@
 }
 
 // Process returns the current runner process, nil if there is none.
-func (b *Table) Process() *Process {
-	if b.runner == nil {
+func (t *Table) Process() *Process {
+	if t.runner == nil {
 		return nil
 	}
-	return &b.runner.Process
+	return &t.runner.Process
 }
 
 // Adopt makes p the current runner process. It has been fenced with a token above that of the
 // previous process. All runs of the previous process are over, except those that the new one
 // lists: their starts reached it before the fencing token did.
-func (b *Table) Adopt(now time.Duration, p Process, listed ...work.RunName) []Report {
-	listedRuns := b.detach(listed)
-	reports := b.Replace(now)
+func (t *Table) Adopt(now time.Duration, p Process, listed ...work.RunName) []Report {
+	listedRuns := t.detach(listed)
+	reports := t.Replace(now)
 	for _, r := range listedRuns {
-		b.reattach(r)
+		t.reattach(r)
 	}
-	b.runner = &processState{Process: p, orphans: map[work.RunName]bool{}}
+	t.runner = &processState{Process: p, orphans: map[work.RunName]bool{}}
 	return reports
 }
 
 // detach removes the named runs from the table and returns them. A run that was already
 // reported as over stays: its task may have been started elsewhere, so the run counts as an
 // orphan at the next process.
-func (b *Table) detach(names []work.RunName) []*run {
+func (t *Table) detach(names []work.RunName) []*run {
 	var detached []*run
 	for _, n := range names {
-		if r := b.find(n); r != nil && !r.endReported {
-			delete(b.runs, n.Task)
-			b.used = b.used.Sub(r.need)
+		if r := t.find(n); r != nil && !r.endReported {
+			delete(t.runs, n.Task)
+			t.used = t.used.Sub(r.need)
 			detached = append(detached, r)
 		}
 	}
@@ -62,67 +62,67 @@
 
 // reattach returns a detached run to the table; it runs at another process than the one its
 // start was sent to.
-func (b *Table) reattach(r *run) {
+func (t *Table) reattach(r *run) {
 	r.answeredAt, r.startValidUntil = 0, 0
 	r.stopAcked, r.stopSent, r.unresolved = false, false, false
-	b.runs[r.id.Task] = r
-	b.used = b.used.Add(r.need)
+	t.runs[r.id.Task] = r
+	t.used = t.used.Add(r.need)
 }
 
 // Lose removes the runner process without a successor. Its runs are over, except for
 // unanswered starts if the runner may restart under the same id.
-func (b *Table) Lose(now time.Duration) []Report {
+func (t *Table) Lose(now time.Duration) []Report {
 	var reports []Report
-	for _, r := range b.runs {
-		if !b.markUnresolved(r) {
-			reports = append(reports, b.end(now, r, Stopped)...)
+	for _, r := range t.runs {
+		if !t.markUnresolved(r) {
+			reports = append(reports, t.end(now, r, Stopped)...)
 		}
 	}
-	b.runner = nil
+	t.runner = nil
 	return reports
 }
 
 // markUnresolved reports whether a process that is started under the id of the current one may
 // still execute the run's start, and remembers it in the run. Processes that do not report
 // their start time have an id of their own each, so for them it returns false.
-func (b *Table) markUnresolved(r *run) bool {
-	r.unresolved = r.unresolved || b.runner != nil && b.runner.Born > 0 && !r.started
+func (t *Table) markUnresolved(r *run) bool {
+	r.unresolved = r.unresolved || t.runner != nil && t.runner.Born > 0 && !r.started
 	return r.unresolved
 }
 
 // Describe records the capacity, labels and drain state that the current process reports.
-func (b *Table) Describe(total work.Amounts, labels []string, draining bool) {
-	if b.runner == nil {
+func (t *Table) Describe(total work.Amounts, labels []string, draining bool) {
+	if t.runner == nil {
 		return
 	}
-	b.runner.described = true
-	b.runner.Total = total
-	b.runner.Labels = labels
+	t.runner.described = true
+	t.runner.Total = total
+	t.runner.Labels = labels
 	// A draining process never returns to service, so an older report that arrives late must
 	// not reopen it.
-	b.runner.draining = b.runner.draining || draining
+	t.runner.draining = t.runner.draining || draining
 }
 
 // Serves records the service that the current process reports.
-func (b *Table) Serves(service string) {
-	if b.runner != nil {
-		b.runner.Service = service
+func (t *Table) Serves(service string) {
+	if t.runner != nil {
+		t.runner.Service = service
 	}
 }
 
 // Expire reports on unresolved starts whose callers no longer wait: their tasks are not
 // started again after that.
-func (b *Table) Expire(now time.Duration) []Report {
+func (t *Table) Expire(now time.Duration) []Report {
 	var reports []Report
-	for _, r := range b.runs {
+	for _, r := range t.runs {
 		if !r.unresolved || now < r.deadline {
 			continue
 		}
-		if b.runner == nil {
-			reports = append(reports, b.end(now, r, Stopped)...)
+		if t.runner == nil {
+			reports = append(reports, t.end(now, r, Stopped)...)
 			continue
 		}
-		reports = append(reports, b.report(now, r, Stopped, Unwell)...)
+		reports = append(reports, t.report(now, r, Stopped, Unwell)...)
 	}
 	return reports
 }
--- a/guard/runs/resume.go
+++ b/guard/runs/resume.go
@@ -10,25 +10,25 @@
 // Resume reconciles the runs that an owner considers open with the table after the owner's
 // stream broke. It reports on each open run and stops all other runs of the same entry. The
 // broken stream delivers no more orders, so an open run that is not in the table never starts.
-func (b *Table) Resume(now time.Duration, owner Owner, open []work.RunID) []Report {
-	for _, r := range b.runs {
+func (t *Table) Resume(now time.Duration, owner Owner, open []work.RunID) []Report {
+	for _, r := range t.runs {
 		if r.owner.Entry != owner.Entry {
 			continue
 		}
 		if r.owner != owner || !slices.Contains(open, r.id) {
-			b.stop(now, r)
+			t.stop(now, r)
 		}
 	}
 	var reports []Report
 	for _, id := range open {
-		r, found := b.runs[id.Task]
+		r, found := t.runs[id.Task]
 		switch {
 		case found && r.owner == owner && r.id == id && r.started:
 			reports = append(reports, Report{Owner: owner, Run: id, State: Running, Began: r.startedAt})
 		case found && r.owner == owner && r.id == id:
 			// Its start is in flight; the report follows.
 		default:
-			f, kept := b.endedRuns[id]
+			f, kept := t.endedRuns[id]
 			if !kept || f.report.Owner != owner {
 				f.report = Report{Owner: owner, Run: id, State: NotStarted, Refusal: Unknown}
 			}
--- a/guard/runs/runs.go
+++ b/guard/runs/runs.go
@@ -123,74 +123,74 @@
 }
 
 // Leave makes the table reject all starts from now on, because the guard shuts down.
-func (b *Table) Leave() { b.shuttingDown = true }
+func (t *Table) Leave() { t.shuttingDown = true }
 
 // Open reports whether starts are accepted.
-func (b *Table) Open() bool { return !b.shuttingDown && b.runner != nil && b.runner.acceptsStarts() }
+func (t *Table) Open() bool { return !t.shuttingDown && t.runner != nil && t.runner.acceptsStarts() }
 
 func (k *processState) acceptsStarts() bool {
 	return k.described && k.checked && !k.draining && len(k.orphans) == 0
 }
 
 // Capacity returns the runner's capacity and the part of it that is reserved.
-func (b *Table) Capacity() Capacity {
-	if b.runner == nil {
+func (t *Table) Capacity() Capacity {
+	if t.runner == nil {
 		return Capacity{}
 	}
-	return Capacity{Process: b.runner.Process, Open: b.Open(), Cleared: b.runner.checked && len(b.runner.orphans) == 0, Used: b.used}
+	return Capacity{Process: t.runner.Process, Open: t.Open(), Cleared: t.runner.checked && len(t.runner.orphans) == 0, Used: t.used}
 }
 
 // HasFree reports whether another run of the size that was requested last fits.
-func (b *Table) HasFree() bool {
-	return b.Open() && b.lastNeed.Fits(b.runner.Total.Sub(b.used))
+func (t *Table) HasFree() bool {
+	return t.Open() && t.lastNeed.Fits(t.runner.Total.Sub(t.used))
 }
 
 // Idle reports whether no runs, including orphans, are at the runner.
-func (b *Table) Idle() bool { return len(b.runs) == 0 && b.orphans() == 0 }
+func (t *Table) Idle() bool { return len(t.runs) == 0 && t.orphans() == 0 }
 
 // orphans counts the runs at the runner that this table does not hold.
-func (b *Table) orphans() int {
-	if b.runner == nil {
+func (t *Table) orphans() int {
+	if t.runner == nil {
 		return 0
 	}
-	return len(b.runner.orphans)
+	return len(t.runner.orphans)
 }
 
 // Holds reports whether the table contains runs.
-func (b *Table) Holds() bool { return len(b.runs) > 0 }
+func (t *Table) Holds() bool { return len(t.runs) > 0 }
 
 // Checked reports whether a run listing of the current process has been read.
-func (b *Table) Checked() bool { return b.runner != nil && b.runner.checked }
+func (t *Table) Checked() bool { return t.runner != nil && t.runner.checked }
 
 // Seen returns the highest sequence number of an ended run that has been read from the current
 // process.
-func (b *Table) Seen() int64 {
-	if b.runner == nil {
+func (t *Table) Seen() int64 {
+	if t.runner == nil {
 		return 0
 	}
-	return b.runner.lastEndSeq
+	return t.runner.lastEndSeq
 }
 
 // Alive records that the owner was alive at the given uptime.
-func (b *Table) Alive(o Owner, at time.Duration) {
-	if at > b.lastHeard[o] {
-		b.lastHeard[o] = at
+func (t *Table) Alive(o Owner, at time.Duration) {
+	if at > t.lastHeard[o] {
+		t.lastHeard[o] = at
 	}
 }
 
 // Ask decides on one ordered run: it returns either a start to send to the runner or a report
 // that rejects the order. sent is the earliest uptime at which the owner can have sent the
 // order.
-func (b *Table) Ask(now, sent time.Duration, owner Owner, o Order) (*Start, *Report) {
-	if why := b.refuse(now, sent, owner, o); why != NoRefusal {
+func (t *Table) Ask(now, sent time.Duration, owner Owner, o Order) (*Start, *Report) {
+	if why := t.refuse(now, sent, owner, o); why != NoRefusal {
 		return nil, &Report{Owner: owner, Run: o.Run, State: NotStarted, Refusal: why}
 	}
-	return b.add(now, sent, owner, o), nil
+	return t.add(now, sent, owner, o), nil
 }
 
 // add inserts a run into the table and reserves its resources.
-func (b *Table) add(now, sent time.Duration, owner Owner, o Order) *Start {
-	n := max(o.Run.Attempt, b.lastNumbers[o.Run.Task].number+1)
+func (t *Table) add(now, sent time.Duration, owner Owner, o Order) *Start {
+	n := max(o.Run.Attempt, t.lastNumbers[o.Run.Task].number+1)
 	r := &run{
 		id:        o.Run,
 		owner:     owner,
@@ -200,44 +200,44 @@
 		deadline:  sent + o.Life,
 		orderedAt: now,
 	}
-	b.lastNumbers[o.Run.Task] = taskNumber{n, now}
-	b.runs[o.Run.Task] = r
-	b.used = b.used.Add(o.Need)
+	t.lastNumbers[o.Run.Task] = taskNumber{n, now}
+	t.runs[o.Run.Task] = r
+	t.used = t.used.Add(o.Need)
 	return &Start{Run: o.Run, Name: r.name, Spec: o.Spec}
 }
 
-func (b *Table) refuse(now, sent time.Duration, owner Owner, o Order) Refusal {
-	if now-sent > b.opt.Stale || o.Life <= now-sent {
+func (t *Table) refuse(now, sent time.Duration, owner Owner, o Order) Refusal {
+	if now-sent > t.opt.Stale || o.Life <= now-sent {
 		return Late
 	}
-	if !b.Open() {
+	if !t.Open() {
 		return Closed
 	}
-	if other, found := b.runs[o.Run.Task]; found {
+	if other, found := t.runs[o.Run.Task]; found {
 		// The caller has submitted its job again to another entry, so no caller waits for the
 		// older run any more.
 		if other.owner != owner {
-			b.stop(now, other)
+			t.stop(now, other)
 		}
 		return Closed
 	}
-	b.lastNeed = o.Need
-	if !o.Need.Fits(b.runner.Total.Sub(b.used)) {
+	t.lastNeed = o.Need
+	if !o.Need.Fits(t.runner.Total.Sub(t.used)) {
 		return Full
 	}
 	return NoRefusal
 }
 
 // ValidUntil records the time on the runner's clock up to which a start is valid.
-func (b *Table) ValidUntil(name work.RunName, until time.Duration) {
-	if r := b.find(name); r != nil {
+func (t *Table) ValidUntil(name work.RunName, until time.Duration) {
+	if r := t.find(name); r != nil {
 		r.startValidUntil = max(r.startValidUntil, until)
 	}
 }
 
 // Started records that the runner has started the run.
-func (b *Table) Started(now time.Duration, name work.RunName) (Report, bool) {
-	r := b.find(name)
+func (t *Table) Started(now time.Duration, name work.RunName) (Report, bool) {
+	r := t.find(name)
 	if r == nil {
 		return Report{}, false
 	}
@@ -255,28 +255,28 @@
 }
 
 // Declined records that the runner has not started the run and will not start it.
-func (b *Table) Declined(now time.Duration, name work.RunName, why Refusal) []Report {
-	r := b.find(name)
+func (t *Table) Declined(now time.Duration, name work.RunName, why Refusal) []Report {
+	r := t.find(name)
 	if r == nil || r.started {
 		return nil
 	}
-	return b.endWithReason(now, r, NotStarted, why)
+	return t.endWithReason(now, r, NotStarted, why)
 }
 
 // Doubtful records that a start was not answered. The runner may execute it later, so the run
 // keeps its reserved resources until an acknowledged stop or the end of its lease rules that
 // out.
-func (b *Table) Doubtful(now time.Duration, name work.RunName) {
-	r := b.find(name)
+func (t *Table) Doubtful(now time.Duration, name work.RunName) {
+	r := t.find(name)
 	if r == nil || r.started {
 		return
 	}
-	b.stop(now, r)
+	t.stop(now, r)
 }
 
 // Barred records that the runner acknowledged a stop at the given uptime.
-func (b *Table) Barred(now time.Duration, name work.RunName) {
-	r := b.find(name)
+func (t *Table) Barred(now time.Duration, name work.RunName) {
+	r := t.find(name)
 	if r == nil {
 		return
 	}
@@ -286,40 +286,40 @@
 }
 
 // StopFailed records that a stop was not acknowledged; Stops returns it again.
-func (b *Table) StopFailed(name work.RunName) {
-	if r := b.find(name); r != nil {
+func (t *Table) StopFailed(name work.RunName) {
+	if r := t.find(name); r != nil {
 		r.stopSent = false
 	}
-	if b.runner == nil {
+	if t.runner == nil {
 		return
 	}
-	if _, orphan := b.runner.orphans[name]; orphan {
-		b.runner.orphans[name] = false
+	if _, orphan := t.runner.orphans[name]; orphan {
+		t.runner.orphans[name] = false
 	}
 }
 
 // Cancel stops a run at its owner's request. It returns a report if the run is already over.
-func (b *Table) Cancel(now time.Duration, owner Owner, id work.RunID) (Report, bool) {
-	r, found := b.runs[id.Task]
+func (t *Table) Cancel(now time.Duration, owner Owner, id work.RunID) (Report, bool) {
+	r, found := t.runs[id.Task]
 	if found && r.owner == owner && r.id == id {
-		b.stop(now, r)
+		t.stop(now, r)
 		return Report{}, false
 	}
-	if f, kept := b.endedRuns[id]; kept && f.report.Owner == owner {
+	if f, kept := t.endedRuns[id]; kept && f.report.Owner == owner {
 		return f.report, true
 	}
 	return Report{Owner: owner, Run: id, State: NotStarted, Refusal: Unknown}, true
 }
 
-func (b *Table) find(name work.RunName) *run {
-	r, ok := b.runs[name.Task]
+func (t *Table) find(name work.RunName) *run {
+	r, ok := t.runs[name.Task]
 	if !ok || r.name != name {
 		return nil
 	}
 	return r
 }
 
-func (b *Table) stop(now time.Duration, r *run) {
+func (t *Table) stop(now time.Duration, r *run) {
 	if r.stoppingSince == 0 {
 		r.stoppingSince = max(now, 1)
 	}
@@ -329,34 +329,34 @@
 // has expired. The runs keep their reserved resources until a run listing of the runner shows
 // that they are over. An unanswered start may have been executed before the runner became
 // unresponsive, so none is reported as not started; one that a process under the same id may
-// still execute is reported on later. gone is true if the runner's process has ended; a
+// still execute is reported on later. processEnded is true if the runner's process has ended; a
 // process that is only unresponsive may continue and has not crashed.
-func (b *Table) Lapse(now time.Duration, gone bool) []Report {
-	if gone && b.runner != nil && !b.runner.draining {
-		return b.reportCrashes(now, b.markUnresolved)
+func (t *Table) Lapse(now time.Duration, processEnded bool) []Report {
+	if processEnded && t.runner != nil && !t.runner.draining {
+		return t.reportCrashes(now, t.markUnresolved)
 	}
 	var reports []Report
-	for _, r := range b.runs {
-		if !b.markUnresolved(r) {
-			reports = append(reports, b.report(now, r, Stopped, Unwell)...)
+	for _, r := range t.runs {
+		if !t.markUnresolved(r) {
+			reports = append(reports, t.report(now, r, Stopped, Unwell)...)
 		}
 	}
 	return reports
 }
 
 // end ends a run and releases its resources.
-func (b *Table) end(now time.Duration, r *run, s State) []Report {
-	return b.endWithReason(now, r, s, Unwell)
+func (t *Table) end(now time.Duration, r *run, s State) []Report {
+	return t.endWithReason(now, r, s, Unwell)
 }
 
-func (b *Table) endWithReason(now time.Duration, r *run, s State, why Refusal) []Report {
-	delete(b.runs, r.id.Task)
-	b.used = b.used.Sub(r.need)
-	return b.report(now, r, s, why)
+func (t *Table) endWithReason(now time.Duration, r *run, s State, why Refusal) []Report {
+	delete(t.runs, r.id.Task)
+	t.used = t.used.Sub(r.need)
+	return t.report(now, r, s, why)
 }
 
 // reportEnd makes the final report on a run, once.
-func (b *Table) report(now time.Duration, r *run, s State, why Refusal) []Report {
+func (t *Table) report(now time.Duration, r *run, s State, why Refusal) []Report {
 	if r.endReported {
 		return nil
 	}
@@ -365,7 +365,7 @@
 	if s == NotStarted {
 		report.Refusal = why
 	}
-	b.endedRuns[r.id] = endedRun{report, now}
-	b.endedOrder = append(b.endedOrder, r.id)
+	t.endedRuns[r.id] = endedRun{report, now}
+	t.endedOrder = append(t.endedOrder, r.id)
 	return []Report{report}
 }
--- a/guard/runs/runs_test.go
+++ b/guard/runs/runs_test.go
@@ -22,29 +22,29 @@
 
 // newTable returns a table of a runner with capacity for n runs, after the first run listing.
 func newTable(n int64) *Table {
-	b := New(Options{})
-	b.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}, Service: "s", Token: 5})
-	b.Describe(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false)
-	b.Read(testStart, testStart, work.Account{})
-	b.Alive(entryA, testStart)
-	b.Alive(entryB, testStart)
-	return b
+	table := New(Options{})
+	table.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}, Service: "s", Token: 5})
+	table.Describe(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false)
+	table.Read(testStart, testStart, work.Account{})
+	table.Alive(entryA, testStart)
+	table.Alive(entryB, testStart)
+	return table
 }
 
 func order(job string, index int) Order {
 	return Order{Run: work.RunID{Task: work.TaskID{Job: job, Index: index}, Attempt: 1}, Need: need, Life: 1500 * ms}
 }
 
-func mustStart(t *testing.T, b *Table, at time.Duration, o Owner, x Order) *Start {
+func mustStart(t *testing.T, table *Table, at time.Duration, o Owner, x Order) *Start {
 	t.Helper()
-	s, r := b.Ask(at, at, o, x)
+	s, r := table.Ask(at, at, o, x)
 	assert.Assert(t, r == nil, "%v", r)
 	return s
 }
 
-func refusal(t *testing.T, b *Table, now, sent time.Duration, o Owner, x Order) Refusal {
+func refusal(t *testing.T, table *Table, now, sent time.Duration, o Owner, x Order) Refusal {
 	t.Helper()
-	_, r := b.Ask(now, sent, o, x)
+	_, r := table.Ask(now, sent, o, x)
 	assert.Assert(t, r != nil)
 	assert.Equal(t, r.State, NotStarted)
 	return r.Refusal
@@ -54,32 +54,32 @@
 // unanswered start may arrive later, and a run that is being stopped still uses resources.
 // Both keep their reservation until a run listing shows that they are over.
 func TestResourcesStayReservedUntilRunIsOver(t *testing.T) {
-	b := newTable(1)
-	s := mustStart(t, b, testStart, entryA, order("j", 0))
-	b.Doubtful(testStart+150*ms, s.Name)
-	assert.Equal(t, refusal(t, b, testStart+160*ms, testStart+160*ms, entryA, order("k", 0)), Full)
-	assert.Equal(t, len(b.Stops(testStart+160*ms)), 1)
+	table := newTable(1)
+	s := mustStart(t, table, testStart, entryA, order("j", 0))
+	table.Doubtful(testStart+150*ms, s.Name)
+	assert.Equal(t, refusal(t, table, testStart+160*ms, testStart+160*ms, entryA, order("k", 0)), Full)
+	assert.Equal(t, len(table.Stops(testStart+160*ms)), 1)
 	// A listing requested before the stop was acknowledged is not conclusive.
-	b.Barred(testStart+170*ms, s.Name)
-	assert.Equal(t, len(b.Read(testStart+180*ms, testStart+165*ms, work.Account{})), 0)
-	assert.Equal(t, refusal(t, b, testStart+180*ms, testStart+180*ms, entryA, order("k", 0)), Full)
-	got := b.Read(testStart+190*ms, testStart+185*ms, work.Account{})
+	table.Barred(testStart+170*ms, s.Name)
+	assert.Equal(t, len(table.Read(testStart+180*ms, testStart+165*ms, work.Account{})), 0)
+	assert.Equal(t, refusal(t, table, testStart+180*ms, testStart+180*ms, entryA, order("k", 0)), Full)
+	got := table.Read(testStart+190*ms, testStart+185*ms, work.Account{})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, NotStarted)
-	mustStart(t, b, testStart+200*ms, entryA, order("k", 0))
+	mustStart(t, table, testStart+200*ms, entryA, order("k", 0))
 }
 
 // Neither the start nor its stop is answered. The start is valid up to a time on the runner's
 // clock; once that time has passed at the runner and it lists no such run, the start cannot be
 // executed any more.
 func TestUnansweredStartIsOverWithItsLease(t *testing.T) {
-	b := newTable(1)
-	s := mustStart(t, b, testStart, entryA, order("j", 0))
-	b.ValidUntil(s.Name, 600*ms)
-	b.Doubtful(testStart+150*ms, s.Name)
-	b.StopFailed(s.Name)
-	assert.Equal(t, len(b.Read(testStart+500*ms, testStart+499*ms, work.Account{Clock: 550 * ms})), 0)
-	got := b.Read(testStart+800*ms, testStart+799*ms, work.Account{Clock: 700 * ms})
+	table := newTable(1)
+	s := mustStart(t, table, testStart, entryA, order("j", 0))
+	table.ValidUntil(s.Name, 600*ms)
+	table.Doubtful(testStart+150*ms, s.Name)
+	table.StopFailed(s.Name)
+	assert.Equal(t, len(table.Read(testStart+500*ms, testStart+499*ms, work.Account{Clock: 550 * ms})), 0)
+	got := table.Read(testStart+800*ms, testStart+799*ms, work.Account{Clock: 700 * ms})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, NotStarted)
 }
@@ -88,73 +88,73 @@
 // after its connection broke. The runs of the first, silent entry are stopped before that, and
 // the lease never extends beyond it, so that they also end if the runner answers nothing.
 func TestRunsOfASilentEntryEndBeforeResubmission(t *testing.T) {
-	b := newTable(2)
-	s := mustStart(t, b, testStart, entryA, order("j", 0))
-	_, _ = b.Started(testStart+ms, s.Name)
-	b.Alive(entryB, testStart+2*time.Second)
-	assert.Equal(t, len(b.Stops(testStart+DefaultSilence-ms)), 0)
-	assert.Equal(t, len(b.Stops(testStart+DefaultSilence)), 1)
+	table := newTable(2)
+	s := mustStart(t, table, testStart, entryA, order("j", 0))
+	_, _ = table.Started(testStart+ms, s.Name)
+	table.Alive(entryB, testStart+2*time.Second)
+	assert.Equal(t, len(table.Stops(testStart+DefaultSilence-ms)), 0)
+	assert.Equal(t, len(table.Stops(testStart+DefaultSilence)), 1)
 	for at := testStart; at < testStart+1300*ms; at += 10 * ms {
-		until := b.HoldUntil(at)
+		until := table.HoldUntil(at)
 		assert.Assert(t, until <= testStart+DefaultEndBound, "at %v the lease goes to %v", at-testStart, until-testStart)
 	}
-	b.Barred(testStart+600*ms, s.Name)
-	assert.Assert(t, b.HoldUntil(testStart+600*ms) > testStart+DefaultEndBound, "a run with an acknowledged stop limits the lease no more")
+	table.Barred(testStart+600*ms, s.Name)
+	assert.Assert(t, table.HoldUntil(testStart+600*ms) > testStart+DefaultEndBound, "a run with an acknowledged stop limits the lease no more")
 }
 
 // Guards against starting an order that was delayed in the network until after its caller went
 // to another entry.
 func TestLateOrderIsRefused(t *testing.T) {
-	b := newTable(2)
-	assert.Equal(t, refusal(t, b, testStart+DefaultStale+ms, testStart, entryA, order("j", 0)), Late)
+	table := newTable(2)
+	assert.Equal(t, refusal(t, table, testStart+DefaultStale+ms, testStart, entryA, order("j", 0)), Late)
 	short := order("j", 0)
 	short.Life = 20 * ms
-	assert.Equal(t, refusal(t, b, testStart+30*ms, testStart, entryA, short), Late)
+	assert.Equal(t, refusal(t, table, testStart+30*ms, testStart, entryA, short), Late)
 }
 
 // The same job arrives through another entry while one of its runs is running here: the older
 // run is stopped, and the newer is not started concurrently.
 func TestSameTaskThroughAnotherEntry(t *testing.T) {
-	b := newTable(4)
-	s := mustStart(t, b, testStart, entryA, order("j", 0))
-	_, _ = b.Started(testStart+ms, s.Name)
-	assert.Equal(t, refusal(t, b, testStart+5*ms, testStart+5*ms, entryB, order("j", 0)), Closed)
-	assert.DeepEqual(t, b.Stops(testStart+6*ms), []Stop{{s.Name}})
-	b.Read(testStart+60*ms, testStart+50*ms, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name, How: work.Broken}}})
-	again := mustStart(t, b, testStart+70*ms, entryB, order("j", 0))
+	table := newTable(4)
+	s := mustStart(t, table, testStart, entryA, order("j", 0))
+	_, _ = table.Started(testStart+ms, s.Name)
+	assert.Equal(t, refusal(t, table, testStart+5*ms, testStart+5*ms, entryB, order("j", 0)), Closed)
+	assert.DeepEqual(t, table.Stops(testStart+6*ms), []Stop{{s.Name}})
+	table.Read(testStart+60*ms, testStart+50*ms, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name, How: work.Broken}}})
+	again := mustStart(t, table, testStart+70*ms, entryB, order("j", 0))
 	assert.Assert(t, again.Name.Number > s.Name.Number, "a runner rejects the number of a run that has ended there")
 }
 
 // Guards against overcommitting a runner on which a previous guard process left a run: the
 // resources it uses are unknown, so nothing starts until it is over.
 func TestOrphansKeepTheRunnerClosed(t *testing.T) {
-	b := New(Options{})
-	b.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}})
-	b.Describe(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
-	assert.Equal(t, refusal(t, b, testStart, testStart, entryA, order("j", 0)), Closed)
+	table := New(Options{})
+	table.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}})
+	table.Describe(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
+	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), Closed)
 	orphan := work.RunName{Task: work.TaskID{Job: "old"}, Number: 1}
-	b.Read(testStart, testStart, work.Account{Running: []work.RunName{orphan}})
-	assert.Equal(t, refusal(t, b, testStart, testStart, entryA, order("j", 0)), Closed)
-	assert.Assert(t, !b.Capacity().Cleared)
-	assert.DeepEqual(t, b.Stops(testStart), []Stop{{orphan}})
-	b.Read(testStart+50*ms, testStart+40*ms, work.Account{Ends: []work.End{{Seq: 1, Run: orphan, How: work.Broken}}})
-	assert.Assert(t, b.Capacity().Cleared)
-	mustStart(t, b, testStart+60*ms, entryA, order("j", 0))
+	table.Read(testStart, testStart, work.Account{Running: []work.RunName{orphan}})
+	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), Closed)
+	assert.Assert(t, !table.Capacity().Cleared)
+	assert.DeepEqual(t, table.Stops(testStart), []Stop{{orphan}})
+	table.Read(testStart+50*ms, testStart+40*ms, work.Account{Ends: []work.End{{Seq: 1, Run: orphan, How: work.Broken}}})
+	assert.Assert(t, table.Capacity().Cleared)
+	mustStart(t, table, testStart+60*ms, entryA, order("j", 0))
 }
 
 // Guards against an orphan that keeps running as long as its stops go unanswered, because the
 // guard that found it extends its lease.
 func TestLeaseOfOrphansIsNotExtended(t *testing.T) {
-	b := New(Options{})
-	b.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}})
-	b.Describe(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
+	table := New(Options{})
+	table.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}})
+	table.Describe(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
 	orphan := work.RunName{Task: work.TaskID{Job: "old"}, Number: 1}
-	b.Read(testStart, testStart, work.Account{Running: []work.RunName{orphan}})
+	table.Read(testStart, testStart, work.Account{Running: []work.RunName{orphan}})
 	for n := range 20 {
 		at := testStart + time.Duration(n)*30*ms
-		assert.DeepEqual(t, b.Stops(at), []Stop{{orphan}})
-		b.StopFailed(orphan)
-		assert.Assert(t, b.HoldUntil(at) <= at)
+		assert.DeepEqual(t, table.Stops(at), []Stop{{orphan}})
+		table.StopFailed(orphan)
+		assert.Assert(t, table.HoldUntil(at) <= at)
 	}
 }
 
@@ -162,54 +162,54 @@
 // confirmed, those that ended in between are reported, and those that never arrived are
 // reported as not started for good. Runs that it no longer considers open are stopped.
 func TestResume(t *testing.T) {
-	b := newTable(4)
+	table := newTable(4)
 	open, ended, forgotten := order("j", 0), order("j", 1), order("j", 2)
 	for _, o := range []Order{open, ended, forgotten} {
-		s := mustStart(t, b, testStart, entryA, o)
-		_, _ = b.Started(testStart+ms, s.Name)
+		s := mustStart(t, table, testStart, entryA, o)
+		_, _ = table.Started(testStart+ms, s.Name)
 	}
-	b.Read(testStart+50*ms, testStart+40*ms, work.Account{
+	table.Read(testStart+50*ms, testStart+40*ms, work.Account{
 		Running: []work.RunName{{Task: open.Run.Task, Number: 1}, {Task: forgotten.Run.Task, Number: 1}},
 		Ends:    []work.End{{Seq: 1, Run: work.RunName{Task: ended.Run.Task, Number: 1}, How: work.Done}},
 	})
 	lost := order("j", 3)
-	got := b.Resume(testStart+60*ms, entryA, []work.RunID{open.Run, ended.Run, lost.Run})
+	got := table.Resume(testStart+60*ms, entryA, []work.RunID{open.Run, ended.Run, lost.Run})
 	assert.Equal(t, len(got), 3)
 	assert.Equal(t, got[0].State, Running)
 	assert.Equal(t, got[1].State, Done)
 	assert.Equal(t, got[2].State, NotStarted)
-	stops := b.Stops(testStart + 60*ms)
+	stops := table.Stops(testStart + 60*ms)
 	assert.Equal(t, len(stops), 1)
 	assert.Equal(t, stops[0].Name.Task, forgotten.Run.Task)
-	assert.Equal(t, len(b.Resume(testStart+70*ms, Owner{Entry: "a", Incarnation: 2}, nil)), 0)
-	assert.Equal(t, len(b.Stops(testStart+70*ms)), 1, "a newer incarnation of the entry has no open runs of the older one")
+	assert.Equal(t, len(table.Resume(testStart+70*ms, Owner{Entry: "a", Incarnation: 2}, nil)), 0)
+	assert.Equal(t, len(table.Stops(testStart+70*ms)), 1, "a newer incarnation of the entry has no open runs of the older one")
 }
 
 // Guards against reusing the resources of runs at an unresponsive runner: after the lease has
 // expired the runs are over for their owners, but stay reserved until the runner lists them as
 // ended.
 func TestRunsEndWhenLeaseExpires(t *testing.T) {
-	b := newTable(1)
-	s := mustStart(t, b, testStart, entryA, order("j", 0))
-	_, _ = b.Started(testStart+ms, s.Name)
-	got := b.Lapse(testStart+time.Second, false)
+	table := newTable(1)
+	s := mustStart(t, table, testStart, entryA, order("j", 0))
+	_, _ = table.Started(testStart+ms, s.Name)
+	got := table.Lapse(testStart+time.Second, false)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Stopped)
-	assert.Equal(t, len(b.Lapse(testStart+time.Second, false)), 0, "reported once")
-	assert.Equal(t, len(b.Stops(testStart+2*time.Second)), 0, "a lapsed run needs no stop")
-	b.Alive(entryA, testStart+time.Second)
-	assert.Equal(t, refusal(t, b, testStart+time.Second, testStart+time.Second, entryA, order("k", 0)), Full)
-	assert.Equal(t, len(b.Read(testStart+2*time.Second, testStart+2*time.Second, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name}}})), 0)
+	assert.Equal(t, len(table.Lapse(testStart+time.Second, false)), 0, "reported once")
+	assert.Equal(t, len(table.Stops(testStart+2*time.Second)), 0, "a lapsed run needs no stop")
+	table.Alive(entryA, testStart+time.Second)
+	assert.Equal(t, refusal(t, table, testStart+time.Second, testStart+time.Second, entryA, order("k", 0)), Full)
+	assert.Equal(t, len(table.Read(testStart+2*time.Second, testStart+2*time.Second, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name}}})), 0)
 }
 
 // Guards against a caller being told "not run" about a task that started: a runner starts a
 // run and crashes before it answers the start. When the lease has expired, the entry must be
 // told that the task may have run.
 func TestUnansweredStartIsStoppedWhenLeaseExpires(t *testing.T) {
-	b := newTable(1)
-	s := mustStart(t, b, testStart, entryA, order("j", 0))
-	b.Doubtful(testStart+150*ms, s.Name)
-	got := b.Lapse(testStart+time.Second, false)
+	table := newTable(1)
+	s := mustStart(t, table, testStart, entryA, order("j", 0))
+	table.Doubtful(testStart+150*ms, s.Name)
+	got := table.Lapse(testStart+time.Second, false)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Stopped)
 }
@@ -217,10 +217,10 @@
 // A draining runner gets no new starts, even if an older report of it arrives late, and a
 // guard that shuts down accepts none.
 func TestDrainingStays(t *testing.T) {
-	b := newTable(1)
-	b.Describe(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, true)
-	b.Describe(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, false)
-	assert.Equal(t, refusal(t, b, testStart, testStart, entryA, order("j", 0)), Closed)
+	table := newTable(1)
+	table.Describe(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, true)
+	table.Describe(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, false)
+	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), Closed)
 	c := newTable(1)
 	c.Leave()
 	assert.Equal(t, refusal(t, c, testStart, testStart, entryA, order("j", 0)), Closed)
@@ -231,14 +231,14 @@
 // with one from after it, and the latter is read first. A run that is missing from the other
 // listing is not over.
 func TestListingOfAnEarlierMomentEndsNoRun(t *testing.T) {
-	b := newTable(1)
-	s := mustStart(t, b, testStart+10*ms, entryA, order("j", 0))
-	reports := b.Read(testStart+30*ms, testStart+5*ms, work.Account{Running: []work.RunName{s.Name}})
+	table := newTable(1)
+	s := mustStart(t, table, testStart+10*ms, entryA, order("j", 0))
+	reports := table.Read(testStart+30*ms, testStart+5*ms, work.Account{Running: []work.RunName{s.Name}})
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].State, Running)
 	assert.Equal(t, reports[0].Began, testStart+10*ms, "not before its order: the entry derives run times from it")
-	assert.Equal(t, len(b.Read(testStart+31*ms, testStart+15*ms, work.Account{})), 0)
-	over := b.Read(testStart+50*ms, testStart+32*ms, work.Account{})
+	assert.Equal(t, len(table.Read(testStart+31*ms, testStart+15*ms, work.Account{})), 0)
+	over := table.Read(testStart+50*ms, testStart+32*ms, work.Account{})
 	assert.Equal(t, len(over), 1, "a listing requested after the run was seen is conclusive")
 	assert.Equal(t, over[0].State, Stopped)
 }
@@ -248,23 +248,23 @@
 // are rejected, also while the running tasks use more than there is, and until the runs being
 // stopped have ended.
 func TestNoStartBeyondCapacityThatHasShrunk(t *testing.T) {
-	b := newTable(4)
+	table := newTable(4)
 	var started []*Start
 	for i := range 3 {
-		started = append(started, mustStart(t, b, testStart, entryA, order("j", i)))
+		started = append(started, mustStart(t, table, testStart, entryA, order("j", i)))
 	}
-	shrink := func(n int64) { b.Describe(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false) }
+	shrink := func(n int64) { table.Describe(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false) }
 	shrink(2)
-	assert.Assert(t, !b.HasFree())
-	assert.Equal(t, refusal(t, b, testStart+ms, testStart, entryB, order("k", 0)), Full)
+	assert.Assert(t, !table.HasFree())
+	assert.Equal(t, refusal(t, table, testStart+ms, testStart, entryB, order("k", 0)), Full)
 	shrink(0)
-	assert.Equal(t, refusal(t, b, testStart+2*ms, testStart, entryB, order("k", 0)), Full)
+	assert.Equal(t, refusal(t, table, testStart+2*ms, testStart, entryB, order("k", 0)), Full)
 	shrink(2)
 	name := func(s *Start) work.RunName { return s.Name }
-	b.Read(testStart+10*ms, testStart+9*ms, work.Account{Running: []work.RunName{name(started[1]), name(started[2])}, Ends: []work.End{{Seq: 1, Run: name(started[0]), How: work.Done}}})
-	assert.Equal(t, refusal(t, b, testStart+11*ms, testStart+10*ms, entryB, order("k", 0)), Full)
-	b.Cancel(testStart+12*ms, entryA, order("j", 1).Run)
-	assert.Equal(t, refusal(t, b, testStart+13*ms, testStart+12*ms, entryB, order("k", 0)), Full, "a run being stopped still counts")
-	b.Read(testStart+70*ms, testStart+69*ms, work.Account{Running: []work.RunName{name(started[2])}, Ends: []work.End{{Seq: 2, Run: name(started[1]), How: work.Broken}}})
-	mustStart(t, b, testStart+71*ms, entryB, order("k", 0))
+	table.Read(testStart+10*ms, testStart+9*ms, work.Account{Running: []work.RunName{name(started[1]), name(started[2])}, Ends: []work.End{{Seq: 1, Run: name(started[0]), How: work.Done}}})
+	assert.Equal(t, refusal(t, table, testStart+11*ms, testStart+10*ms, entryB, order("k", 0)), Full)
+	table.Cancel(testStart+12*ms, entryA, order("j", 1).Run)
+	assert.Equal(t, refusal(t, table, testStart+13*ms, testStart+12*ms, entryB, order("k", 0)), Full, "a run being stopped still counts")
+	table.Read(testStart+70*ms, testStart+69*ms, work.Account{Running: []work.RunName{name(started[2])}, Ends: []work.End{{Seq: 2, Run: name(started[1]), How: work.Broken}}})
+	mustStart(t, table, testStart+71*ms, entryB, order("k", 0))
 }
--- a/guard/runs/sweep.go
+++ b/guard/runs/sweep.go
@@ -14,44 +14,44 @@
 // Read applies a run listing of the runner that was requested at the uptime asked, and returns
 // reports on the runs whose state changed. Listings must be read one at a time in the order of
 // their requests; the moments at which the runner took them may be in another order.
-func (b *Table) Read(now, asked time.Duration, v work.Account) []Report {
-	if b.runner == nil {
+func (t *Table) Read(now, asked time.Duration, v work.Account) []Report {
+	if t.runner == nil {
 		return nil
 	}
 	var reports []Report
 	for _, e := range v.Ends {
-		b.runner.lastEndSeq = max(b.runner.lastEndSeq, e.Seq)
-		delete(b.runner.orphans, e.Run)
-		if r := b.find(e.Run); r != nil {
-			reports = append(reports, b.end(now, r, stateOf(e.How))...)
+		t.runner.lastEndSeq = max(t.runner.lastEndSeq, e.Seq)
+		delete(t.runner.orphans, e.Run)
+		if r := t.find(e.Run); r != nil {
+			reports = append(reports, t.end(now, r, stateOf(e.How))...)
 		}
 	}
 	present := make(map[work.RunName]bool, len(v.Running))
 	for _, n := range v.Running {
 		present[n] = true
-		if report, changed := b.markPresent(now, asked, n); changed {
+		if report, changed := t.markPresent(now, asked, n); changed {
 			reports = append(reports, report)
 		}
 	}
 	if v.More {
 		return reports
 	}
-	for n := range b.runner.orphans {
+	for n := range t.runner.orphans {
 		if !present[n] {
-			delete(b.runner.orphans, n)
+			delete(t.runner.orphans, n)
 		}
 	}
-	for _, r := range b.runs {
-		if present[r.name] || !b.confirmedOver(r, asked, v.Clock) {
+	for _, r := range t.runs {
+		if present[r.name] || !t.confirmedOver(r, asked, v.Clock) {
 			continue
 		}
 		state := Stopped
 		if !r.started {
 			state = NotStarted
 		}
-		reports = append(reports, b.end(now, r, state)...)
+		reports = append(reports, t.end(now, r, state)...)
 	}
-	b.runner.checked = true
+	t.runner.checked = true
 	return reports
 }
 
@@ -67,13 +67,13 @@
 }
 
 // markPresent records that the runner lists a run.
-func (b *Table) markPresent(now, asked time.Duration, n work.RunName) (Report, bool) {
-	r := b.find(n)
+func (t *Table) markPresent(now, asked time.Duration, n work.RunName) (Report, bool) {
+	r := t.find(n)
 	if r == nil {
 		// A previous guard process started it, and its table is lost. How many resources the
 		// run uses is unknown, so nothing else is started until it is over.
-		if _, listed := b.runner.orphans[n]; !listed {
-			b.runner.orphans[n] = false
+		if _, listed := t.runner.orphans[n]; !listed {
+			t.runner.orphans[n] = false
 		}
 		return Report{}, false
 	}
@@ -95,7 +95,7 @@
 // start or stop was answered before the listing was requested, so the listing would contain
 // it; or the start has expired on the runner's own clock, so the runner will reject it if it
 // arrives.
-func (b *Table) confirmedOver(r *run, asked, clock time.Duration) bool {
+func (t *Table) confirmedOver(r *run, asked, clock time.Duration) bool {
 	if r.answeredAt > 0 && r.answeredAt < asked {
 		return true
 	}
@@ -104,11 +104,11 @@
 
 // Stops returns the stops to send now: for runs marked for stopping, runs whose caller no
 // longer waits or whose entry is silent, and orphans.
-func (b *Table) Stops(now time.Duration) []Stop {
+func (t *Table) Stops(now time.Duration) []Stop {
 	var stops []Stop
-	for _, r := range b.runs {
-		if r.stoppingSince == 0 && now >= b.stopTime(r) {
-			b.stop(now, r)
+	for _, r := range t.runs {
+		if r.stoppingSince == 0 && now >= t.stopTime(r) {
+			t.stop(now, r)
 		}
 		// A run whose lease expired while its runner was unresponsive needs no stop.
 		if r.stoppingSince > 0 && !r.stopAcked && !r.stopSent && !r.endReported {
@@ -116,12 +116,12 @@
 			stops = append(stops, Stop{r.name})
 		}
 	}
-	if b.runner == nil {
+	if t.runner == nil {
 		return stops
 	}
-	for n, sent := range b.runner.orphans {
+	for n, sent := range t.runner.orphans {
 		if !sent {
-			b.runner.orphans[n] = true
+			t.runner.orphans[n] = true
 			stops = append(stops, Stop{n})
 		}
 	}
@@ -130,15 +130,15 @@
 
 // stopTime returns the uptime at which a run is to be stopped: when its caller stops waiting,
 // or when its entry has been silent for too long.
-func (b *Table) stopTime(r *run) time.Duration {
-	return min(r.deadline, b.lastHeard[r.owner]+b.opt.Silence)
+func (t *Table) stopTime(r *run) time.Duration {
+	return min(r.deadline, t.lastHeard[r.owner]+t.opt.Silence)
 }
 
 // endDeadline returns the uptime by which a run must be over, whether or not its stop is
 // acknowledged.
-func (b *Table) endDeadline(r *run) time.Duration {
-	grace := b.opt.EndBound - b.opt.Silence
-	bound := b.stopTime(r) + grace
+func (t *Table) endDeadline(r *run) time.Duration {
+	grace := t.opt.EndBound - t.opt.Silence
+	bound := t.stopTime(r) + grace
 	if r.stoppingSince > 0 {
 		bound = min(bound, r.stoppingSince+grace)
 	}
@@ -149,14 +149,14 @@
 // covers the whole runner: while the stop of a run is due and not acknowledged, the lease
 // expires for all runs at that run's end deadline. If only orphans run, the lease is left to
 // expire, which ends them even if their stops go unanswered.
-func (b *Table) HoldUntil(now time.Duration) time.Duration {
-	if len(b.runs) == 0 && b.orphans() > 0 {
+func (t *Table) HoldUntil(now time.Duration) time.Duration {
+	if len(t.runs) == 0 && t.orphans() > 0 {
 		return now
 	}
-	until := now + b.opt.Hold
-	for _, r := range b.runs {
+	until := now + t.opt.Hold
+	for _, r := range t.runs {
 		if !r.stopAcked {
-			until = min(until, b.endDeadline(r))
+			until = min(until, t.endDeadline(r))
 		}
 	}
 	return until
@@ -164,41 +164,41 @@
 
 // Next returns the earliest uptime at which another run is to be stopped, or the largest value
 // if there is none.
-func (b *Table) Next() time.Duration {
+func (t *Table) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	for _, r := range b.runs {
+	for _, r := range t.runs {
 		if r.stoppingSince == 0 {
-			next = min(next, b.stopTime(r))
+			next = min(next, t.stopTime(r))
 		}
 	}
 	return next
 }
 
 // Forget removes records past their retention time.
-func (b *Table) Forget(now time.Duration) {
+func (t *Table) Forget(now time.Duration) {
 	n := 0
-	for _, id := range b.endedOrder {
-		if f, ok := b.endedRuns[id]; ok && now-f.at < endedRetention {
+	for _, id := range t.endedOrder {
+		if f, ok := t.endedRuns[id]; ok && now-f.at < endedRetention {
 			break
 		}
-		delete(b.endedRuns, id)
+		delete(t.endedRuns, id)
 		n++
 	}
-	b.endedOrder = b.endedOrder[n:]
-	for task, v := range b.lastNumbers {
-		if _, found := b.runs[task]; !found && now-v.at > 6*endedRetention {
-			delete(b.lastNumbers, task)
+	t.endedOrder = t.endedOrder[n:]
+	for task, v := range t.lastNumbers {
+		if _, found := t.runs[task]; !found && now-v.at > 6*endedRetention {
+			delete(t.lastNumbers, task)
 		}
 	}
-	for o, at := range b.lastHeard {
-		if now-at > 6*endedRetention && !b.ownsRuns(o) {
-			delete(b.lastHeard, o)
+	for o, at := range t.lastHeard {
+		if now-at > 6*endedRetention && !t.ownsRuns(o) {
+			delete(t.lastHeard, o)
 		}
 	}
 }
 
-func (b *Table) ownsRuns(o Owner) bool {
-	for _, r := range b.runs {
+func (t *Table) ownsRuns(o Owner) bool {
+	for _, r := range t.runs {
 		if r.owner == o {
 			return true
 		}
@@ -208,9 +208,9 @@
 
 // Old raises the number that the task's next run uses, after the runner rejected a start
 // because it knew a higher one.
-func (b *Table) Old(now time.Duration, task work.TaskID) {
-	n := b.lastNumbers[task]
-	b.lastNumbers[task] = taskNumber{n.number + runNumberSkip, now}
+func (t *Table) Old(now time.Duration, task work.TaskID) {
+	n := t.lastNumbers[task]
+	t.lastNumbers[task] = taskNumber{n.number + runNumberSkip, now}
 }
 
 // runNumberSkip is how far Old raises the number. It skips the numbers that previous guard
