--- a/guard/host/host_test.go
+++ b/guard/host/host_test.go
@@ -20,7 +20,7 @@
 
 // fakeRunner is a runner that can drop calls: a dropped call blocks until its caller gives up.
 type fakeRunner struct {
-	began time.Time
+	startedAt time.Time
 
 	mu        sync.Mutex
 	dropCalls map[string]int
@@ -34,7 +34,7 @@
 
 func newFakeRunner() *fakeRunner {
 	return &fakeRunner{
-		began:     time.Now().Add(-time.Hour),
+		startedAt: time.Now().Add(-time.Hour),
 		dropCalls: map[string]int{},
 		calls:     map[string]int{},
 		running:   map[work.RunName]bool{},
@@ -55,7 +55,7 @@
 	return true
 }
 
-func (f *fakeRunner) clock() time.Duration { return time.Since(f.began) }
+func (f *fakeRunner) clock() time.Duration { return time.Since(f.startedAt) }
 
 func (f *fakeRunner) Start(ctx context.Context, run work.RunName, _ string, _ time.Duration) (time.Duration, error) {
 	if f.dropped("start") {
@@ -247,10 +247,10 @@
 	h, sink := startHost(t, f)
 	keepAlive(t, h)
 	f.set(func() { f.dropCalls["start"] = 1 })
-	began := time.Now()
+	start := time.Now()
 	run := order(h)
 	_, at := sink.waitFor(t, runs.Running)
-	assert.Assert(t, at.Sub(began) < startTimeout, "delivered after %s", at.Sub(began))
+	assert.Assert(t, at.Sub(start) < startTimeout, "delivered after %s", at.Sub(start))
 	f.end(run, work.Done)
 	_, _ = sink.waitFor(t, runs.Done)
 	f.set(func() { assert.Equal(t, f.calls["start"], 2) })
@@ -316,10 +316,10 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	began := time.Now()
+	start := time.Now()
 	f.end(run, work.Done)
 	_, at := sink.waitFor(t, runs.Done)
-	assert.Assert(t, at.Sub(began) < pollMargin, "delivered after %s", at.Sub(began))
+	assert.Assert(t, at.Sub(start) < pollMargin, "delivered after %s", at.Sub(start))
 }
 
 // Guards against tasks waiting while capacity is free: a poll at a busy runner is lost, and
@@ -358,10 +358,10 @@
 	run := order(h)
 	_, _ = sink.waitFor(t, runs.Running)
 	f.set(func() { f.dropCalls["stop"] = 1 })
-	began := time.Now()
+	start := time.Now()
 	h.Order(uptime.Now(), owner, nil, []work.RunID{{Task: run.Task, Attempt: 1}})
 	_, at := sink.waitFor(t, runs.Stopped)
-	assert.Assert(t, at.Sub(began) < stopTimeout, "delivered after %s", at.Sub(began))
+	assert.Assert(t, at.Sub(start) < stopTimeout, "delivered after %s", at.Sub(start))
 }
 
 // Guards against a crash of the guard, which would lose every run of its entries: the runner
--- a/guard/host/orders.go
+++ b/guard/host/orders.go
@@ -41,7 +41,7 @@
 
 // send makes a call and hedges it whenever it goes unanswered for the delay; each copy has its
 // own timeout. The first success ends it, whatever happened to the other copies.
-func (h *Host) send(timeout, delay time.Duration, order func(context.Context) (time.Duration, error)) reply {
+func (h *Host) send(timeout, delay time.Duration, call func(context.Context) (time.Duration, error)) reply {
 	answers := make(chan reply, maxSends)
 	inFlight, sent, unanswered := 0, 0, false
 	last := reply{err: runner.ErrUnanswered}
@@ -53,7 +53,7 @@
 			h.calls.Go(func() {
 				ctx, cancel := context.WithTimeout(h.ctx, timeout)
 				defer cancel()
-				clock, err := order(ctx)
+				clock, err := call(ctx)
 				answers <- reply{clock: clock, err: err, attempt: attempt}
 			})
 		}
@@ -93,7 +93,7 @@
 func awaitFor[T any](values <-chan T, limit time.Duration) (value T, ok bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
-	for began := time.Now(); ; began = time.Now() {
+	for start := time.Now(); ; start = time.Now() {
 		select {
 		case value = <-values:
 			return value, true
@@ -104,7 +104,7 @@
 			return value, true
 		default:
 		}
-		if time.Since(began) < limit+timerStall {
+		if time.Since(start) < limit+timerStall {
 			return value, false
 		}
 		timer.Reset(limit)
