--- a/guard/ledger/ledger_test.go
+++ b/guard/ledger/ledger_test.go
@@ -80,7 +80,7 @@
 	newest           map[string]uint64
 	tasks            map[key]*ledger.Task
 	order            []key
-	begun            map[key]int
+	startCount       map[key]int
 	markedNotStarted map[key]bool
 	toldNeverStarted map[key]bool
 	// recorded holds the starts of which the ledger must have a record until they are settled.
@@ -97,7 +97,7 @@
 	case never:
 		o.toldNeverStarted[k] = true
 		o.recorded[k] = true
-		if o.begun[k] > 0 && !o.markedNotStarted[k] {
+		if o.startCount[k] > 0 && !o.markedNotStarted[k] {
 			t.Fatalf("%v: said never started after it began", k)
 		}
 	case waiting, running, finished:
@@ -232,8 +232,8 @@
 			if !o.ledger.Begin(o.now, o.tasks[k], func() { o.stopped[k] = true }) {
 				return
 			}
-			o.begun[k]++
-			assert.Equal(t, o.begun[k], 1, "%v began twice", k)
+			o.startCount[k]++
+			assert.Equal(t, o.startCount[k], 1, "%v began twice", k)
 			assert.Assert(t, !o.toldNeverStarted[k], "%v began after never started", k)
 			assert.Assert(t, !o.ended[k.session], "%v began in a session that has ended", k)
 			assert.Assert(t, o.now.Sub(o.lastSeen[k.session]) <= lease, "%v began after the lease", k)
@@ -250,7 +250,7 @@
 			k := o.drawTask(t)
 			payload := rapid.SliceOfN(rapid.Byte(), 0, 600).Draw(t, "payload")
 			if o.ledger.Finish(o.tasks[k], &wirev1.Result{Ok: true, Payload: payload}) {
-				assert.Equal(t, o.begun[k], 1)
+				assert.Equal(t, o.startCount[k], 1)
 				assert.Equal(t, string(o.tasks[k].Report().GetResult().GetPayload()), string(payload))
 			}
 		},
@@ -265,7 +265,7 @@
 				assert.Assert(t, n <= maxSessionRecords, "%s has %d records", session, n)
 			}
 			for k, task := range o.tasks {
-				if task.Report().GetState() == never && o.begun[k] > 0 {
+				if task.Report().GetState() == never && o.startCount[k] > 0 {
 					assert.Assert(t, o.markedNotStarted[k], "%v", k)
 				}
 			}
@@ -284,7 +284,7 @@
 			entryOf:          map[string]string{},
 			newest:           map[string]uint64{},
 			tasks:            map[key]*ledger.Task{},
-			begun:            map[key]int{},
+			startCount:       map[key]int{},
 			markedNotStarted: map[key]bool{},
 			toldNeverStarted: map[key]bool{},
 			recorded:         map[key]bool{},
