--- a/guard/uplink/links.go
+++ b/guard/uplink/links.go
@@ -183,9 +183,9 @@
 	for ctx.Err() == nil {
 		dial, retry := backoff(time.Since(unreachableSince))
 		s := newSession(u, l, dial)
-		began := time.Now()
+		start := time.Now()
 		err := s.run(ctx)
-		if time.Since(began) > stableAfter && s.attached {
+		if time.Since(start) > stableAfter && s.attached {
 			unreachableSince = time.Now()
 		}
 		if u.sessionEnded(ctx, l, s, err, time.Since(unreachableSince)) {
--- a/guard/uplink/links_test.go
+++ b/guard/uplink/links_test.go
@@ -286,9 +286,9 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	began := time.Now()
+	start := time.Now()
 	awaitAttached(t, all, all)
-	assert.Assert(t, time.Since(began) < lookupTimeout, "attached after %s", time.Since(began))
+	assert.Assert(t, time.Since(start) < lookupTimeout, "attached after %s", time.Since(start))
 }
 
 // Guards against all guards widening their subsets after a restart of the whole deployment,
--- a/guard/uplink/session_test.go
+++ b/guard/uplink/session_test.go
@@ -28,13 +28,13 @@
 // run's end replaces it and is sent at once, with the run time.
 func TestReportsOnStartsAreDelayed(t *testing.T) {
 	s := sentSession()
-	began := uptime.Now()
-	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: began})
-	s.push(runs.Report{Run: runOf(2), State: runs.Running, Began: began})
+	start := uptime.Now()
+	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: start})
+	s.push(runs.Report{Run: runOf(2), State: runs.Running, Began: start})
 	reports, _, wait := s.take(time.Now())
 	assert.Equal(t, len(reports), 0)
 	assert.Assert(t, wait > 0 && wait <= startsDelay, "%s", wait)
-	s.push(runs.Report{Run: runOf(1), State: runs.Done, Began: began, Over: began + 60*time.Millisecond})
+	s.push(runs.Report{Run: runOf(1), State: runs.Done, Began: start, Over: start + 60*time.Millisecond})
 	reports, _, _ = s.take(time.Now())
 	assert.Equal(t, len(reports), 2)
 	assert.Equal(t, reports[0].GetTask().GetIndex(), uint32(2))
