--- a/entry/sessions/session.go
+++ b/entry/sessions/session.go
@@ -40,7 +40,7 @@
 	// clock is the guard's clock in its newest message, and clockAt the uptime at which that
 	// message was received.
 	clock, clockAt time.Duration
-	lastReceived      time.Duration
+	lastReceived   time.Duration
 	membersVersion uint64
 	// minClockOffset is the smallest difference seen between this host's uptime and the guard's
 	// clock when a message was read: the offset of the two clocks plus the shortest transit time.
