--- a/entry/fleet/bareendpoint.go
+++ b/entry/fleet/bareendpoint.go
@@ -173,10 +173,10 @@
 	if e.open.Add(1) > e.maxOpen.Load() {
 		return failure(task.CodeRefused, task.RanNo, "this entry's part of the connections is in use")
 	}
-	d := e.f.bare.allocation(e.service)
-	d.started(e.address)
+	a := e.f.bare.allocation(e.service)
+	a.started(e.address)
 	o, end := e.call(ctx, c)
-	d.ended(e.address, end, o.RunTime)
+	a.ended(e.address, end, o.RunTime)
 	return o
 }
 
--- a/entry/fleet/allocation.go
+++ b/entry/fleet/division.go
@@ -32,23 +32,23 @@
 
 // allocation returns the slot allocation of a service, creating it if necessary.
 func (t *bareTable) allocation(service string) *allocation {
-	if d, known := t.allocations.Load(service); known {
-		return d.(*allocation)
+	if a, known := t.allocations.Load(service); known {
+		return a.(*allocation)
 	}
-	d, _ := t.allocations.LoadOrStore(service, &allocation{
+	a, _ := t.allocations.LoadOrStore(service, &allocation{
 		f:         t.f,
 		service:   service,
 		pool:      share.New(t.f.self(), max(t.f.opts.SpareSlots, 0)),
 		endpoints: map[string]*bareEndpoint{},
 	})
-	return d.(*allocation)
+	return a.(*allocation)
 }
 
 func (f *Fleet) self() share.Entry { return share.Entry{ID: f.opts.EntryID, Zone: f.opts.Zone} }
 
 func (t *bareTable) forEach(do func(*allocation)) {
-	t.allocations.Range(func(_, d any) bool {
-		do(d.(*allocation))
+	t.allocations.Range(func(_, a any) bool {
+		do(a.(*allocation))
 		return true
 	})
 }
@@ -65,9 +65,9 @@
 		all[address] = r.endpoint
 		usable = append(usable, share.Endpoint{Address: address, Zone: r.Zone, Slots: r.Slots})
 	}
-	d := t.allocation(service)
-	d.update(func(p *share.Pool) {
-		d.endpoints = all
+	a := t.allocation(service)
+	a.update(func(p *share.Pool) {
+		a.endpoints = all
 		p.SetEndpoints(usable)
 		p.SetEntries(t.live)
 	})
@@ -89,65 +89,65 @@
 	t.mu.Lock()
 	t.live = live
 	t.mu.Unlock()
-	t.forEach(func(d *allocation) {
-		d.update(func(p *share.Pool) { p.SetEntries(live) })
+	t.forEach(func(a *allocation) {
+		a.update(func(p *share.Pool) { p.SetEntries(live) })
 	})
 }
 
 // rebalance recomputes every allocation, because estimates age and demand changes.
 func (t *bareTable) rebalance() {
-	t.forEach(func(d *allocation) {
-		waiting := t.f.opts.Waiting(d.service)
-		d.update(func(p *share.Pool) { p.Sample(t.f.opts.Now(), waiting) })
-		d.reportDemandChange()
+	t.forEach(func(a *allocation) {
+		waiting := t.f.opts.Waiting(a.service)
+		a.update(func(p *share.Pool) { p.Sample(t.f.opts.Now(), waiting) })
+		a.reportDemandChange()
 	})
 }
 
 // update changes the pool and reports the resulting limits to the scheduler.
-func (d *allocation) update(do func(*share.Pool)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	do(d.pool)
-	for address, limit := range d.pool.Limits(d.f.opts.Now()) {
-		if e := d.endpoints[address]; e != nil {
+func (a *allocation) update(do func(*share.Pool)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	do(a.pool)
+	for address, limit := range a.pool.Limits(a.f.opts.Now()) {
+		if e := a.endpoints[address]; e != nil {
 			e.setSlotLimit(limit)
 		}
 	}
 }
 
-func (d *allocation) started(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.pool.Started(address)
+func (a *allocation) started(address string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pool.Started(address)
 }
 
-func (d *allocation) ended(address string, end share.End, run time.Duration) {
-	d.update(func(p *share.Pool) { p.Ended(d.f.opts.Now(), address, end, run) })
+func (a *allocation) ended(address string, end share.End, run time.Duration) {
+	a.update(func(p *share.Pool) { p.Ended(a.f.opts.Now(), address, end, run) })
 }
 
 // reportDemandChange triggers an early exchange with the peers if the demand has
 // changed a lot; otherwise they would continue with shares that no longer fit.
-func (d *allocation) reportDemandChange() {
-	d.mu.Lock()
-	change := d.pool.Wanted() - d.reportedDemand
-	enough := max(demandChangeMinSlots, d.pool.Total()/demandChangeDivisor)
-	d.mu.Unlock()
+func (a *allocation) reportDemandChange() {
+	a.mu.Lock()
+	change := a.pool.Wanted() - a.reportedDemand
+	enough := max(demandChangeMinSlots, a.pool.Total()/demandChangeDivisor)
+	a.mu.Unlock()
 	if max(change, -change) >= enough {
-		d.f.opts.Changed(false)
+		a.f.opts.Changed(false)
 	}
 }
 
 // usage returns this entry's use of the service, or nil if there are no endpoints.
-func (d *allocation) usage() *wirev1.BareUse {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.pool.Total() == 0 {
+func (a *allocation) usage() *wirev1.BareUse {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.pool.Total() == 0 {
 		return nil
 	}
-	d.reportedDemand = d.pool.Wanted()
-	own := d.pool.Own()
+	a.reportedDemand = a.pool.Wanted()
+	own := a.pool.Own()
 	w := &wirev1.BareUse{
-		Service:      d.service,
+		Service:      a.service,
 		DemandTenths: uint32(math.Round(own.Demand * 10)),
 		Waiting:      own.Waiting,
 		Endpoints:    own.Digest,
@@ -162,8 +162,8 @@
 // Use returns this entry's use of the bare endpoints, for the exchange with peers.
 func (f *Fleet) Use() []*wirev1.BareUse {
 	var all []*wirev1.BareUse
-	f.bare.forEach(func(d *allocation) {
-		if w := d.usage(); w != nil {
+	f.bare.forEach(func(a *allocation) {
+		if w := a.usage(); w != nil {
 			all = append(all, w)
 		}
 	})
@@ -173,11 +173,11 @@
 // ApplyUse applies a peer's reported use of the bare endpoints.
 func (f *Fleet) ApplyUse(from string, all []*wirev1.BareUse) {
 	for _, w := range all {
-		d, known := f.bare.allocations.Load(w.GetService())
+		a, known := f.bare.allocations.Load(w.GetService())
 		if !known {
 			continue
 		}
-		d.(*allocation).update(func(p *share.Pool) { p.Hear(f.opts.Now(), from, useOf(w)) })
+		a.(*allocation).update(func(p *share.Pool) { p.Hear(f.opts.Now(), from, useOf(w)) })
 	}
 }
 
