--- a/entry/fleet/attach/attach_test.go
+++ b/entry/fleet/attach/attach_test.go
@@ -32,10 +32,10 @@
 func TestChoose(t *testing.T) {
 	policy := Policy{AllUpTo: 4, Some: 3}
 	cases := []struct {
-		name    string
-		entries []*wirev1.EntryInfo
-		zone    string
-		want    int
+		name       string
+		entries    []*wirev1.EntryInfo
+		dataCentre string
+		want       int
 		// minLocal is the minimum number of chosen entries in the guard's data centre.
 		minLocal int
 	}{
@@ -48,11 +48,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for guard := range 50 {
-				got := Choose(fmt.Sprint("g", guard), c.zone, c.entries, policy)
+				got := Choose(fmt.Sprint("g", guard), c.dataCentre, c.entries, policy)
 				local := 0
 				for _, e := range got {
 					assert.Assert(t, !e.GetDraining())
-					if e.GetZone() == c.zone {
+					if e.GetZone() == c.dataCentre {
 						local++
 					}
 				}
