--- a/entry/fleet/outcome.go
+++ b/entry/fleet/outcome.go
@@ -67,10 +67,10 @@
 	switch code {
 	case wirev1.FailureCode_FAILURE_CODE_TRUNCATED:
 		return task.CodeTruncated, task.RanYes
-	// Both codes are decided by the guard from the time of its call. If the connection
-	// to the runner lost the call, the result looks the same as for a task that takes
-	// too long: no response from the runner. "Yes" would be reported for tasks that
-	// never started.
+	// Both codes refer to the guard's call to the runner, not to the execution there. If
+	// the connection lost the call, the result looks the same as for a task that takes
+	// too long: no response from the runner. With RanYes here, "yes" would be reported
+	// for tasks that never started.
 	case wirev1.FailureCode_FAILURE_CODE_RUN_LIMIT:
 		return task.CodeRunLimit, task.RanUnknown
 	case wirev1.FailureCode_FAILURE_CODE_CANCELLED:
