--- a/entry/peer/cluster_test.go
+++ b/entry/peer/cluster_test.go
@@ -18,8 +18,8 @@
 	"almondstand.dev/platform"
 )
 
-// TestMain fixes the seed and the length of the runs, unless the command line
-// says otherwise.
+// TestMain fixes the seed and the length of the rapid runs, unless the command line sets
+// them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20260102", "rapid.steps": "60", "rapid.checks": "100"}
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// keyStore is the platform's store, as far as registrations need it.
+// keyStore is an in-memory platform store with the operations that registrations need.
 type keyStore struct {
 	now      func() time.Time
 	down     bool
@@ -50,18 +50,18 @@
 	}
 }
 
-// reach is one entry's way to the store.
-type reach struct {
+// storeConn is one entry's connection to the store.
+type storeConn struct {
 	*keyStore
 	cut bool
 }
 
-func (r *reach) broken() bool {
+func (r *storeConn) broken() bool {
 	r.expire()
 	return r.down || r.cut
 }
 
-func (r *reach) Get(_ context.Context, key string) (*platform.KeyValue, int64, error) {
+func (r *storeConn) Get(_ context.Context, key string) (*platform.KeyValue, int64, error) {
 	if r.broken() {
 		return nil, 0, platform.ErrUnavailable
 	}
@@ -71,7 +71,7 @@
 	return nil, r.revision, nil
 }
 
-func (r *reach) List(context.Context, string) ([]platform.KeyValue, int64, error) {
+func (r *storeConn) List(context.Context, string) ([]platform.KeyValue, int64, error) {
 	if r.broken() {
 		return nil, 0, platform.ErrUnavailable
 	}
@@ -82,7 +82,7 @@
 	return all, r.revision, nil
 }
 
-func (r *reach) CompareAndSwap(_ context.Context, key string, mod int64, value []byte, lease platform.LeaseID) (platform.SwapResult, error) {
+func (r *storeConn) CompareAndSwap(_ context.Context, key string, mod int64, value []byte, lease platform.LeaseID) (platform.SwapResult, error) {
 	if r.broken() {
 		return platform.SwapResult{}, platform.ErrUnavailable
 	}
@@ -94,7 +94,7 @@
 	return platform.SwapResult{Swapped: true, Revision: r.revision}, nil
 }
 
-func (r *reach) Grant(_ context.Context, ttl time.Duration) (platform.LeaseID, error) {
+func (r *storeConn) Grant(_ context.Context, ttl time.Duration) (platform.LeaseID, error) {
 	if r.broken() {
 		return 0, platform.ErrUnavailable
 	}
@@ -104,7 +104,7 @@
 	return id, nil
 }
 
-func (r *reach) KeepAlive(_ context.Context, id platform.LeaseID) error {
+func (r *storeConn) KeepAlive(_ context.Context, id platform.LeaseID) error {
 	if r.broken() {
 		return platform.ErrUnavailable
 	}
@@ -115,33 +115,33 @@
 	return nil
 }
 
-func (r *reach) Watch(context.Context, string, int64, func(platform.WatchBatch)) error {
+func (r *storeConn) Watch(context.Context, string, int64, func(platform.WatchBatch)) error {
 	return platform.ErrUnavailable
 }
 
-// sameContracts are contracts that never change.
-type sameContracts struct{ Contracts }
+// staticContracts are contracts that never change.
+type staticContracts struct{ Contracts }
 
-func (sameContracts) Revision() int64                  { return 1 }
-func (sameContracts) Digest() uint64                   { return 1 }
-func (sameContracts) StoreAge(time.Time) time.Duration { return 0 }
-func (sameContracts) Listed() bool                     { return true }
+func (staticContracts) Revision() int64                  { return 1 }
+func (staticContracts) Digest() uint64                   { return 1 }
+func (staticContracts) StoreAge(time.Time) time.Duration { return 0 }
+func (staticContracts) Listed() bool                     { return true }
 
-// node is one entry's process.
+// node is one entry process.
 type node struct {
-	name      string
-	reach     *reach
-	members   *member.Table
-	registrar *member.Registrar
-	quota     *quota.Table
-	peers     *Peers
-	thaw      time.Time
-	// alone: no call between this entry and another arrives until then.
-	alone time.Time
-	dead  bool
-	left  bool
-	held  bool
-	jobs  []job
+	name        string
+	storeConn   *storeConn
+	members     *member.Table
+	registrar   *member.Registrar
+	quota       *quota.Table
+	peers       *Peers
+	pausedUntil time.Time
+	// isolatedUntil: until then every call between this entry and another fails.
+	isolatedUntil time.Time
+	dead          bool
+	left          bool
+	hadShare      bool
+	jobs          []job
 }
 
 type job struct {
@@ -149,16 +149,16 @@
 	free func()
 }
 
-// cluster is several entries with their real tables, a clock and messages of the
-// test's own.
+// cluster is several entries with their real tables; the test controls the clock and the
+// delivery of messages.
 type cluster struct {
 	now     time.Time
 	store   *keyStore
 	nodes   []*node
 	started int
-	// parted are two entries whose calls to each other fail.
-	parted  [2]*node
-	partEnd time.Time
+	// partitioned are two entries whose calls to each other fail.
+	partitioned  [2]*node
+	partitionEnd time.Time
 	// notCovered: from here on the run proves nothing; see checkJoin.
 	notCovered bool
 }
@@ -176,33 +176,33 @@
 
 func (c *cluster) start(name string) {
 	c.started++
-	n := &node{name: name, reach: &reach{keyStore: c.store}}
+	n := &node{name: name, storeConn: &storeConn{keyStore: c.store}}
 	clock := func() time.Time { return c.now }
 	half := func() float64 { return 0.5 }
 	n.members = member.New(member.Options{
 		Self: member.Info{ID: n.name, Incarnation: uint64(c.now.UnixNano()), Address: n.name, Zone: "z"}, Now: clock,
 	})
-	n.registrar = member.NewRegistrar(member.RegistrarOptions{Store: n.reach, Table: n.members, Now: clock, Jitter: half})
+	n.registrar = member.NewRegistrar(member.RegistrarOptions{Store: n.storeConn, Table: n.members, Now: clock, Jitter: half})
 	n.quota = quota.New(quota.Options{Self: peerID(n.members.Self()).String(), Jitter: half})
 	n.quota.SetContracts(c.now, contract.Contract{
 		Customer: "karlovac", State: contract.Active, Rate: clusterRate, Burst: clusterBurst, InFlight: clusterFlight,
 		AnswerTime: contract.Duration(2 * time.Second),
 	})
 	n.peers = New(Options{
-		Members: n.members, Lease: n.registrar, Contracts: sameContracts{}, Quota: n.quota, Bare: &noBare{},
+		Members: n.members, Lease: n.registrar, Contracts: staticContracts{}, Quota: n.quota, Bare: &fakeBare{},
 		Seeds: []string{"balancer"}, Logger: slog.New(slog.DiscardHandler), Now: clock, Jitter: half,
 	})
 	c.nodes = append(c.nodes, n)
 }
 
-func (c *cluster) awake(n *node) bool { return !n.dead && !c.now.Before(n.thaw) }
+func (c *cluster) running(n *node) bool { return !n.dead && !c.now.Before(n.pausedUntil) }
 
 func (c *cluster) cut(a, b *node) bool {
-	if c.now.Before(a.alone) || c.now.Before(b.alone) {
+	if c.now.Before(a.isolatedUntil) || c.now.Before(b.isolatedUntil) {
 		return true
 	}
-	parted := a == c.parted[0] && b == c.parted[1] || a == c.parted[1] && b == c.parted[0]
-	return parted && c.now.Before(c.partEnd)
+	between := a == c.partitioned[0] && b == c.partitioned[1] || a == c.partitioned[1] && b == c.partitioned[0]
+	return between && c.now.Before(c.partitionEnd)
 }
 
 func (c *cluster) find(name string) *node {
@@ -214,16 +214,16 @@
 	return nil
 }
 
-// call makes one exchange; lost says that the reply does not arrive.
+// call makes one Exchange call; lost means that the response does not arrive.
 func (c *cluster) call(from, to *node, lost bool) {
 	id := peerID(to.members.Self())
-	if !c.awake(to) || to.left || c.cut(from, to) {
+	if !c.running(to) || to.left || c.cut(from, to) {
 		from.members.Missed(id.ID, id.Incarnation)
 		return
 	}
 	asked := c.now
-	req := from.peers.request(asked, id, from.peers.state(id))
-	resp, err := to.peers.answer(req)
+	req := from.peers.exchangeRequest(asked, id, from.peers.state(id))
+	resp, err := to.peers.exchangeResponse(req)
 	if err != nil {
 		panic(err)
 	}
@@ -231,18 +231,18 @@
 		from.members.Missed(id.ID, id.Incarnation)
 		return
 	}
-	from.peers.take(context.Background(), nil, id, resp, asked)
+	from.peers.applyResponse(context.Background(), nil, id, resp, asked)
 }
 
-// turn is what an entry does in a second.
-func (c *cluster) turn(t *rapid.T, n *node) {
-	if !c.awake(n) || n.left {
+// step does the work of one entry for one second.
+func (c *cluster) step(t *rapid.T, n *node) {
+	if !c.running(n) || n.left {
 		return
 	}
 	_ = n.registrar.Step(context.Background())
 	_, _ = n.registrar.List(context.Background())
 	n.peers.refreshShare(c.now)
-	c.seed(n)
+	c.callSeed(n)
 	for _, p := range n.members.Peers() {
 		if to := c.find(p.Info.ID); to != nil {
 			c.call(n, to, rapid.IntRange(0, 9).Draw(t, "lost") == 0)
@@ -254,25 +254,26 @@
 
 func (c *cluster) checkJoins() {
 	for _, n := range c.nodes {
-		if n.peers.holding() && !n.held {
+		if n.peers.holdsShare() && !n.hadShare {
 			c.checkJoin(n)
 		}
 	}
 	for _, n := range c.nodes {
-		n.held = n.peers.holding()
+		n.hadShare = n.peers.holdsShare()
 	}
 }
 
-// checkJoin leaves out what docs/design/limits.md names as not covered: all holders
-// are out of reach, and out of the store's memory, while an entry takes its share.
+// checkJoin excludes what docs/design/limits.md lists as not covered: while an entry
+// takes its share, all entries that hold a share are unreachable and no longer listed in
+// the store.
 func (c *cluster) checkJoin(n *node) {
 	reachable, missed := false, false
 	for _, o := range c.nodes {
-		if o == n || o.dead || o.left || !o.held {
+		if o == n || o.dead || o.left || !o.hadShare {
 			continue
 		}
 		while := c.now.Add(-2 * time.Second)
-		reachable = reachable || !while.Before(o.thaw) && !while.Before(o.alone) && !c.cut(n, o)
+		reachable = reachable || !while.Before(o.pausedUntil) && !while.Before(o.isolatedUntil) && !c.cut(n, o)
 		_, known := n.members.Peer(o.name)
 		missed = missed || !known
 	}
@@ -281,19 +282,20 @@
 	}
 }
 
-// seed stands for the balancer: it leads to another entry while one answers.
-func (c *cluster) seed(n *node) {
+// callSeed simulates the load balancer: it connects to another entry as long as one
+// answers.
+func (c *cluster) callSeed(n *node) {
 	if !n.peers.seedsDue(c.now, c.now.Add(-time.Hour)) {
 		return
 	}
 	for _, to := range c.nodes {
-		if to != n && c.awake(to) && !to.left && !c.cut(n, to) {
+		if to != n && c.running(to) && !to.left && !c.cut(n, to) {
 			c.call(n, to, false)
-			n.peers.noteSeed("balancer", seedPeer)
+			n.peers.recordSeed("balancer", seedPeer)
 			return
 		}
 	}
-	n.peers.noteSeed("balancer", seedNone)
+	n.peers.recordSeed("balancer", seedNone)
 }
 
 func (n *node) finish(now time.Time) {
@@ -308,13 +310,13 @@
 	n.jobs = open
 }
 
-// seconds lets the time pass; each second every entry takes its turn, in some order.
+// seconds advances the time; each second every entry runs a step, in a varying order.
 func (c *cluster) seconds(t *rapid.T) {
 	for range rapid.IntRange(1, 15).Draw(t, "seconds") {
 		first := rapid.IntRange(0, max(len(c.nodes)-1, 0)).Draw(t, "first")
 		for i := range c.nodes {
 			c.now = c.now.Add(time.Second / time.Duration(len(c.nodes)))
-			c.turn(t, c.nodes[(first+i)%len(c.nodes)])
+			c.step(t, c.nodes[(first+i)%len(c.nodes)])
 			c.checkJoins()
 			c.check(t)
 		}
@@ -326,7 +328,7 @@
 		t.Skip("none")
 	}
 	n := rapid.SampledFrom(c.nodes).Draw(t, "node")
-	if !c.awake(n) || n.left {
+	if !c.running(n) || n.left {
 		t.Skip("not awake")
 	}
 	return n
@@ -349,12 +351,12 @@
 	if c.started >= 9 {
 		t.Skip("enough")
 	}
-	c.start(c.fresh())
+	c.start(c.newName())
 }
 
-func (c *cluster) fresh() string { return fmt.Sprintf("e%d", c.started+1) }
+func (c *cluster) newName() string { return fmt.Sprintf("e%d", c.started+1) }
 
-// restart replaces a crashed entry at once by a process of the same id.
+// restart replaces a crashed entry at once by a new process with the same id.
 func (c *cluster) restart(t *rapid.T) {
 	n := c.pick(t)
 	n.dead = true
@@ -364,32 +366,32 @@
 
 func (c *cluster) crash(t *rapid.T) { c.pick(t).dead = true }
 
-func (c *cluster) freeze(t *rapid.T) {
-	c.pick(t).thaw = c.now.Add(time.Duration(rapid.SampledFrom([]int{1, 3, 6, 12, 25, 60}).Draw(t, "for")) * time.Second)
+func (c *cluster) pause(t *rapid.T) {
+	c.pick(t).pausedUntil = c.now.Add(time.Duration(rapid.SampledFrom([]int{1, 3, 6, 12, 25, 60}).Draw(t, "for")) * time.Second)
 }
 
 func (c *cluster) isolate(t *rapid.T) {
 	n := c.pick(t)
-	n.alone = c.now.Add(time.Duration(rapid.SampledFrom([]int{3, 8, 30, 60}).Draw(t, "for")) * time.Second)
-	n.reach.cut = true
+	n.isolatedUntil = c.now.Add(time.Duration(rapid.SampledFrom([]int{3, 8, 30, 60}).Draw(t, "for")) * time.Second)
+	n.storeConn.cut = true
 }
 
-func (c *cluster) mend(t *rapid.T) {
+func (c *cluster) reconnect(t *rapid.T) {
 	n := c.pick(t)
-	if c.now.Before(n.alone) {
+	if c.now.Before(n.isolatedUntil) {
 		t.Skip("alone")
 	}
-	n.reach.cut = false
+	n.storeConn.cut = false
 }
 
-func (c *cluster) cutStore(t *rapid.T) { c.pick(t).reach.cut = true }
+func (c *cluster) cutStore(t *rapid.T) { c.pick(t).storeConn.cut = true }
 
-func (c *cluster) part(t *rapid.T) {
-	c.parted = [2]*node{c.pick(t), c.pick(t)}
-	c.partEnd = c.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * time.Second)
+func (c *cluster) partition(t *rapid.T) {
+	c.partitioned = [2]*node{c.pick(t), c.pick(t)}
+	c.partitionEnd = c.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * time.Second)
 }
 
-func (c *cluster) outage(*rapid.T) { c.store.down = !c.store.down }
+func (c *cluster) toggleStore(*rapid.T) { c.store.down = !c.store.down }
 
 func (c *cluster) leave(t *rapid.T) {
 	n := c.pick(t)
@@ -404,14 +406,15 @@
 	n.left = true
 }
 
-// forlorn: out of touch with the store, and alone as far as it knows. It cannot
-// tell an outage from a cut, and goes on; docs/design/limits.md names this.
-func (c *cluster) forlorn(n *node) bool {
-	return len(n.members.Peers()) == 0 && c.now.Sub(n.peers.contact()) > DefaultIsolation
+// cutOffAlone reports whether an entry is cut off from the store and knows no other
+// entry. It cannot tell a store outage from a network partition, and keeps serving;
+// docs/design/limits.md lists this case.
+func (c *cluster) cutOffAlone(n *node) bool {
+	return len(n.members.Peers()) == 0 && c.now.Sub(n.peers.lastContact()) > DefaultIsolation
 }
 
-// check adds up what every process may use, also one that stands still and would
-// go on now.
+// check sums up what all processes may use, including a paused one that would resume
+// now.
 func (c *cluster) check(t *rapid.T) {
 	if c.notCovered {
 		return
@@ -422,44 +425,44 @@
 		if n.dead || n.left {
 			continue
 		}
-		if ok, _ := n.peers.judge(c.now); !ok || c.forlorn(n) {
+		if ok, _ := n.peers.checkServing(c.now); !ok || c.cutOffAlone(n) {
 			continue
 		}
 		s := n.quota.Statuses(c.now)[0]
 		rate, burst, flight = rate+s.Rate, burst+s.Burst, flight+s.InFlight
 		shares += fmt.Sprintf(" %s: %.1f", n.name, s.Rate)
 	}
-	const tiny = 1e-6
-	if rate > clusterRate+tiny || burst > clusterBurst+tiny || flight > clusterFlight+tiny {
+	const epsilon = 1e-6
+	if rate > clusterRate+epsilon || burst > clusterBurst+epsilon || flight > clusterFlight+epsilon {
 		t.Fatalf("shares add up to rate %v, burst %v, in flight %v:%s", rate, burst, flight, shares)
 	}
 }
 
-// Entries join, leave, crash, freeze past every timeout and thaw, are cut off from
-// the store, from each other or from everyone, and the store goes down and comes
-// back, while a customer submits here and there and parts of its limits are lent.
-// At no moment may the entries together admit more than the contract.
+// Entries join, leave, crash, pause past every timeout and resume, and are cut off from
+// the store, from each other or from everyone. The store goes down and comes back, while
+// a client submits at various entries and parts of its limits are leased. At no moment
+// may the entries together admit more than the contract.
 func TestSharesThroughMembershipChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster()
 		for range rapid.IntRange(1, 4).Draw(t, "entries") {
-			c.start(c.fresh())
+			c.start(c.newName())
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"seconds": c.seconds, "more seconds": c.seconds, "submit": c.submit, "join": c.join,
-			"crash": c.crash, "restart": c.restart, "freeze": c.freeze, "isolate": c.isolate, "mend": c.mend,
-			"cut from the store": c.cutStore, "part": c.part, "store down or up": c.outage,
+			"crash": c.crash, "restart": c.restart, "freeze": c.pause, "isolate": c.isolate, "mend": c.reconnect,
+			"cut from the store": c.cutStore, "part": c.partition, "store down or up": c.toggleStore,
 			"leave": c.leave, "": c.check,
 		})
 	})
 }
 
-// Many entries: in each round an entry asks as many peers as the fanout says, and
-// all of them while it joins.
+// With many entries, an entry calls as many peers per round as the fanout, and all of
+// them while it joins.
 func TestRoundIsBounded(t *testing.T) {
 	c := newCluster()
 	for range 20 {
-		c.start(c.fresh())
+		c.start(c.newName())
 	}
 	for range 5 {
 		c.now = c.now.Add(time.Second)
@@ -468,10 +471,10 @@
 		}
 		for _, n := range c.nodes {
 			_, _ = n.registrar.List(context.Background())
-			n.peers.noteSeed("balancer", seedPeer)
+			n.peers.recordSeed("balancer", seedPeer)
 		}
 		first := c.nodes[0]
-		assert.Equal(t, len(first.peers.choose(c.now, first.members.Peers())), 19)
+		assert.Equal(t, len(first.peers.selectPeers(c.now, first.members.Peers())), 19)
 		for _, n := range c.nodes {
 			for _, to := range c.nodes {
 				if to != n {
@@ -486,6 +489,6 @@
 	for _, n := range c.nodes {
 		n.peers.refreshShare(c.now)
 		assert.Assert(t, n.peers.joined())
-		assert.Equal(t, len(n.peers.choose(c.now, n.members.Peers())), DefaultFanout)
+		assert.Equal(t, len(n.peers.selectPeers(c.now, n.members.Peers())), DefaultFanout)
 	}
 }
--- a/entry/peer/config.go
+++ b/entry/peer/config.go
@@ -16,67 +16,68 @@
 const (
 	// fetchTimeout bounds the fetching of contracts.
 	fetchTimeout = 3 * time.Second
-	// ownSource is how fresh the contact with the store must be for a difference to
-	// be left to the watch, for watchLead: in most cases both entries are told of a
-	// change within that time, and a fetch would be wasted.
-	ownSource = 2 * time.Second
-	watchLead = 800 * time.Millisecond
-	// fetchAgain is the pause before the same difference is fetched again: a peer
-	// may hold what this entry refuses.
-	fetchAgain = 10 * time.Second
+	// storeContactFresh is how recent the last answer of the store must be for a difference
+	// to be left to the store's watch for watchGrace. Usually both entries receive a change
+	// through their watches within that time, and a fetch would be wasted.
+	storeContactFresh = 2 * time.Second
+	watchGrace        = 800 * time.Millisecond
+	// refetchInterval is the pause before the same difference is fetched again: a peer may
+	// hold a version that this entry rejects.
+	refetchInterval = 10 * time.Second
 )
 
-// ready reports whether contracts were got from the store or from a peer.
-func (p *Peers) ready() bool {
+// hasContracts reports whether contracts were received from the store or from a peer.
+func (p *Peers) hasContracts() bool {
 	return p.opts.Contracts.Listed() || p.bootstrapped.Load()
 }
 
-// compareConfig fetches what the peer holds and this entry lacks.
-func (p *Peers) compareConfig(ctx context.Context, client wirev1connect.PeerServiceClient, from quota.PeerID, revision int64, digest uint64) {
+// syncContracts fetches the contracts that the peer holds and this entry lacks.
+func (p *Peers) syncContracts(ctx context.Context, client wirev1connect.PeerServiceClient, from quota.PeerID, revision int64, digest uint64) {
 	now := p.opts.Now()
 	s := p.state(from)
-	if !s.fetchDue(now, p.opts.Contracts, digest, revision, p.ready()) {
+	if !s.fetchDue(now, p.opts.Contracts, digest, revision, p.hasContracts()) {
 		return
 	}
-	s.noteFetch(now, digestPair{own: p.opts.Contracts.Digest(), theirs: digest})
-	if err := p.fetch(ctx, client); err != nil && ctx.Err() == nil {
+	s.recordFetch(now, digestPair{own: p.opts.Contracts.Digest(), theirs: digest})
+	if err := p.fetchContracts(ctx, client); err != nil && ctx.Err() == nil {
 		eventFetchRefused.Log(ctx, p.opts.Logger,
 			slog.String("peer", from.ID), slog.String("error", err.Error()))
 	}
 }
 
-// fetchDue reports whether the difference to a peer is worth a fetch now.
-func (s *state) fetchDue(now time.Time, c Contracts, digest uint64, revision int64, ready bool) bool {
+// fetchDue reports whether the difference to a peer should be fetched now.
+func (s *peerState) fetchDue(now time.Time, c Contracts, digest uint64, revision int64, hasContracts bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !ready {
-		return now.Sub(s.fetchAt) >= watchLead
+	if !hasContracts {
+		return now.Sub(s.fetchAt) >= watchGrace
 	}
 	own := c.Digest()
 	if own == digest {
-		s.differs = time.Time{}
+		s.differsSince = time.Time{}
 		return false
 	}
-	if s.differs.IsZero() || s.config != digest {
-		s.config, s.differs = digest, now
+	if s.differsSince.IsZero() || s.peerDigest != digest {
+		s.peerDigest, s.differsSince = digest, now
 	}
-	if (digestPair{own: own, theirs: digest}) == s.fetched && now.Sub(s.fetchAt) < fetchAgain {
+	if (digestPair{own: own, theirs: digest}) == s.fetched && now.Sub(s.fetchAt) < refetchInterval {
 		return false
 	}
-	if c.StoreAge(now) > ownSource && revision > c.Revision() {
+	if c.StoreAge(now) > storeContactFresh && revision > c.Revision() {
 		return true
 	}
-	return now.Sub(s.differs) >= watchLead
+	return now.Sub(s.differsSince) >= watchGrace
 }
 
-func (s *state) noteFetch(now time.Time, pair digestPair) {
+func (s *peerState) recordFetch(now time.Time, pair digestPair) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fetched, s.fetchAt = pair, now
 }
 
-// fetch asks a peer for newer contracts and takes them when the answer is whole.
-func (p *Peers) fetch(ctx context.Context, client wirev1connect.PeerServiceClient) error {
+// fetchContracts asks a peer for newer contracts and applies the response if it is
+// complete.
+func (p *Peers) fetchContracts(ctx context.Context, client wirev1connect.PeerServiceClient) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	req := &wirev1.FetchContractsRequest{Held: p.opts.Contracts.Held()}
@@ -92,10 +93,10 @@
 	}
 	p.bootstrapped.Store(true)
 	if applied == 0 {
-		p.meter.configSame.Inc(1)
+		p.meter.contractsFetchedNone.Inc(1)
 		return nil
 	}
-	p.meter.configAhead.Inc(1)
+	p.meter.contractsFetched.Inc(1)
 	eventFetched.Log(ctx, p.opts.Logger, slog.Int("contracts", applied))
 	return nil
 }
@@ -104,8 +105,8 @@
 
 // FetchContracts serves a peer's request for contracts.
 func (s *server) FetchContracts(_ context.Context, req *connect.Request[wirev1.FetchContractsRequest]) (*connect.Response[wirev1.FetchContractsResponse], error) {
-	if !s.p.ready() {
-		// An empty answer would look like a system without contracts.
+	if !s.p.hasContracts() {
+		// An empty response would look like a system without contracts.
 		return nil, connect.NewError(connect.CodeUnavailable, errNotReady)
 	}
 	resp := s.p.opts.Contracts.Answer(req.Msg)
--- a/entry/peer/early.go
+++ b/entry/peer/early.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Early rounds are bounded, since each costs as much as one of those that come
-// every second: earlyBurst of them at a time, one each earlyEvery in the long run,
-// and earlyGap between any two. So demand that swings all the time costs half as
-// many rounds more.
+// Early rounds are limited, because each costs as much as a regular round, one of which
+// runs every second: a burst of earlyBurst, one per earlyRefill in the long run, and at
+// least earlyMinGap between any two. Constantly changing demand
+// therefore causes at most half as many rounds again.
 const (
-	earlyBurst = 5
-	earlyEvery = 2 * time.Second
-	earlyGap   = 100 * time.Millisecond
+	earlyBurst  = 5
+	earlyRefill = 2 * time.Second
+	earlyMinGap = 100 * time.Millisecond
 )
 
-// early brings the next round of exchanges forward.
-type early struct {
+// earlyRounds starts the next gossip round before its regular time.
+type earlyRounds struct {
 	// wake holds the request for an early round.
 	wake chan struct{}
 	// urgent: the next round goes to all peers.
 	urgent *atomic.Bool
 
-	budget *earlyBudget
+	limiter *earlyLimiter
 }
 
-type earlyBudget struct {
-	mu   sync.Mutex
-	left float64
-	last time.Time
+type earlyLimiter struct {
+	mu     sync.Mutex
+	tokens float64
+	last   time.Time
 }
 
-func newEarly() early {
-	return early{wake: make(chan struct{}, 1), urgent: &atomic.Bool{}, budget: &earlyBudget{left: earlyBurst}}
+func newEarlyRounds() earlyRounds {
+	return earlyRounds{wake: make(chan struct{}, 1), urgent: &atomic.Bool{}, limiter: &earlyLimiter{tokens: earlyBurst}}
 }
 
-// Hasten asks for a round of exchanges before the next is due, since what the
-// peers were told does not hold any more. It never blocks. An urgent one goes to
-// all peers; one that is not may be left out when there were many.
+// Hasten requests a gossip round before the next regular one, because what this entry
+// last sent to its peers is out of date. It never blocks. An urgent round goes to all
+// peers; another one may be dropped if there were many.
 func (p *Peers) Hasten(urgent bool) {
 	if urgent {
 		p.early.urgent.Store(true)
@@ -49,29 +49,29 @@
 	}
 }
 
-func (e early) takeUrgent() bool { return e.urgent.Swap(false) }
+func (e earlyRounds) takeUrgent() bool { return e.urgent.Swap(false) }
 
-// due returns how long to wait until the early round that was asked for may be
-// made, and counts it when that is at once; never is returned for one that is left
-// out, since the next ordinary round tells the same. An urgent one is never left
-// out: an endpoint that leaves would get new work meanwhile.
-func (e early) due(now time.Time) (wait time.Duration, never bool) {
-	b := e.budget
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	since := time.Duration(earlyGap)
-	if !b.last.IsZero() {
-		since = now.Sub(b.last)
+// reserve returns how long to wait until the requested early round may run, and counts
+// the round when it may run at once. drop is true for a round that is left out, since
+// the next regular round carries the same data. An urgent round is never dropped: an
+// endpoint that is leaving would be given new work meanwhile.
+func (e earlyRounds) reserve(now time.Time) (wait time.Duration, drop bool) {
+	l := e.limiter
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	since := time.Duration(earlyMinGap)
+	if !l.last.IsZero() {
+		since = now.Sub(l.last)
 	}
 	urgent := e.urgent.Load()
-	if since < earlyGap {
-		return earlyGap - since, !urgent
+	if since < earlyMinGap {
+		return earlyMinGap - since, !urgent
 	}
-	left := min(earlyBurst, b.left+since.Seconds()/earlyEvery.Seconds())
-	if left < 1 && !urgent {
+	tokens := min(earlyBurst, l.tokens+since.Seconds()/earlyRefill.Seconds())
+	if tokens < 1 && !urgent {
 		return 0, true
 	}
-	b.left = max(0, left-1)
-	b.last = now
+	l.tokens = max(0, tokens-1)
+	l.last = now
 	return 0, false
 }
--- a/entry/peer/events.go
+++ b/entry/peer/events.go
@@ -6,33 +6,33 @@
 	"almondstand.dev/eventlog"
 )
 
-// Events of the exchange between entries.
+// Events of the gossip between entries.
 var (
 	eventExchangeFailed = eventlog.Define(1550, "peer.exchange_failed", slog.LevelInfo,
-		"An exchange with a peer got no answer in time; it is tried again each round.",
-		"Look at the peer when it lasts.")
+		"A gossip call to a peer failed or got no answer in time; it is repeated in each round.",
+		"Check the peer if this persists.")
 	eventFetched = eventlog.Define(1551, "peer.contracts_fetched", slog.LevelInfo,
-		"Contracts that this entry lacked were taken from a peer.",
-		"None; many of these point to a lost watch on the platform's store.")
+		"Contracts that this entry lacked were fetched from a peer.",
+		"None; many of these events indicate a broken watch on the platform's store.")
 	eventFetchRefused = eventlog.Define(1552, "peer.contracts_refused", slog.LevelWarn,
-		"A peer's contracts were not whole, or could not be fetched, and nothing of them was used.",
-		"Look at the peer when it lasts.")
+		"A peer's contracts could not be fetched or were incomplete; nothing of the response was used.",
+		"Check the peer if this persists.")
 	eventBadSecret = eventlog.Define(1553, "peer.bad_secret", slog.LevelWarn,
-		"A call to this entry's internal interface lacked the cluster secret.",
-		"Give every process the same secret; else find the stranger.")
+		"A call to this entry's internal interface had a missing or wrong cluster secret.",
+		"Configure the same secret for every process; if it is, find out who sends these calls.")
 	eventServing = eventlog.Define(1554, "peer.serving", slog.LevelInfo,
-		"This entry may take new work.",
+		"This entry accepts new work.",
 		"None.")
 	eventNotServing = eventlog.Define(1555, "peer.not_serving", slog.LevelWarn,
-		"This entry may not take new work: it has no contracts yet, its lease lapsed while it was paused, or it hears neither the store nor a peer.",
-		"Look for a broken link or a paused host when it lasts.")
+		"This entry accepts no new work: it has no contracts or no share of the limits yet, it is still contacting guards, its lease expired while it was paused, it is leaving, or neither the store nor a peer answers.",
+		"Check for a network failure or a paused host if this persists.")
 	eventGuardsFetched = eventlog.Define(1557, "peer.guards_fetched", slog.LevelInfo,
-		"This joining entry asked a peer for the guards that it should attach to and has greeted them.",
+		"This joining entry fetched from a peer the list of guards that should attach to it, and has contacted them.",
 		"None.")
 	eventGuardsRefused = eventlog.Define(1558, "peer.guards_refused", slog.LevelInfo,
-		"A peer's list of guards was not whole, or could not be fetched, and nothing of it was used; guards announce themselves as well.",
-		"Look at the peer when it lasts.")
+		"A peer's list of guards could not be fetched or was incomplete; nothing of it was used. Guards also announce themselves.",
+		"Check the peer if this persists.")
 	eventLeaveUnfinished = eventlog.Define(1556, "peer.leave_unfinished", slog.LevelWarn,
-		"This entry ended before its tasks and loans had; the others wait for its lease to lapse before they use its share.",
-		"Give a graceful shutdown more time.")
+		"This entry exited before its tasks and the quota leases it granted had ended; the others wait for its registration lease to expire before they use its share.",
+		"Allow more time for a graceful shutdown.")
 )
--- a/entry/peer/exchange.go
+++ b/entry/peer/exchange.go
@@ -14,30 +14,30 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// exchangeWith asks one peer. A round that finds the exchange of an earlier one under way
-// is made up for when that ends: an answer counts from the time of its question, and after
-// a time-out the next round may come too late.
-func (p *Peers) exchangeWith(ctx context.Context, target member.Info) {
+// gossipWith calls one peer. If a call of an earlier round is still in flight, another
+// one follows as soon as it ends: a response counts from the time of its request, and
+// after a timeout the next regular round may come too late.
+func (p *Peers) gossipWith(ctx context.Context, target member.Info) {
 	s := p.state(quota.PeerID{ID: target.ID, Incarnation: target.Incarnation})
-	if !s.begin() {
+	if !s.tryBegin() {
 		return
 	}
-	p.exchangeOnce(ctx, target, s)
+	p.gossipOnce(ctx, target, s)
 	for s.end() {
 		if ctx.Err() == nil {
-			p.exchangeOnce(ctx, target, s)
+			p.gossipOnce(ctx, target, s)
 		}
 	}
 }
 
-func (p *Peers) exchangeOnce(ctx context.Context, target member.Info, s *state) {
+func (p *Peers) gossipOnce(ctx context.Context, target member.Info, s *peerState) {
 	id := quota.PeerID{ID: target.ID, Incarnation: target.Incarnation}
-	from, err := p.exchange(ctx, p.pool.client(target.Address), id, s)
+	from, err := p.callExchange(ctx, p.pool.client(target.Address), id, s)
 	if err == nil && from == id {
 		return
 	}
-	// The address may have passed to another process: its answer is no sign of life
-	// of the one that was meant.
+	// The address may have been taken over by another process, whose answer does not show
+	// that the intended one is alive.
 	p.opts.Members.Missed(target.ID, target.Incarnation)
 	if err == nil || ctx.Err() != nil {
 		return
@@ -47,16 +47,17 @@
 		slog.String("peer", target.ID), slog.String("error", err.Error()))
 }
 
-// exchange makes one call and takes the answer in; it returns who answered.
-func (p *Peers) exchange(ctx context.Context, client wirev1connect.PeerServiceClient, to quota.PeerID, s *state) (quota.PeerID, error) {
+// callExchange makes one Exchange call and applies the response; it returns the peer
+// that answered.
+func (p *Peers) callExchange(ctx context.Context, client wirev1connect.PeerServiceClient, to quota.PeerID, s *peerState) (quota.PeerID, error) {
 	asked := p.opts.Now()
-	req := p.request(asked, to, s)
+	req := p.exchangeRequest(asked, to, s)
 	ctx, cancel := context.WithTimeout(ctx, p.opts.CallTimeout)
 	defer cancel()
 	resp, err := client.Exchange(ctx, connect.NewRequest(req))
 	if err != nil {
 		count(p.meter.exchange, req, nil)
-		s.untold(req.GetBare())
+		s.markUnsent(req.GetBare())
 		return quota.PeerID{}, err
 	}
 	count(p.meter.exchange, req, resp.Msg)
@@ -66,13 +67,13 @@
 		return from, errSelf
 	}
 	if from.ID == "" {
-		return from, errors.New("answer without a name")
+		return from, errors.New("response without the peer's id")
 	}
-	p.take(ctx, client, from, resp.Msg, asked)
+	p.applyResponse(ctx, client, from, resp.Msg, asked)
 	return from, nil
 }
 
-func (p *Peers) request(now time.Time, to quota.PeerID, s *state) *wirev1.ExchangeRequest {
+func (p *Peers) exchangeRequest(now time.Time, to quota.PeerID, s *peerState) *wirev1.ExchangeRequest {
 	req := &wirev1.ExchangeRequest{
 		From:           p.opts.Members.Self(),
 		ConfigRevision: p.opts.Contracts.Revision(),
@@ -81,35 +82,35 @@
 		MembersDigest:  p.opts.Members.Digest(),
 	}
 	if s == nil {
-		// A call to a seed: who will answer is not known.
+		// A call to a seed: which entry will answer is not known.
 		req.Known = p.opts.Members.Known(true)
 		return req
 	}
 	req.Demand = p.opts.Quota.Demand(now, to.String())
-	req.Bare = s.news(now, p.opts.Bare.Bare())
+	req.Bare = s.unsentBare(now, p.opts.Bare.Bare())
 	req.BareUse = p.opts.Bare.Use()
-	req.Known = p.opts.Members.Known(s.wantsAll())
+	req.Known = p.opts.Members.Known(s.sendsAllMembers())
 	return req
 }
 
-// take applies a peer's answer to a call that began at asked.
-func (p *Peers) take(ctx context.Context, client wirev1connect.PeerServiceClient, from quota.PeerID, resp *wirev1.ExchangeResponse, asked time.Time) {
+// applyResponse applies a peer's response to a call that was sent at asked.
+func (p *Peers) applyResponse(ctx context.Context, client wirev1connect.PeerServiceClient, from quota.PeerID, resp *wirev1.ExchangeResponse, asked time.Time) {
 	s := p.state(from)
 	p.opts.Members.Heard(resp.GetFrom(), asked)
 	p.opts.Members.Learn(resp.GetKnown())
-	s.setSendAll(resp.GetMembersDigest() != p.opts.Members.Digest())
-	p.hear(asked)
-	s.told(resp.GetBare())
+	s.setSendAllMembers(resp.GetMembersDigest() != p.opts.Members.Digest())
+	p.recordContact(asked)
+	s.markKnown(resp.GetBare())
 	p.opts.Bare.ApplyBare(resp.GetBare())
 	p.opts.Bare.ApplyUse(from.ID, resp.GetBareUse())
 	now := p.opts.Now()
-	p.confirm(from, resp, asked)
+	p.recordConfirmation(from, resp, asked)
 	p.refreshShare(now)
 	p.opts.Quota.Borrow(now, from.String(), resp.GetLoans(), asked)
-	p.compareConfig(ctx, client, from, resp.GetConfigRevision(), resp.GetConfigDigest())
+	p.syncContracts(ctx, client, from, resp.GetConfigRevision(), resp.GetConfigDigest())
 }
 
-func (p *Peers) confirm(from quota.PeerID, resp *wirev1.ExchangeResponse, asked time.Time) {
+func (p *Peers) recordConfirmation(from quota.PeerID, resp *wirev1.ExchangeResponse, asked time.Time) {
 	counted := resp.GetCountedMs()
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
@@ -123,12 +124,13 @@
 	})
 }
 
-// hear notes an answered call by its beginning: an answer that lay in a socket
-// while this entry was paused is no proof that it is in touch now.
-func (p *Peers) hear(asked time.Time) {
+// recordContact records an answered call by its start time: a response that waited in a
+// socket buffer while this process was paused does not show that the entry is connected
+// now.
+func (p *Peers) recordContact(asked time.Time) {
 	for {
-		old := p.heard.Load()
-		if old != nil && !asked.After(*old) || p.heard.CompareAndSwap(old, &asked) {
+		old := p.lastAnswered.Load()
+		if old != nil && !asked.After(*old) || p.lastAnswered.CompareAndSwap(old, &asked) {
 			return
 		}
 	}
--- a/entry/peer/gate.go
+++ b/entry/peer/gate.go
@@ -8,57 +8,60 @@
 	"almondstand.dev/entry/member"
 )
 
-// Pauses told to callers that are refused at the gate.
+// Retry delays returned to callers whose requests are rejected because this entry is not
+// serving.
 const (
 	retryStarting = 500 * time.Millisecond
 	retryIsolated = time.Second
 )
 
-// gate remembers the last verdict, to log its changes.
-type gate struct{ serving atomic.Bool }
+// servingState holds the last result of MayServe, so that only changes are logged.
+type servingState struct{ last atomic.Bool }
 
-// MayServe reports whether this entry may take new work, and else when to come
-// back. It may not:
-//   - before it got the contracts from the store or from a peer;
-//   - before it has a share of the limits, or knows an entry that has one to lend;
-//   - before it has greeted the guards that its peers know, for a short while;
-//   - after a pause in which its lease lapsed, until it has registered again or has
-//     found the store out of reach: the others may hold it to be gone;
-//   - when it has heard neither the store nor any peer for a few seconds while
-//     there are peers: it may be the only one that missed a change.
+// MayServe reports whether this entry may accept new work, and if not, after which delay
+// the caller should retry. It may not:
+//   - before it has received the contracts from the store or from a peer;
+//   - before it has a share of the limits, or knows an entry that has one to lease;
+//   - before it has contacted the guards that its peers know, for a short bounded
+//     time;
+//   - after a pause in which its registration lease expired, until it has registered
+//     again or has found the store unreachable: the other entries may consider it
+//     gone;
+//   - when neither the store nor any peer has answered for a few seconds although
+//     there are peers: it may be the only entry that missed a change.
 func (p *Peers) MayServe(now time.Time) (ok bool, retryAfter time.Duration) {
-	ok, retryAfter = p.judge(now)
-	if p.gate.serving.Load() != ok && p.gate.serving.Swap(ok) != ok {
-		p.logGate(ok)
+	ok, retryAfter = p.checkServing(now)
+	if p.serving.last.Load() != ok && p.serving.last.Swap(ok) != ok {
+		p.logServing(ok)
 	}
 	return ok, retryAfter
 }
 
-func (p *Peers) judge(now time.Time) (bool, time.Duration) {
-	if !p.ready() || p.cold.Load() || !p.opts.Lease.Admissible(now) {
+func (p *Peers) checkServing(now time.Time) (bool, time.Duration) {
+	if !p.hasContracts() || p.withoutShare.Load() || !p.opts.Lease.Admissible(now) {
 		return false, retryStarting
 	}
-	if p.isolated(now) || p.left.Load() {
+	if p.isolated(now) || p.leaving.Load() {
 		return false, retryIsolated
 	}
-	if !p.guardsGreeted(now) {
+	if !p.guardsContacted(now) {
 		return false, retryStarting
 	}
 	return true, 0
 }
 
-// isolated looks at the contact that the present share was decided by: the first
-// contact after a pause must not open the gate before the share that the others
-// may have taken over is given up. Both clocks count, since a suspended machine's
-// monotonic clock stands still.
+// isolated uses the contact time at which the current share was determined: after a
+// pause, the first contact must not allow new work before this entry has given up a
+// share that the others may have taken over. Both clocks are checked, since the
+// monotonic clock stops while a machine is suspended.
 func (p *Peers) isolated(now time.Time) bool {
-	if member.Elapsed(*p.decided.Load(), now) <= p.opts.Isolation {
+	if member.Elapsed(*p.shareContact.Load(), now) <= p.opts.Isolation {
 		return false
 	}
 	return len(p.opts.Members.Peers()) > 0
 }
 
-func (p *Peers) logGate(serving bool) {
+func (p *Peers) logServing(serving bool) {
 	if serving {
 		eventServing.Log(context.Background(), p.opts.Logger)
 		return
--- a/entry/peer/guards.go
+++ b/entry/peer/guards.go
@@ -20,83 +20,86 @@
 )
 
 const (
-	// greetFor bounds how long after its start an entry puts off new work until it
-	// has greeted the guards that its peers know.
-	greetFor = 1500 * time.Millisecond
-	// guardsTimeout bounds one question for guards; the next peer is asked after
-	// guardsHedge at the latest, so that a silent one costs little.
+	// guardContactLimit bounds how long after its start an entry delays new work until it
+	// has contacted the guards that its peers know.
+	guardContactLimit = 1500 * time.Millisecond
+	// guardsTimeout bounds one FetchGuards call. The next peer is asked after guardsHedge at
+	// the latest (a hedged request), so that an unresponsive peer costs little time.
 	guardsTimeout = 700 * time.Millisecond
 	guardsHedge   = 100 * time.Millisecond
 	// guardsPoll is how often a joining entry looks for peers that it has not asked.
 	guardsPoll = 20 * time.Millisecond
-	// completeAnswers is how many complete answers are enough: one peer may have
-	// been out of touch with its guards.
+	// completeAnswers is how many complete responses are enough: a single peer may have lost
+	// contact with its guards.
 	completeAnswers = 2
-	// announcedWithin is the time after which every guard has announced itself to an
-	// entry that had no peer to ask.
+	// announcedWithin is the time after which every guard has announced itself to an entry
+	// that had no peer to ask.
 	announcedWithin = time.Minute
-	// maxGuardsMessage bounds an answer with guards, bytes.
+	// maxGuardsMessage bounds a FetchGuards response, in bytes.
 	maxGuardsMessage = 4 << 20
 )
 
-// Guards is the part of the fleet that a joining entry gets from its peers.
+// Guards is the part of the fleet with which a joining entry learns guards from its
+// peers.
 type Guards interface {
-	// GuardsFor names the guards that should attach to an entry; everywhere means
-	// that another entry would name the same.
-	GuardsFor(e *wirev1.EntryInfo) (named []*wirev1.GuardHint, everywhere bool)
-	// Greet returns when each guard has answered or was dropped, or ctx ends.
-	Greet(ctx context.Context, named []*wirev1.GuardHint)
+	// GuardsFor lists the guards that should attach to an entry; everywhere means that any
+	// other entry would list the same ones.
+	GuardsFor(e *wirev1.EntryInfo) (guards []*wirev1.GuardHint, everywhere bool)
+	// Greet contacts the guards. It returns when each guard has answered or was dropped, or
+	// when ctx ends.
+	Greet(ctx context.Context, guards []*wirev1.GuardHint)
 }
 
-// guardJoin is how far this entry has got with its peers' guards.
-type guardJoin struct {
+// guardDiscovery is the progress of learning the guards from peers.
+type guardDiscovery struct {
 	// settled: new work need not wait for guards any more.
 	settled atomic.Bool
-	// complete counts the complete answers; done: there were enough of them.
+	// complete counts the complete responses; done: there were enough of them.
 	complete atomic.Int64
 	done     atomic.Bool
 }
 
-// guardsGreeted reports whether new work need not wait for guards: those that the
-// peers know were greeted, there is no peer, or the bound has passed. It stays so.
-func (p *Peers) guardsGreeted(now time.Time) bool {
+// guardsContacted reports whether new work need not wait for guards: the guards that the
+// peers know were contacted, there is no peer, or the time limit has passed. Once true,
+// it stays true.
+func (p *Peers) guardsContacted(now time.Time) bool {
 	if p.guards.settled.Load() {
 		return true
 	}
-	if now.Sub(p.started) < greetFor && len(p.opts.Members.Peers()) > 0 {
+	if now.Sub(p.started) < guardContactLimit && len(p.opts.Members.Peers()) > 0 {
 		return false
 	}
 	p.guards.settled.Store(true)
 	return true
 }
 
-// knowsGuards reports whether this entry's guards are all that it should have.
-func (p *Peers) knowsGuards(now time.Time) bool {
+// guardListComplete reports whether this entry knows all guards that it should have.
+func (p *Peers) guardListComplete(now time.Time) bool {
 	return p.guards.done.Load() || now.Sub(p.started) >= announcedWithin
 }
 
-// greetGuards asks each peer that it learns of for guards, in random order, until
-// enough complete answers came or the time of starting is over.
-func (p *Peers) greetGuards(ctx context.Context) {
+// discoverGuards asks each peer that it learns of for guards, in random order, until it
+// has enough complete responses or the startup period is over.
+func (p *Peers) discoverGuards(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	var open atomic.Int64
+	var inFlight atomic.Int64
 	asked := map[quota.PeerID]bool{}
-	for !p.guards.done.Load() && p.opts.Now().Sub(p.started) < startFor {
-		for _, to := range p.unasked(asked) {
+	for !p.guards.done.Load() && p.opts.Now().Sub(p.started) < startupPeriod {
+		for _, to := range p.unaskedPeers(asked) {
 			asked[quota.PeerID{ID: to.ID, Incarnation: to.Incarnation}] = true
-			open.Add(1)
+			inFlight.Add(1)
 			answered := make(chan struct{})
 			calls.Go(func() {
-				defer open.Add(-1)
+				defer inFlight.Add(-1)
 				defer close(answered)
-				p.askGuards(ctx, to)
+				p.queryGuards(ctx, to)
 			})
 			if !uptime.SleepUnless(ctx, guardsHedge, answered) || p.guards.done.Load() {
 				break
 			}
 		}
-		if len(asked) > 0 && open.Load() == 0 && len(p.unasked(asked)) == 0 {
+		if len(asked) > 0 && inFlight.Load() == 0 && len(p.unaskedPeers(asked)) == 0 {
 			p.guards.settled.Store(true)
 		}
 		if !uptime.SleepUnless(ctx, guardsPoll, nil) {
@@ -105,9 +108,9 @@
 	}
 }
 
-// unasked returns the peers that were not asked yet, shuffled: entries that join
-// together would else all ask the same one first.
-func (p *Peers) unasked(asked map[quota.PeerID]bool) []member.Info {
+// unaskedPeers returns the peers that were not asked yet, shuffled, because entries that
+// join at the same time would otherwise all ask the same peer first.
+func (p *Peers) unaskedPeers(asked map[quota.PeerID]bool) []member.Info {
 	var all []member.Info
 	for _, peer := range p.opts.Members.Peers() {
 		if !asked[quota.PeerID{ID: peer.Info.ID, Incarnation: peer.Info.Incarnation}] {
@@ -121,8 +124,8 @@
 	return all
 }
 
-// askGuards asks one peer and greets what it names.
-func (p *Peers) askGuards(ctx context.Context, to member.Info) {
+// queryGuards asks one peer and contacts the guards that it lists.
+func (p *Peers) queryGuards(ctx context.Context, to member.Info) {
 	resp, err := p.fetchGuards(ctx, to.Address)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -140,14 +143,14 @@
 	}
 }
 
-// errGuardsNotWhole means that nothing of an answer was used.
-var errGuardsNotWhole = errors.New("peer's answer with guards is not whole")
+// errGuardsIncomplete means that a response was incomplete and nothing of it was used.
+var errGuardsIncomplete = errors.New("peer's guard list is incomplete")
 
 func (p *Peers) fetchGuards(ctx context.Context, address string) (*wirev1.FetchGuardsResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, guardsTimeout)
 	defer cancel()
 	req := &wirev1.FetchGuardsRequest{From: p.opts.Members.Self()}
-	resp, err := p.pool.bounded(address, maxGuardsMessage).FetchGuards(ctx, connect.NewRequest(req))
+	resp, err := p.pool.clientWithLimit(address, maxGuardsMessage).FetchGuards(ctx, connect.NewRequest(req))
 	if err != nil {
 		count(p.meter.guards, req, nil)
 		return nil, err
@@ -156,11 +159,11 @@
 	return resp.Msg, checkGuards(resp.Msg)
 }
 
-// checkGuards: a part of a list would let this entry serve with a part of the
-// fleet while it took that for the whole.
+// checkGuards verifies that a response is complete. With a partial list this entry would
+// serve with a part of the fleet and take it for the whole.
 func checkGuards(r *wirev1.FetchGuardsResponse) error {
 	if int(r.GetTotal()) != len(r.GetGuards()) || !bytes.Equal(r.GetDigest(), guardsDigest(r.GetGuards())) {
-		return errGuardsNotWhole
+		return errGuardsIncomplete
 	}
 	return nil
 }
@@ -169,37 +172,37 @@
 func (s *server) FetchGuards(_ context.Context, req *connect.Request[wirev1.FetchGuardsRequest]) (*connect.Response[wirev1.FetchGuardsResponse], error) {
 	from := req.Msg.GetFrom()
 	if from.GetId() == "" || from.GetIncarnation() == 0 || from.GetId() == s.p.opts.Members.Info().ID {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errNoName)
+		return nil, connect.NewError(connect.CodeInvalidArgument, errMissingSender)
 	}
-	resp := s.p.answerGuards(from)
+	resp := s.p.guardsResponse(from)
 	count(s.p.meter.guards, resp, req.Msg)
 	return connect.NewResponse(resp), nil
 }
 
-func (p *Peers) answerGuards(from *wirev1.EntryInfo) *wirev1.FetchGuardsResponse {
+func (p *Peers) guardsResponse(from *wirev1.EntryInfo) *wirev1.FetchGuardsResponse {
 	if p.opts.Guards == nil {
 		return &wirev1.FetchGuardsResponse{Digest: guardsDigest(nil)}
 	}
-	named, everywhere := p.opts.Guards.GuardsFor(from)
+	guards, everywhere := p.opts.Guards.GuardsFor(from)
 	return &wirev1.FetchGuardsResponse{
-		Guards:   named,
-		Total:    uint32(len(named)),
-		Digest:   guardsDigest(named),
-		Complete: everywhere && p.knowsGuards(p.opts.Now()),
+		Guards:   guards,
+		Total:    uint32(len(guards)),
+		Digest:   guardsDigest(guards),
+		Complete: everywhere && p.guardListComplete(p.opts.Now()),
 	}
 }
 
-// guardsDigest is the SHA-256 over the names in their order, each text led by its
-// length.
-func guardsDigest(named []*wirev1.GuardHint) []byte {
+// guardsDigest is the SHA-256 over the guards in the given order, each string preceded
+// by its length.
+func guardsDigest(guards []*wirev1.GuardHint) []byte {
 	var all []byte
 	number := func(n uint64) { all = binary.BigEndian.AppendUint64(all, n) }
 	text := func(s string) {
 		number(uint64(len(s)))
 		all = append(all, s...)
 	}
-	number(uint64(len(named)))
-	for _, h := range named {
+	number(uint64(len(guards)))
+	for _, h := range guards {
 		text(h.GetGuardId())
 		number(h.GetGuardIncarnation())
 		text(h.GetAddress())
--- a/entry/peer/guards_test.go
+++ b/entry/peer/guards_test.go
@@ -14,20 +14,20 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// namedGuards is a fleet as far as joining needs it.
-type namedGuards struct {
-	mu      sync.Mutex
-	known   []*wirev1.GuardHint
-	greeted []*wirev1.GuardHint
-	// hold keeps greetings from ending.
+// fakeGuards implements Guards for a joining entry.
+type fakeGuards struct {
+	mu        sync.Mutex
+	known     []*wirev1.GuardHint
+	contacted []*wirev1.GuardHint
+	// hold keeps Greet from returning.
 	hold chan struct{}
 }
 
-func (g *namedGuards) GuardsFor(*wirev1.EntryInfo) ([]*wirev1.GuardHint, bool) { return g.known, true }
+func (g *fakeGuards) GuardsFor(*wirev1.EntryInfo) ([]*wirev1.GuardHint, bool) { return g.known, true }
 
-func (g *namedGuards) Greet(ctx context.Context, named []*wirev1.GuardHint) {
+func (g *fakeGuards) Greet(ctx context.Context, guards []*wirev1.GuardHint) {
 	g.mu.Lock()
-	g.greeted = append(g.greeted, named...)
+	g.contacted = append(g.contacted, guards...)
 	g.mu.Unlock()
 	if g.hold == nil {
 		return
@@ -38,13 +38,13 @@
 	}
 }
 
-func (g *namedGuards) count() int {
+func (g *fakeGuards) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.greeted)
+	return len(g.contacted)
 }
 
-func names(ids ...string) []*wirev1.GuardHint {
+func guardHints(ids ...string) []*wirev1.GuardHint {
 	var all []*wirev1.GuardHint
 	for _, id := range ids {
 		all = append(all, &wirev1.GuardHint{
@@ -54,55 +54,55 @@
 	return all
 }
 
-// A fresh entry comes while the store is down. Its seed is a peer that knows
-// guards. It takes no work before it has greeted them, and does then.
-func TestFreshEntryGreetsItsPeersGuardsBeforeItServes(t *testing.T) {
+// A new entry starts while the store is down. Its seed is a peer that knows guards. It
+// must accept no work before it has contacted them, and must accept work afterwards.
+func TestNewEntryContactsItsPeersGuardsBeforeItServes(t *testing.T) {
 	s := newStore(t)
-	peer := newEntry(t, s, "e1", options{guards: &namedGuards{known: names("g1", "g2")}})
+	peer := newEntry(t, s, "e1", options{guards: &fakeGuards{known: guardHints("g1", "g2")}})
 	apply(t, peer, sample(50))
 	eventually(t, "the peer serves", peer.serves)
 
-	guards := &namedGuards{hold: make(chan struct{})}
+	guards := &fakeGuards{hold: make(chan struct{})}
 	fresh := newEntry(t, s, "e2", options{guards: guards, noStore: true, seeds: []string{peer.info.Address}})
-	eventually(t, "the guards are being greeted", func() bool { return guards.count() == 2 })
-	eventually(t, "it has contracts", fresh.peers.ready)
-	// Judged at the time of its start: the bound for slow greetings has not passed.
-	assert.Assert(t, !fresh.peers.guardsGreeted(fresh.peers.started))
+	eventually(t, "the guards are being contacted", func() bool { return guards.count() == 2 })
+	eventually(t, "it has contracts", fresh.peers.hasContracts)
+	// Evaluated at its start time, so that the limit for slow guards has not passed.
+	assert.Assert(t, !fresh.peers.guardsContacted(fresh.peers.started))
 	close(guards.hold)
 	eventually(t, "it serves", fresh.serves)
 	assert.Assert(t, fresh.peers.guards.settled.Load())
-	assert.Equal(t, guards.count(), 2, "each name greeted once")
+	assert.Equal(t, guards.count(), 2, "each name contacted once")
 }
 
-// The guards that a peer named do not answer. New work waits for them no longer
-// than the bound, and once it was taken the gate stays open to guards unknown.
-func TestSlowGreetingsDelayServiceForABoundedTime(t *testing.T) {
+// The guards listed by a peer do not answer. New work is delayed only up to the limit;
+// once work was accepted, newly listed guards do not delay it again.
+func TestSlowGuardsDelayServiceForABoundedTime(t *testing.T) {
 	p := joiningPeers(t)
-	assert.Assert(t, !p.guardsGreeted(p.started.Add(greetFor-time.Nanosecond)))
-	assert.Assert(t, p.guardsGreeted(p.started.Add(greetFor)))
-	assert.Assert(t, p.guardsGreeted(p.started))
+	assert.Assert(t, !p.guardsContacted(p.started.Add(guardContactLimit-time.Nanosecond)))
+	assert.Assert(t, p.guardsContacted(p.started.Add(guardContactLimit)))
+	assert.Assert(t, p.guardsContacted(p.started))
 }
 
-// An entry of a fresh system has no peer, or its peers know no guard either. It
-// is not kept from telling its callers why it refuses them.
+// In a new system an entry has no peer, or its peers know no guard either. This must not
+// stop it from serving, so that callers learn why their requests are rejected.
 func TestNoGuardsAnywhereDoNotDelayService(t *testing.T) {
 	alone := New(Options{Members: member.New(member.Options{Self: member.Info{ID: "e1", Incarnation: 1}}),
-		Quota: newEntry(t, newStore(t), "q", options{}).quota, Guards: &namedGuards{}})
-	assert.Assert(t, alone.guardsGreeted(alone.started))
+		Quota: newEntry(t, newStore(t), "q", options{}).quota, Guards: &fakeGuards{}})
+	assert.Assert(t, alone.guardsContacted(alone.started))
 
 	s := newStore(t)
-	first := newEntry(t, s, "e1", options{guards: &namedGuards{}})
+	first := newEntry(t, s, "e1", options{guards: &fakeGuards{}})
 	apply(t, first, sample(50))
 	eventually(t, "the first serves", first.serves)
-	second := newEntry(t, s, "e2", options{guards: &namedGuards{}, seeds: []string{first.info.Address}})
+	second := newEntry(t, s, "e2", options{guards: &fakeGuards{}, seeds: []string{first.info.Address}})
 	eventually(t, "asked in vain", second.peers.guards.settled.Load)
 	eventually(t, "the second serves", second.serves)
 }
 
-// A list of guards arrives cut or changed. Nothing of it is used.
-func TestGuardsAreUsedWholeOnly(t *testing.T) {
+// A list of guards arrives truncated or modified. Nothing of it may be used.
+func TestIncompleteGuardListIsRejected(t *testing.T) {
 	whole := func() *wirev1.FetchGuardsResponse {
-		all := names("g1", "g2")
+		all := guardHints("g1", "g2")
 		return &wirev1.FetchGuardsResponse{Guards: all, Total: 2, Digest: guardsDigest(all)}
 	}
 	assert.NilError(t, checkGuards(whole()))
@@ -115,26 +115,26 @@
 	} {
 		r := whole()
 		change(r)
-		assert.ErrorIs(t, checkGuards(r), errGuardsNotWhole, name)
+		assert.ErrorIs(t, checkGuards(r), errGuardsIncomplete, name)
 	}
 }
 
-// A peer calls its list complete only when it has had time to hear of every
-// guard, or got them itself from entries that had. Entries that restarted
-// together would else take each other's empty lists for the truth.
-func TestAFreshPeersListIsNotComplete(t *testing.T) {
+// A peer calls its list complete only when it has run long enough for every guard to
+// announce itself, or got the list from entries that had. Otherwise entries that
+// restarted at the same time would accept each other's empty lists as complete.
+func TestListOfANewPeerIsNotComplete(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	p := joiningPeers(t, func(o *Options) { o.Now = func() time.Time { return now } })
 	caller := &wirev1.EntryInfo{Id: "e9", Incarnation: 1}
-	assert.Assert(t, !p.answerGuards(caller).GetComplete())
+	assert.Assert(t, !p.guardsResponse(caller).GetComplete())
 	p.guards.done.Store(true)
-	assert.Assert(t, p.answerGuards(caller).GetComplete())
+	assert.Assert(t, p.guardsResponse(caller).GetComplete())
 	p.guards.done.Store(false)
 	now = now.Add(announcedWithin)
-	assert.Assert(t, p.answerGuards(caller).GetComplete())
+	assert.Assert(t, p.guardsResponse(caller).GetComplete())
 }
 
-// The size of a list for a whole fleet; docs/design/membership.md names it.
+// The size of a list for a whole fleet; docs/design/membership.md quotes it.
 func TestSizeOfAListOfGuards(t *testing.T) {
 	var all []*wirev1.GuardHint
 	for i := range 943 {
@@ -148,8 +148,9 @@
 	assert.Assert(t, size < 100_000, "%d bytes", size)
 }
 
-// A stranger without a name, or a process under this entry's own id, is refused.
-func TestFetchGuardsWantsACaller(t *testing.T) {
+// A caller without an id or incarnation, or a process with this entry's own id, is
+// rejected.
+func TestFetchGuardsRequiresACaller(t *testing.T) {
 	s := &server{p: joiningPeers(t)}
 	for _, from := range []*wirev1.EntryInfo{nil, {Id: "e9"}, {Incarnation: 1}, {Id: "e1", Incarnation: 2}} {
 		_, err := s.FetchGuards(t.Context(), connect.NewRequest(&wirev1.FetchGuardsRequest{From: from}))
@@ -163,7 +164,7 @@
 	e := newEntry(t, newStore(t), "q", options{})
 	members := member.New(member.Options{Self: member.Info{ID: "e1", Incarnation: 1, Address: "10.1.0.11:7001"}})
 	members.Learn([]*wirev1.EntryInfo{{Id: "e2", Incarnation: 1, Address: "10.1.0.12:7001", HeardMs: 1}})
-	o := Options{Members: members, Quota: e.quota, Guards: &namedGuards{}}
+	o := Options{Members: members, Quota: e.quota, Guards: &fakeGuards{}}
 	for _, c := range change {
 		c(&o)
 	}
--- a/entry/peer/leave_test.go
+++ b/entry/peer/leave_test.go
@@ -10,31 +10,31 @@
 	"almondstand.dev/contract"
 )
 
-// An entry has lent to another for as long as a job may take, ten minutes here.
-// Both have ended their last job and leave at the same time, as when a whole
-// system is shut down. The borrower says that it uses nothing of the loan any
-// more, so that the lender leaves in good order without waiting until it lapses.
-func TestLenderLeavesTogetherWithItsBorrower(t *testing.T) {
+// An entry has granted another one a quota lease for as long as a job may take, ten
+// minutes here. Both have finished their last job and leave at the same time, as when a
+// whole system is shut down. The lessee reports that it uses nothing of the lease any
+// more, so that the lessor can leave without waiting for the lease to expire.
+func TestLessorLeavesTogetherWithItsLessee(t *testing.T) {
 	s := newStore(t)
-	lender, borrower := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{})
-	eventually(t, "serving", func() bool { return lender.serves() && borrower.serves() })
+	lessor, lessee := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{})
+	eventually(t, "serving", func() bool { return lessor.serves() && lessee.serves() })
 	c := sample(90)
 	c.AnswerTime = contract.Duration(10 * time.Minute)
-	apply(t, lender, c)
-	eventually(t, "half of the rate", func() bool { return lender.share() == 45 && borrower.share() == 45 })
+	apply(t, lessor, c)
+	eventually(t, "half of the rate", func() bool { return lessor.share() == 45 && lessee.share() == 45 })
 	eventually(t, "more than its own share is taken", func() bool {
-		d := borrower.quota.Admit(time.Now(), "karlovac", 60)
+		d := lessee.quota.Admit(time.Now(), "karlovac", 60)
 		if d.OK {
 			d.Release()
 		}
 		return d.OK
 	})
-	assert.Assert(t, !lender.quota.Idle(time.Now()), "the loan has not lapsed")
+	assert.Assert(t, !lessor.quota.Idle(time.Now()), "the quota lease has not expired")
 
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	left := make(chan error, 2)
-	for _, e := range []*entry{lender, borrower} {
+	for _, e := range []*entry{lessor, lessee} {
 		e.peers.Drain()
 		go func() { left <- e.peers.Leave(ctx) }()
 	}
--- a/entry/peer/meter.go
+++ b/entry/peer/meter.go
@@ -7,13 +7,13 @@
 	"almondstand.dev/telemetry"
 )
 
-// callOverhead is what one call costs on the wire beside its two messages, each
-// way, bytes: HTTP/2 frame headers and compressed header fields, as measured with
-// a relay between four entries.
+// callOverhead is what one call costs on the wire beside its two messages, in each
+// direction, in bytes: HTTP/2 frame headers and compressed header fields, as measured
+// with a relay between four entries.
 const callOverhead = 36
 
-// Kinds of control traffic. Forwarded requests are callers' traffic and are
-// counted apart.
+// Kinds of control traffic. Forwarded requests are callers' traffic and are counted
+// separately.
 const (
 	kindExchange = "exchange"
 	kindFetch    = "fetch_contracts"
@@ -22,29 +22,29 @@
 
 // meter counts the traffic between entries.
 type meter struct {
-	exchange, fetch, guards *telemetry.Kind
-	failed, forwards, lost  tally.Counter
-	peers, live, storeAge   tally.Gauge
-	configAhead, configSame tally.Counter
+	exchange, fetch, guards                *telemetry.Kind
+	failed, forwards, forwardsLost         tally.Counter
+	peers, live, storeAge                  tally.Gauge
+	contractsFetched, contractsFetchedNone tally.Counter
 }
 
 func newMeter(o Options) meter {
 	return meter{
-		exchange:    o.Control.Kind(kindExchange),
-		fetch:       o.Control.Kind(kindFetch),
-		guards:      o.Control.Kind(kindGuards),
-		failed:      o.Scope.Counter("peer_exchanges_failed"),
-		forwards:    o.Scope.Counter("peer_forwards"),
-		lost:        o.Scope.Counter("peer_forwards_lost"),
-		peers:       o.Scope.Gauge("peers_known"),
-		live:        o.Scope.Gauge("peers_live"),
-		storeAge:    o.Scope.Gauge("peer_store_age_seconds"),
-		configAhead: o.Scope.Counter("peer_contracts_fetched"),
-		configSame:  o.Scope.Counter("peer_contracts_fetched_none"),
+		exchange:             o.Control.Kind(kindExchange),
+		fetch:                o.Control.Kind(kindFetch),
+		guards:               o.Control.Kind(kindGuards),
+		failed:               o.Scope.Counter("peer_exchanges_failed"),
+		forwards:             o.Scope.Counter("peer_forwards"),
+		forwardsLost:         o.Scope.Counter("peer_forwards_lost"),
+		peers:                o.Scope.Gauge("peers_known"),
+		live:                 o.Scope.Gauge("peers_live"),
+		storeAge:             o.Scope.Gauge("peer_store_age_seconds"),
+		contractsFetched:     o.Scope.Counter("peer_contracts_fetched"),
+		contractsFetchedNone: o.Scope.Counter("peer_contracts_fetched_none"),
 	}
 }
 
-// count adds one call: what was sent and what was received, either nil.
+// count adds one call with the message sent and the message received; either may be nil.
 func count(k *telemetry.Kind, sent, received proto.Message) {
 	k.Call(wireSize(sent), wireSize(received))
 }
--- a/entry/peer/peer.go
+++ b/entry/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer is the conversation between entries: the exchange of
-// configuration, membership, demand and bare endpoints, the fetching of
-// contracts from a peer, the forwarding of callers' requests to the entry that
-// owns them, and the gate that stops an entry that hears nobody.
+// Package peer implements the communication between entries: the periodic gossip of
+// configuration, membership, demand and bare endpoints (those without a guard), the
+// fetching of contracts from a peer, the forwarding of callers' requests to the entry
+// that owns them, and the check that keeps an isolated entry from accepting work.
 package peer
 
 import (
@@ -22,14 +22,14 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Errors of Forward and of the exchange.
+// Errors of Forward and of gossip calls.
 var (
-	// ErrPeerSilent: the peer did not answer; it may have got the request.
+	// ErrPeerSilent: the peer did not answer; it may have received the request.
 	ErrPeerSilent = eris.New("peer: no answer")
-	// ErrPeerGone: the process that was meant has ended.
+	// ErrPeerGone: the addressed process has ended.
 	ErrPeerGone = eris.New("peer: ended or replaced")
-	// ErrPeerFailed: the peer answered with an error of its own; what became of the
-	// request is unknown.
+	// ErrPeerFailed: the peer answered with an error of its own; the outcome of the request
+	// is unknown.
 	ErrPeerFailed = eris.New("peer: failed")
 	// errSelf: an address led back to this entry.
 	errSelf = eris.New("peer: answered by this entry itself")
@@ -45,10 +45,10 @@
 	DefaultForwardTimeout = 5 * time.Minute
 )
 
-// Contracts is the part of the contract registry that peers share.
+// Contracts is the part of the contract registry that peers synchronize.
 type Contracts interface {
-	// Revision is the highest revision held; Digest is equal where the same
-	// versions are held.
+	// Revision is the highest revision held; Digest is equal at entries that hold the same
+	// versions.
 	Revision() int64
 	Digest() uint64
 	// StoreAge is the time since the store last answered.
@@ -57,22 +57,23 @@
 	Listed() bool
 	// Held returns the revision of each contract held.
 	Held() map[string]int64
-	// Answer serves a peer; MergeAnswer takes a peer's answer when it is whole.
+	// Answer serves a peer's request; MergeAnswer applies a peer's response if it is
+	// complete.
 	Answer(*wirev1.FetchContractsRequest) *wirev1.FetchContractsResponse
 	MergeAnswer(*wirev1.FetchContractsResponse) (int, error)
 }
 
-// Bare is the part of the fleet that is passed on between entries.
+// Bare is the part of the fleet that entries share by gossip.
 type Bare interface {
-	// Bare lists the endpoints without a guard; ApplyBare takes a peer's.
+	// Bare lists the endpoints without a guard; ApplyBare applies a peer's list.
 	Bare() []*wirev1.BareEndpoint
 	ApplyBare([]*wirev1.BareEndpoint)
-	// Use is what this entry uses of them; ApplyUse takes what a peer uses.
+	// Use is this entry's current use of them; ApplyUse applies a peer's.
 	Use() []*wirev1.BareUse
 	ApplyUse(from string, all []*wirev1.BareUse)
 }
 
-// Quota is the part of the limits that needs the peers.
+// Quota is the part of the client limits that is coordinated with peers.
 type Quota interface {
 	Demand(now time.Time, to string) []*wirev1.Demand
 	Lacking(now time.Time) bool
@@ -86,7 +87,7 @@
 	Idle(now time.Time) bool
 }
 
-// Lease says whether this entry's registration lets it admit new work.
+// Lease tells whether this entry's registration allows it to admit new work.
 type Lease interface {
 	Admissible(now time.Time) bool
 	Touch()
@@ -95,30 +96,30 @@
 // ForwardHandler serves a request that a peer forwards.
 type ForwardHandler func(context.Context, *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
 
-// Options of Peers. Members, Lease, Contracts, Quota, Bare and Forward are
-// required; zero values of the others take the defaults.
+// Options of Peers. Members, Lease, Contracts, Quota, Bare and Forward are required;
+// zero values of the others take the defaults.
 type Options struct {
 	Members   *member.Table
 	Lease     Lease
 	Contracts Contracts
 	Quota     Quota
 	Bare      Bare
-	// Guards is nil for an entry that neither names nor greets guards.
+	// Guards is nil for an entry that neither lists nor contacts guards.
 	Guards  Guards
 	Forward ForwardHandler
-	// Seeds are addresses of the internal interface where some entry answers, such
-	// as the balancer's. They are asked while the store is not.
+	// Seeds are addresses of the internal interface where some entry answers, such as the
+	// load balancer's. They are called while the store is unreachable.
 	Seeds []string
-	// Secret is shared by the system's processes; empty for none.
+	// Secret is shared by all processes of the system; empty for none.
 	Secret string
-	// Interval is the pause between rounds of exchanges. Each round asks every peer
-	// while they are no more than Fanout, and Fanout of them at random when more.
+	// Interval is the pause between gossip rounds. Each round calls every peer while there
+	// are at most Fanout, and otherwise Fanout of them at random.
 	Interval time.Duration
 	Fanout   int
-	// CallTimeout bounds one exchange.
+	// CallTimeout bounds one Exchange call.
 	CallTimeout time.Duration
-	// Isolation is how long this entry takes new work while it hears neither the
-	// store nor a peer.
+	// Isolation is how long this entry accepts new work while neither the store nor a peer
+	// answers.
 	Isolation time.Duration
 	Control   *telemetry.Control
 	Logger    *slog.Logger
@@ -151,60 +152,61 @@
 	return o
 }
 
-// Peers is this entry's side of all other entries.
+// Peers manages this entry's communication with all other entries.
 type Peers struct {
 	opts    Options
 	pool    *pool
 	meter   meter
 	started time.Time
-	// bootstrapped: contracts were got whole from a peer.
+	// bootstrapped: a complete set of contracts was received from a peer.
 	bootstrapped atomic.Bool
-	// heard is the beginning of the last exchange that a peer answered.
-	heard atomic.Pointer[time.Time]
-	// decided is the contact that the present share was decided by.
-	decided atomic.Pointer[time.Time]
-	// cold: this entry has no share, and knows of nobody to borrow from.
-	cold atomic.Bool
-	// suspended: the share is, until the peers have confirmed it anew.
+	// lastAnswered is the start time of the last gossip call that a peer answered.
+	lastAnswered atomic.Pointer[time.Time]
+	// shareContact is the contact time at which the current share was determined.
+	shareContact atomic.Pointer[time.Time]
+	// withoutShare: this entry has no share, and knows no entry to lease from.
+	withoutShare atomic.Bool
+	// suspended: the share is suspended until the peers have confirmed it again.
 	suspended atomic.Bool
 	recheck   recheck
-	gate      gate
-	left      atomic.Bool
-	// guards is how far the joining has got with the peers' guards.
-	guards guardJoin
+	serving   servingState
+	leaving   atomic.Bool
+	// guards is the progress of learning the guards from peers.
+	guards guardDiscovery
 
 	shareMu sync.Mutex
 	holder  *quota.Holder
 	shares  map[quota.PeerID]bool
 
-	early early
+	early earlyRounds
 
 	mu     sync.Mutex
-	states map[quota.PeerID]*state
+	states map[quota.PeerID]*peerState
 	seeds  map[string]seedRecord
 }
 
-// New returns the peers; Run keeps up the exchange, Handler serves theirs.
+// New returns the peers; Run performs the gossip, Handler serves the other entries'
+// calls.
 func New(o Options) *Peers {
 	o = o.withDefaults()
 	p := &Peers{
 		opts:    o,
-		early:   newEarly(),
+		early:   newEarlyRounds(),
 		pool:    newPool(o),
 		meter:   newMeter(o),
 		started: o.Now(),
 		holder:  quota.NewHolder(o.Isolation, o.Logger),
 		shares:  map[quota.PeerID]bool{},
-		states:  map[quota.PeerID]*state{},
+		states:  map[quota.PeerID]*peerState{},
 		seeds:   map[string]seedRecord{},
 	}
-	p.decided.Store(&time.Time{})
+	p.shareContact.Store(&time.Time{})
 	p.guards.settled.Store(o.Guards == nil)
 	p.refreshShare(p.started)
 	return p
 }
 
-// Standing says what is known of one incarnation of an entry.
+// Standing returns what is known of one incarnation of an entry.
 func (p *Peers) Standing(entry string, incarnation uint64) member.Standing {
 	return p.opts.Members.Standing(entry, incarnation)
 }
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -32,7 +32,7 @@
 
 const secret = "shared by the processes"
 
-// cuttable is one entry's way to the store.
+// cuttable is one entry's connection to the store, which a test can cut.
 type cuttable struct {
 	platform.Store
 	cut   atomic.Bool
@@ -40,7 +40,7 @@
 	watch []context.CancelFunc
 }
 
-func (c *cuttable) sever() {
+func (c *cuttable) cutOff() {
 	c.cut.Store(true)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,28 +99,28 @@
 	return platform.ErrUnavailable
 }
 
-// noBare is a fleet without bare endpoints.
-type noBare struct {
+// fakeBare is a fleet that only stores the bare endpoints it receives.
+type fakeBare struct {
 	mu  sync.Mutex
 	all []*wirev1.BareEndpoint
 }
 
-func (b *noBare) Bare() []*wirev1.BareEndpoint {
+func (b *fakeBare) Bare() []*wirev1.BareEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.all
 }
 
-func (b *noBare) ApplyBare(got []*wirev1.BareEndpoint) {
+func (b *fakeBare) ApplyBare(got []*wirev1.BareEndpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.all = append(b.all, got...)
 }
 
-func (b *noBare) Use() []*wirev1.BareUse             { return nil }
-func (b *noBare) ApplyUse(string, []*wirev1.BareUse) {}
+func (b *fakeBare) Use() []*wirev1.BareUse             { return nil }
+func (b *fakeBare) ApplyUse(string, []*wirev1.BareUse) {}
 
-// entry is one entry with everything but jobs.
+// entry is one entry without the job engine.
 type entry struct {
 	info     member.Info
 	store    *cuttable
@@ -141,10 +141,10 @@
 	forward ForwardHandler
 	// relayed entries are reached through a relay.
 	relayed bool
-	// bare is the entry's fleet; interval is between ordinary rounds.
+	// bare is the entry's fleet; interval is the time between regular rounds.
 	bare     func(*entry) Bare
 	interval time.Duration
-	// guards is the entry's fleet as far as joining needs it; nil for none.
+	// guards is the part of the entry's fleet used for joining; nil for none.
 	guards Guards
 }
 
@@ -163,7 +163,7 @@
 			Address: l.Addr().String(), Zone: "zagreb",
 		},
 		store: &cuttable{Store: client},
-		bare:  &noBare{},
+		bare:  &fakeBare{},
 	}
 	if o.bare != nil {
 		e.bare = o.bare(e)
@@ -197,7 +197,7 @@
 	return e
 }
 
-// throughRelay returns an address that leads to the entry's own.
+// throughRelay returns an address that relays to the entry's own.
 func (e *entry) throughRelay(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -209,7 +209,7 @@
 	return l.Addr().String()
 }
 
-// kill ends the entry at once, like a crash.
+// kill stops the entry at once, like a crash.
 func (e *entry) kill() {
 	e.stop()
 	_ = e.server.Close()
@@ -270,9 +270,9 @@
 	return all[0].Rate
 }
 
-// One of three entries is cut off from the store. A contract is changed; the
-// entry hears the others, sees that its configuration differs, fetches the change
-// from one of them, and goes on serving.
+// One of three entries is cut off from the store when a contract changes. It must learn
+// from the gossip that its configuration differs, fetch the change from a peer, and keep
+// serving.
 func TestChangeReachesAnEntryCutOffFromTheStore(t *testing.T) {
 	s := newStore(t)
 	a, b, c := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{}), newEntry(t, s, "c", options{})
@@ -284,24 +284,24 @@
 		eventually(t, "first version", func() bool { return e.rate() == 90 })
 		eventually(t, "a third of the rate", func() bool { return e.share() == 30 })
 	}
-	c.store.sever()
+	c.store.cutOff()
 	apply(t, a, sample(60))
 	eventually(t, "second version", func() bool { return c.rate() == 60 })
 	assert.Assert(t, c.serves())
 	assert.Equal(t, c.registry.Digest(), a.registry.Digest())
 }
 
-// A fresh entry starts while the store is down. It finds one entry through its
-// seed address, takes the contracts and the list of entries from it, and takes its
-// share once all of them have confirmed it.
-func TestFreshEntryWithoutTheStore(t *testing.T) {
+// A new entry starts while the store is down. It finds one entry through its seed
+// address, receives the contracts and the list of entries from it, and takes its share
+// once all of them have confirmed it.
+func TestNewEntryWithoutTheStore(t *testing.T) {
 	s := newStore(t)
 	a, b := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{})
 	eventually(t, "serving", func() bool { return a.serves() && b.serves() })
 	apply(t, a, sample(90))
 	eventually(t, "in force", func() bool { return b.rate() == 90 })
-	a.store.sever()
-	b.store.sever()
+	a.store.cutOff()
+	b.store.cutOff()
 	c := newEntry(t, s, "c", options{noStore: true, seeds: []string{a.info.Address}})
 	eventually(t, "serving", c.serves)
 	assert.Equal(t, c.rate(), 90.0)
@@ -310,22 +310,22 @@
 	}
 }
 
-// An entry hears neither the store nor the only other entry, which has died. It
-// stops serving, since it might be the one that is cut off.
+// An entry reaches neither the store nor the only other entry, which has crashed. It
+// must stop serving, since it might be the one that is cut off.
 func TestIsolatedEntryStopsServing(t *testing.T) {
 	s := newStore(t)
 	a, b := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{})
 	eventually(t, "serving", func() bool { return a.serves() && b.serves() })
-	a.store.sever()
+	a.store.cutOff()
 	b.kill()
 	eventually(t, "not serving", func() bool { return !a.serves() })
 	a.store.cut.Store(false)
 	eventually(t, "serving again", a.serves)
 }
 
-// A request is forwarded to its owner. The owner dies: the caller's entry reports
-// that it is silent at once. A newer incarnation takes the owner's id: the request
-// that was meant for the old one is not given to it.
+// A request is forwarded to its owner. When the owner crashes, the forwarding entry must
+// report at once that it does not answer. When a newer incarnation takes the owner's id,
+// a request addressed to the old incarnation must not be delivered to it.
 func TestForward(t *testing.T) {
 	s := newStore(t)
 	echo := func(_ context.Context, r *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
@@ -353,9 +353,9 @@
 	assert.NilError(t, err)
 }
 
-// An entry leaves in good order. The other one takes the whole share at once,
-// without waiting for the lease to lapse.
-func TestLeaverGivesItsShareUp(t *testing.T) {
+// An entry leaves gracefully. The other one must take the whole share at once, without
+// waiting for the lease to expire.
+func TestLeavingEntryReleasesItsShare(t *testing.T) {
 	s := newStore(t)
 	a, b := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{})
 	eventually(t, "serving", func() bool { return a.serves() && b.serves() })
@@ -372,9 +372,10 @@
 	assert.Equal(t, a.members.Standing("b", b.info.Incarnation), member.Gone)
 }
 
-// Something between two entries forgets their open connection: it stays silent
-// while new ones work. The ping finds it, a new connection takes its place, and a
-// forwarded request that hung on the old one ends as silent, not at its deadline.
+// A network device between two entries drops the state of their open connection: the
+// connection hangs while new ones work. The HTTP/2 ping detects this and a new
+// connection replaces it; a forwarded request that hung on the old one must end as
+// unanswered, not at its deadline.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	s := newStore(t)
 	hang := func(ctx context.Context, _ *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
@@ -383,7 +384,7 @@
 	}
 	a, b := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{forward: hang, relayed: true})
 	known := func() bool {
-		return a.members.Standing("b", b.info.Incarnation) == member.Live && a.peers.heard.Load() != nil
+		return a.members.Standing("b", b.info.Incarnation) == member.Live && a.peers.lastAnswered.Load() != nil
 	}
 	eventually(t, "b known", known)
 	failed := make(chan error, 1)
@@ -393,20 +394,20 @@
 		_, err := a.peers.Forward(ctx, "b", &wirev1.ForwardRequest{})
 		failed <- err
 	}()
-	// The call is on its way once the connection has carried an answer after it.
-	began := *a.peers.heard.Load()
-	eventually(t, "an exchange after the call", func() bool { return a.peers.heard.Load().Sub(began) > time.Second })
+	// The call has been sent once the connection has carried a later response.
+	began := *a.peers.lastAnswered.Load()
+	eventually(t, "an exchange after the call", func() bool { return a.peers.lastAnswered.Load().Sub(began) > time.Second })
 	b.relay.Forget(true, true)
 	forgotten := time.Now()
 	err := <-failed
 	assert.Assert(t, errors.Is(err, ErrPeerSilent), "%v", err)
 	assert.NilError(t, ctx.Err())
-	eventually(t, "heard again", func() bool { return a.peers.heard.Load().After(forgotten) })
+	eventually(t, "an answer on the new connection", func() bool { return a.peers.lastAnswered.Load().After(forgotten) })
 }
 
-// A stranger without the cluster secret calls the internal interface: nothing is
-// answered and nothing learnt.
-func TestStrangerIsRefused(t *testing.T) {
+// A process without the cluster secret calls the internal interface: the call is
+// rejected and its content ignored.
+func TestCallWithoutSecretIsRejected(t *testing.T) {
 	s := newStore(t)
 	a := newEntry(t, s, "a", options{})
 	for _, wrong := range []string{"", "guess"} {
@@ -419,23 +420,23 @@
 	assert.Equal(t, len(a.members.Peers()), 0)
 }
 
-// brokenPeer leaves records out of its answer, or says that it holds more.
+// brokenPeer omits records from its response, or claims to hold more.
 type brokenPeer struct {
 	wirev1connect.PeerServiceClient
-	spoil func(*wirev1.FetchContractsResponse)
-	from  *contracts.Registry
+	corrupt func(*wirev1.FetchContractsResponse)
+	from    *contracts.Registry
 }
 
 func (b brokenPeer) FetchContracts(_ context.Context, req *connect.Request[wirev1.FetchContractsRequest]) (*connect.Response[wirev1.FetchContractsResponse], error) {
 	resp := proto.CloneOf(b.from.Answer(req.Msg))
-	b.spoil(resp)
+	b.corrupt(resp)
 	return connect.NewResponse(resp), nil
 }
 
-// A fresh entry without the store fetches contracts from a peer, and the answer
-// lacks a record, or has another one's bytes. Nothing of it is used: the entry
-// stays without contracts and does not serve, until a whole answer comes.
-func TestPartOfTheContractsIsNotUsed(t *testing.T) {
+// A new entry without the store fetches contracts from a peer, and the response lacks a
+// record or has modified bytes. Nothing of it may be used: the entry stays without
+// contracts and does not serve until it gets a complete response.
+func TestPartialContractsAreRejected(t *testing.T) {
 	s := newStore(t)
 	a := newEntry(t, s, "a", options{})
 	eventually(t, "serving", a.serves)
@@ -444,24 +445,24 @@
 	other.Customer, other.TokenDigests = "osijek", nil
 	apply(t, a, other)
 	c := newEntry(t, s, "c", options{noStore: true})
-	for name, spoil := range map[string]func(*wirev1.FetchContractsResponse){
+	for name, corrupt := range map[string]func(*wirev1.FetchContractsResponse){
 		"record missing": func(r *wirev1.FetchContractsResponse) { r.Records = r.Records[:1] },
 		"count too high": func(r *wirev1.FetchContractsResponse) { r.Total++ },
 		"value changed":  func(r *wirev1.FetchContractsResponse) { r.Records[0].Value[0] ^= 1 },
 	} {
-		err := c.peers.fetch(t.Context(), brokenPeer{spoil: spoil, from: a.registry})
+		err := c.peers.fetchContracts(t.Context(), brokenPeer{corrupt: corrupt, from: a.registry})
 		assert.Assert(t, errors.Is(err, contracts.ErrNotWhole), "%s: %v", name, err)
-		assert.Assert(t, !c.peers.ready(), name)
+		assert.Assert(t, !c.peers.hasContracts(), name)
 		assert.Equal(t, len(c.registry.All()), 0, name)
 	}
-	assert.NilError(t, c.peers.fetch(t.Context(), brokenPeer{spoil: func(*wirev1.FetchContractsResponse) {}, from: a.registry}))
-	assert.Assert(t, c.peers.ready())
+	assert.NilError(t, c.peers.fetchContracts(t.Context(), brokenPeer{corrupt: func(*wirev1.FetchContractsResponse) {}, from: a.registry}))
+	assert.Assert(t, c.peers.hasContracts())
 	assert.Equal(t, len(c.registry.All()), 2)
 }
 
-// All of a customer's load comes to one of three entries. The others lend what
-// they do not use, in the exchange.
-func TestLoansOverTheWire(t *testing.T) {
+// All load of a client arrives at one of three entries. The others must lease it the
+// rate they do not use, by gossip.
+func TestQuotaLeasesOverTheWire(t *testing.T) {
 	s := newStore(t)
 	a, b, c := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{}), newEntry(t, s, "c", options{})
 	apply(t, a, sample(900))
--- a/entry/peer/pool.go
+++ b/entry/peer/pool.go
@@ -17,13 +17,13 @@
 
 const (
 	dialTimeout = time.Second
-	// A connection that carries no frame for pingAfter is asked for a sign of life,
-	// and closed when none comes within pingTimeout: something between may have
-	// forgotten it, and every call on it would hang.
+	// A connection without any frame for pingAfter is pinged, and closed when no answer
+	// comes within pingTimeout: a network device on the path may have dropped the
+	// connection's state, and every call on it would hang.
 	pingAfter   = 2 * time.Second
 	pingTimeout = time.Second
 	idleTimeout = time.Minute
-	// maxMessage bounds one message, bytes: a forwarded job or answer.
+	// maxMessage bounds one message, in bytes: a forwarded job or its response.
 	maxMessage = 64 << 20
 	authHeader = "Authorization"
 )
@@ -31,22 +31,22 @@
 // pool holds a client for each address.
 type pool struct {
 	secret string
-	kept   *http.Client
-	// single opens a connection for each call: behind a balancer each reaches
-	// another entry.
-	single *http.Client
+	shared *http.Client
+	// perCall opens a new connection for each call: behind a load balancer each one may
+	// reach another entry.
+	perCall *http.Client
 
 	mu      sync.Mutex
 	clients map[string]wirev1connect.PeerServiceClient
 }
 
 func newPool(o Options) *pool {
-	single := newTransport()
-	single.DisableKeepAlives = true
+	perCall := newTransport()
+	perCall.DisableKeepAlives = true
 	return &pool{
 		secret:  o.Secret,
-		kept:    &http.Client{Transport: newTransport()},
-		single:  &http.Client{Transport: single},
+		shared:  &http.Client{Transport: newTransport()},
+		perCall: &http.Client{Transport: perCall},
 		clients: map[string]wirev1connect.PeerServiceClient{},
 	}
 }
@@ -69,34 +69,34 @@
 	defer p.mu.Unlock()
 	c, known := p.clients[address]
 	if !known {
-		c = p.dial(p.kept, address)
+		c = p.newClient(p.shared, address)
 		p.clients[address] = c
 	}
 	return c
 }
 
-func (p *pool) once(address string) wirev1connect.PeerServiceClient {
-	return p.dial(p.single, address)
+func (p *pool) clientPerCall(address string) wirev1connect.PeerServiceClient {
+	return p.newClient(p.perCall, address)
 }
 
-// bounded returns a client that reads answers of no more than the bytes given.
-func (p *pool) bounded(address string, bytes int) wirev1connect.PeerServiceClient {
-	return p.dialUpTo(p.kept, address, bytes)
+// clientWithLimit returns a client that reads responses of at most the given size.
+func (p *pool) clientWithLimit(address string, bytes int) wirev1connect.PeerServiceClient {
+	return p.newClientWithLimit(p.shared, address, bytes)
 }
 
-func (p *pool) dial(h *http.Client, address string) wirev1connect.PeerServiceClient {
-	return p.dialUpTo(h, address, maxMessage)
+func (p *pool) newClient(h *http.Client, address string) wirev1connect.PeerServiceClient {
+	return p.newClientWithLimit(h, address, maxMessage)
 }
 
-func (p *pool) dialUpTo(h *http.Client, address string, bytes int) wirev1connect.PeerServiceClient {
+func (p *pool) newClientWithLimit(h *http.Client, address string, bytes int) wirev1connect.PeerServiceClient {
 	return wirev1connect.NewPeerServiceClient(h, "http://"+address,
 		connect.WithReadMaxBytes(bytes),
 		connect.WithAcceptCompression("gzip", nil, nil),
 		connect.WithInterceptors(sendSecret(p.secret)))
 }
 
-// keep drops the clients of addresses that no entry has any more.
-func (p *pool) keep(addresses map[string]bool) {
+// prune drops the clients of addresses that no entry uses any more.
+func (p *pool) prune(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for a := range p.clients {
@@ -107,8 +107,8 @@
 }
 
 func (p *pool) close() {
-	p.kept.CloseIdleConnections()
-	p.single.CloseIdleConnections()
+	p.shared.CloseIdleConnections()
+	p.perCall.CloseIdleConnections()
 }
 
 func sendSecret(secret string) connect.UnaryInterceptorFunc {
@@ -124,8 +124,8 @@
 
 var errNoSecret = errors.New("cluster secret missing or wrong")
 
-// checkSecret compares digests, which have equal lengths, in constant time: the
-// duration of the check tells nothing of the secret.
+// checkSecret compares digests, which have equal lengths, in constant time, so that the
+// duration of the check reveals nothing about the secret.
 func checkSecret(secret string, refused func(context.Context, connect.AnyRequest)) connect.UnaryInterceptorFunc {
 	want := sha256.Sum256([]byte("Bearer " + secret))
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
--- a/entry/peer/recheck.go
+++ b/entry/peer/recheck.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// recheckLimit bounds how long new work waits for the verdict of a recheck.
+	// recheckLimit bounds how long new work waits for the result of a recheck.
 	recheckLimit = 150 * time.Millisecond
-	// recheckPoll is how often the verdict is looked at meanwhile.
+	// recheckPoll is how often the result is polled meanwhile.
 	recheckPoll = 2 * time.Millisecond
 )
 
-// recheck is one immediate round of exchanges, for which all new work waits.
+// recheck is one immediate gossip round, for which all new work waits.
 type recheck struct {
 	mu sync.Mutex
-	// done is closed when the last one is over; nil before the first.
+	// done is closed when the last recheck is over; nil before the first.
 	done chan struct{}
-	// began is when the last one began.
-	began time.Time
+	// startedAt is when the last recheck started.
+	startedAt time.Time
 }
 
-// AwaitServe is MayServe for new work, which may wait a moment. An entry that was suspended
-// has heard nobody for that time; whether it is isolated shows after one round of exchanges.
+// AwaitServe is MayServe for new work that may wait briefly. An entry that was suspended
+// has received nothing for that time; whether it is isolated is known after one gossip
+// round.
 func (p *Peers) AwaitServe(ctx context.Context) (ok bool, retryAfter time.Duration) {
 	now := p.opts.Now()
 	ok, retryAfter = p.MayServe(now)
-	if !p.uncertain(now) {
+	if !p.contactUncertain(now) {
 		return ok, retryAfter
 	}
-	done, first := p.recheck.join(now, p.opts.Interval)
+	done, first := p.recheck.joinOrStart(now, p.opts.Interval)
 	if done == nil {
 		return ok, retryAfter
 	}
@@ -47,15 +48,15 @@
 	return p.MayServe(p.opts.Now())
 }
 
-// uncertain reports whether this entry is isolated or its share suspended, by what it has
-// heard so far.
-func (p *Peers) uncertain(now time.Time) bool {
-	return p.ready() && !p.left.Load() && (p.isolated(now) || p.suspended.Load())
+// contactUncertain reports whether this entry is isolated or its share suspended,
+// according to the calls answered so far.
+func (p *Peers) contactUncertain(now time.Time) bool {
+	return p.hasContracts() && !p.leaving.Load() && (p.isolated(now) || p.suspended.Load())
 }
 
-// join returns the recheck under way, or begins one; nil when the last one is too recent
-// to be repeated.
-func (r *recheck) join(now time.Time, interval time.Duration) (done chan struct{}, first bool) {
+// joinOrStart returns the recheck in progress, or starts one; nil when the last one is
+// too recent to be repeated.
+func (r *recheck) joinOrStart(now time.Time, interval time.Duration) (done chan struct{}, first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.done != nil {
@@ -64,19 +65,20 @@
 		default:
 			return r.done, false
 		}
-		if now.Sub(r.began) < interval {
+		if now.Sub(r.startedAt) < interval {
 			return nil, false
 		}
 	}
-	r.done, r.began = make(chan struct{}), now
+	r.done, r.startedAt = make(chan struct{}), now
 	return r.done, true
 }
 
-// finishRecheck ends the recheck once the entry is certain again, or after its limit.
+// finishRecheck ends the recheck once this entry is neither isolated nor its share
+// suspended, or after the time limit.
 func (p *Peers) finishRecheck(done chan struct{}) {
 	defer close(done)
-	began := uptime.Now()
-	for p.uncertain(p.opts.Now()) && uptime.Now()-began < recheckLimit {
+	startedAt := uptime.Now()
+	for p.contactUncertain(p.opts.Now()) && uptime.Now()-startedAt < recheckLimit {
 		time.Sleep(recheckPoll)
 	}
 }
--- a/entry/peer/run.go
+++ b/entry/peer/run.go
@@ -12,73 +12,72 @@
 )
 
 const (
-	// startInterval is the pause between rounds until this entry has contracts and
-	// its share; startFor bounds that time.
+	// startInterval is the pause between rounds until this entry has contracts and its
+	// share; startupPeriod bounds that phase.
 	startInterval = 200 * time.Millisecond
-	startFor      = 10 * time.Second
-	// seedEvery is the pause between calls to the seeds while the store does not
-	// answer.
-	seedEvery = 5 * time.Second
-	// leavePoll is how often a leaving entry looks whether its share is free.
+	startupPeriod = 10 * time.Second
+	// seedInterval is the pause between calls to the seeds while the store does not answer.
+	seedInterval = 5 * time.Second
+	// leavePoll is how often a leaving entry checks whether its share is free.
 	leavePoll = 50 * time.Millisecond
 )
 
-// seedOutcome is what the last call to a seed led to.
+// seedOutcome is the result of a call to a seed.
 type seedOutcome int
 
 const (
-	// seedUnknown: not asked yet, or no answer.
+	// seedUnknown: not called yet, or no answer.
 	seedUnknown seedOutcome = iota
-	// seedNone: this entry itself answered, or nobody listens there.
+	// seedNone: this entry itself answered, or the connection was refused.
 	seedNone
 	seedPeer
 )
 
-// aloneAnswers is how many calls to a seed in a row must lead to nobody else
-// before this entry takes itself for the only one: a balancer may lead back here
-// by chance.
-const aloneAnswers = 5
+// noPeerStreak is how many consecutive calls to a seed must reach no other entry before
+// this entry considers itself the only one: a load balancer may route calls back here by
+// chance.
+const noPeerStreak = 5
 
-// seedRecord is what the calls to one seed led to.
+// seedRecord is the history of the calls to one seed.
 type seedRecord struct {
 	last seedOutcome
-	// row counts the last outcomes that were alike.
-	row int
+	// streak counts the consecutive calls with the last outcome.
+	streak int
 }
 
-func (r seedRecord) next(o seedOutcome) seedRecord {
+func (r seedRecord) record(o seedOutcome) seedRecord {
 	if o != r.last {
-		return seedRecord{last: o, row: 1}
+		return seedRecord{last: o, streak: 1}
 	}
-	return seedRecord{last: o, row: r.row + 1}
+	return seedRecord{last: o, streak: r.streak + 1}
 }
 
-func (r seedRecord) none() bool { return r.last == seedNone && r.row >= aloneAnswers }
+func (r seedRecord) noPeer() bool { return r.last == seedNone && r.streak >= noPeerStreak }
 
-// Run keeps up the exchange until ctx ends.
+// Run performs the gossip until ctx ends.
 func (p *Peers) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer p.pool.close()
 	defer calls.Wait()
 	if p.opts.Guards != nil {
-		calls.Go(func() { p.greetGuards(ctx) })
+		calls.Go(func() { p.discoverGuards(ctx) })
 	}
 	var seeded time.Time
 	for {
 		now := p.opts.Now()
 		if p.seedsDue(now, seeded) {
 			seeded = now
-			p.askSeeds(ctx, &calls)
+			p.callSeeds(ctx, &calls)
 		}
-		p.round(ctx, now, p.early.takeUrgent(), &calls)
-		if err := p.wait(ctx, p.pause(now)); err != nil {
+		p.startRound(ctx, now, p.early.takeUrgent(), &calls)
+		if err := p.waitForRound(ctx, p.roundPause(now)); err != nil {
 			return err
 		}
 	}
 }
 
-// wait waits for the next round: the pause, or until an early one is due.
-func (p *Peers) wait(ctx context.Context, pause time.Duration) error {
+// waitForRound waits for the next round: for the pause, or until an early round is due.
+func (p *Peers) waitForRound(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
@@ -88,9 +87,9 @@
 		case <-timer.C:
 			return nil
 		case <-p.early.wake:
-			wait, never := p.early.due(p.opts.Now())
+			wait, drop := p.early.reserve(p.opts.Now())
 			switch {
-			case never:
+			case drop:
 			case wait == 0:
 				return nil
 			default:
@@ -101,12 +100,12 @@
 }
 
 func (p *Peers) starting(now time.Time) bool {
-	return now.Sub(p.started) < startFor && !(p.ready() && p.joined())
+	return now.Sub(p.started) < startupPeriod && !(p.hasContracts() && p.joined())
 }
 
-// pause is jittered by a fifth, so that entries started together do not call
-// together.
-func (p *Peers) pause(now time.Time) time.Duration {
+// roundPause is jittered by a fifth, so that entries started together do not call at the
+// same time.
+func (p *Peers) roundPause(now time.Time) time.Duration {
 	d := p.opts.Interval
 	if p.starting(now) {
 		d = min(d, startInterval)
@@ -114,23 +113,24 @@
 	return d - time.Duration(p.opts.Jitter()*float64(d)/5)
 }
 
-// round exchanges with this round's peers, each in its own goroutine; an urgent
-// one with all.
-func (p *Peers) round(ctx context.Context, now time.Time, urgent bool, calls *sync.WaitGroup) {
+// startRound calls the peers selected for this round, each in its own goroutine; an
+// urgent round calls all.
+func (p *Peers) startRound(ctx context.Context, now time.Time, urgent bool, calls *sync.WaitGroup) {
 	p.refreshShare(now)
 	peers := p.opts.Members.Peers()
 	p.housekeeping(now, peers)
 	if !urgent {
-		peers = p.choose(now, peers)
+		peers = p.selectPeers(now, peers)
 	}
 	for _, peer := range peers {
-		calls.Go(func() { p.exchangeWith(ctx, peer.Info) })
+		calls.Go(func() { p.gossipWith(ctx, peer.Info) })
 	}
 }
 
-// choose returns all peers while they are few, or while this entry needs a word
-// from each: to take its share, or to borrow. Else Fanout of them at random.
-func (p *Peers) choose(now time.Time, peers []member.Peer) []member.Peer {
+// selectPeers returns all peers while they are few, or while this entry needs an answer
+// from each: to take its share, or to acquire quota leases. Otherwise it returns Fanout
+// of them at random.
+func (p *Peers) selectPeers(now time.Time, peers []member.Peer) []member.Peer {
 	if len(peers) <= p.opts.Fanout || !p.joined() || p.opts.Quota.Lacking(now) {
 		return peers
 	}
@@ -153,16 +153,16 @@
 			live++
 		}
 	}
-	p.keepStates(present)
-	p.pool.keep(addresses)
+	p.pruneStates(present)
+	p.pool.prune(addresses)
 	p.meter.peers.Update(float64(len(peers)))
 	p.meter.live.Update(float64(live))
 	p.meter.storeAge.Update(p.opts.Contracts.StoreAge(now).Seconds())
 	p.MayServe(now)
 }
 
-// seedsDue: seeds are asked at the start, and while this entry is out of touch
-// with the store, where it would find the others.
+// seedsDue reports whether to call the seeds: at startup, and while this entry has no
+// contact with the store, where it would find the other entries.
 func (p *Peers) seedsDue(now, last time.Time) bool {
 	if len(p.opts.Seeds) == 0 {
 		return false
@@ -170,18 +170,18 @@
 	if p.starting(now) {
 		return true
 	}
-	return now.Sub(last) >= seedEvery && (!p.opts.Members.InContact() || !p.joined())
+	return now.Sub(last) >= seedInterval && (!p.opts.Members.InContact() || !p.joined())
 }
 
-func (p *Peers) askSeeds(ctx context.Context, calls *sync.WaitGroup) {
+func (p *Peers) callSeeds(ctx context.Context, calls *sync.WaitGroup) {
 	for _, address := range p.opts.Seeds {
-		calls.Go(func() { p.askSeed(ctx, address) })
+		calls.Go(func() { p.callSeed(ctx, address) })
 	}
 }
 
-func (p *Peers) askSeed(ctx context.Context, address string) {
-	from, err := p.exchange(ctx, p.pool.once(address), quota.PeerID{}, nil)
-	p.noteSeed(address, outcomeOf(from, err))
+func (p *Peers) callSeed(ctx context.Context, address string) {
+	from, err := p.callExchange(ctx, p.pool.clientPerCall(address), quota.PeerID{}, nil)
+	p.recordSeed(address, outcomeOf(from, err))
 }
 
 func outcomeOf(from quota.PeerID, err error) seedOutcome {
@@ -195,42 +195,42 @@
 	}
 }
 
-func (p *Peers) noteSeed(address string, o seedOutcome) {
+func (p *Peers) recordSeed(address string, o seedOutcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seeds[address] = p.seeds[address].next(o)
+	p.seeds[address] = p.seeds[address].record(o)
 }
 
-// alone reports whether the seeds lead to no other entry. While one is silent,
-// there may be entries behind it that the store has forgotten.
-func (p *Peers) alone(now time.Time) bool {
-	if now.Sub(p.started) > aloneAfter {
+// noOtherEntries reports whether the seeds lead to no other entry. While a seed does not
+// answer, there may be entries behind it that the store no longer lists.
+func (p *Peers) noOtherEntries(now time.Time) bool {
+	if now.Sub(p.started) > noOtherEntriesTimeout {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range p.opts.Seeds {
-		if !p.seeds[address].none() {
+		if !p.seeds[address].noPeer() {
 			return false
 		}
 	}
 	return true
 }
 
-// Drain shows this entry as draining and lends nothing more, so that what it has
-// lent lapses while its last jobs end.
+// Drain marks this entry as draining and grants no more quota leases, so that those it
+// granted expire while its last jobs finish.
 func (p *Peers) Drain() {
 	p.opts.Members.SetDraining()
 	p.opts.Lease.Touch()
 	p.opts.Quota.StopLending()
 }
 
-// Leave ends this entry's part in good order, after its last job: it stops
-// lending, waits until what it lent has lapsed, and tells every peer that its
-// share is free. When ctx ends first it says nothing, and the others wait for its
-// lease to lapse.
+// Leave takes this entry out gracefully, after its last job: it stops granting quota
+// leases, waits until those it granted have expired, and announces to every peer that
+// its share is free. If ctx ends first it announces nothing, and the others wait for its
+// registration lease to expire.
 func (p *Peers) Leave(ctx context.Context) error {
-	p.left.Store(true)
+	p.leaving.Store(true)
 	p.opts.Quota.Close()
 	for !p.opts.Quota.Idle(p.opts.Now()) {
 		timer := time.NewTimer(leavePoll)
@@ -246,13 +246,13 @@
 	p.opts.Lease.Touch()
 	var calls sync.WaitGroup
 	for _, peer := range p.opts.Members.Peers() {
-		calls.Go(func() { p.sayLeft(ctx, peer.Info) })
+		calls.Go(func() { p.announceLeave(ctx, peer.Info) })
 	}
 	calls.Wait()
 	return nil
 }
 
-func (p *Peers) sayLeft(ctx context.Context, to member.Info) {
+func (p *Peers) announceLeave(ctx context.Context, to member.Info) {
 	id := quota.PeerID{ID: to.ID, Incarnation: to.Incarnation}
-	_, _ = p.exchange(ctx, p.pool.client(to.Address), id, p.state(id))
+	_, _ = p.callExchange(ctx, p.pool.client(to.Address), id, p.state(id))
 }
--- a/entry/peer/server.go
+++ b/entry/peer/server.go
@@ -19,8 +19,7 @@
 
 var _ wirev1connect.PeerServiceHandler = (*server)(nil)
 
-// Handler returns the path and the handler of PeerService for the internal
-// interface.
+// Handler returns the path and the handler of PeerService for the internal interface.
 func (p *Peers) Handler() (string, http.Handler) {
 	refused := func(ctx context.Context, req connect.AnyRequest) {
 		eventBadSecret.Log(ctx, p.opts.Logger, slog.String("from", req.Peer().Addr))
@@ -30,11 +29,11 @@
 		connect.WithInterceptors(checkSecret(p.opts.Secret, refused)))
 }
 
-var errNoName = errors.New("request without the caller's id, incarnation or address")
+var errMissingSender = errors.New("request without the caller's id, incarnation or address")
 
-// Exchange serves a peer's exchange.
+// Exchange serves a peer's gossip call.
 func (s *server) Exchange(_ context.Context, req *connect.Request[wirev1.ExchangeRequest]) (*connect.Response[wirev1.ExchangeResponse], error) {
-	resp, err := s.p.answer(req.Msg)
+	resp, err := s.p.exchangeResponse(req.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
@@ -42,10 +41,10 @@
 	return connect.NewResponse(resp), nil
 }
 
-func (p *Peers) answer(req *wirev1.ExchangeRequest) (*wirev1.ExchangeResponse, error) {
+func (p *Peers) exchangeResponse(req *wirev1.ExchangeRequest) (*wirev1.ExchangeResponse, error) {
 	from := peerID(req.GetFrom())
 	if from.ID == "" || from.Incarnation == 0 || req.GetFrom().GetAddress() == "" {
-		return nil, errNoName
+		return nil, errMissingSender
 	}
 	now := p.opts.Now()
 	if from.ID == p.opts.Members.Info().ID {
@@ -54,29 +53,29 @@
 	}
 	p.opts.Members.Heard(req.GetFrom(), now)
 	p.opts.Members.Learn(req.GetKnown())
-	// The limits count the caller before the answer says so.
+	// The limits must include the caller before the response confirms it.
 	p.refreshShare(now)
 	s := p.state(from)
-	s.told(req.GetBare())
+	s.markKnown(req.GetBare())
 	p.opts.Bare.ApplyBare(req.GetBare())
 	p.opts.Bare.ApplyUse(from.ID, req.GetBareUse())
 	differs := req.GetMembersDigest() != p.opts.Members.Digest()
-	s.setSendAll(differs)
-	return p.response(now, from, s, req, differs), nil
+	s.setSendAllMembers(differs)
+	return p.buildResponse(now, from, s, req, differs), nil
 }
 
-func (p *Peers) response(now time.Time, from quota.PeerID, s *state, req *wirev1.ExchangeRequest, differs bool) *wirev1.ExchangeResponse {
+func (p *Peers) buildResponse(now time.Time, from quota.PeerID, s *peerState, req *wirev1.ExchangeRequest, differs bool) *wirev1.ExchangeResponse {
 	resp := &wirev1.ExchangeResponse{
 		From:           p.opts.Members.Self(),
 		ConfigRevision: p.opts.Contracts.Revision(),
 		ConfigDigest:   p.opts.Contracts.Digest(),
 		StoreAgeMs:     p.storeAgeMs(now),
-		Bare:           s.news(now, p.opts.Bare.Bare()),
+		Bare:           s.unsentBare(now, p.opts.Bare.Bare()),
 		BareUse:        p.opts.Bare.Use(),
 		Known:          p.opts.Members.Known(differs || !p.opts.Members.InContact()),
 		MembersDigest:  p.opts.Members.Digest(),
-		Rooted:         p.rooted(),
-		Holding:        p.holding(),
+		Rooted:         p.membershipComplete(),
+		Holding:        p.holdsShare(),
 		Unsettled:      p.opts.Quota.Unsettled(now),
 	}
 	if len(req.GetDemand()) > 0 {
--- a/entry/peer/share.go
+++ b/entry/peer/share.go
@@ -7,16 +7,16 @@
 	"almondstand.dev/entry/quota"
 )
 
-// aloneAfter is how long an entry that no seed leads to another entry waits
+// noOtherEntriesTimeout is how long an entry whose seeds lead to no other entry waits
 // before it takes all shares, when the seeds do not answer at all.
-const aloneAfter = member.DefaultTTL
+const noOtherEntriesTimeout = member.DefaultTTL
 
-// refreshShare brings the limits up to what is known of the other entries. It
-// runs before any answer that lets a peer take its share.
+// refreshShare updates the limits to the current view of the other entries. It runs
+// before any response that lets a peer take its share.
 func (p *Peers) refreshShare(now time.Time) {
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
-	s := p.surroundings(now)
+	s := p.clusterView(now)
 	share := p.holder.Decide(now, s)
 	if p.opts.Members.Info().Left {
 		share.Holding = false
@@ -32,17 +32,17 @@
 		}
 	}
 	p.shares = present
-	p.decided.Store(&s.Contact)
-	p.cold.Store(p.holder.Cold())
+	p.shareContact.Store(&s.Contact)
+	p.withoutShare.Store(p.holder.Cold())
 	p.suspended.Store(p.holder.Suspended())
 }
 
-func (p *Peers) surroundings(now time.Time) quota.Surroundings {
+func (p *Peers) clusterView(now time.Time) quota.Surroundings {
 	s := quota.Surroundings{
 		Live:    map[quota.PeerID]bool{},
 		Rooted:  p.opts.Members.Rooted(),
-		Alone:   p.alone(now),
-		Contact: p.contact(),
+		Alone:   p.noOtherEntries(now),
+		Contact: p.lastContact(),
 	}
 	for _, peer := range p.opts.Members.Peers() {
 		id := quota.PeerID{ID: peer.Info.ID, Incarnation: peer.Info.Incarnation}
@@ -59,13 +59,13 @@
 	return p.holder.Joined()
 }
 
-func (p *Peers) rooted() bool {
+func (p *Peers) membershipComplete() bool {
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
 	return p.holder.Rooted()
 }
 
-func (p *Peers) holding() bool {
+func (p *Peers) holdsShare() bool {
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
 	return p.holder.Holding()
--- a/entry/peer/state.go
+++ b/entry/peer/state.go
@@ -8,42 +8,42 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// state is what this entry remembers of its conversation with one process of a
-// peer.
-type state struct {
+// peerState is this entry's communication state for one process of a peer.
+type peerState struct {
 	mu sync.Mutex
-	// busy: an exchange is under way. again: a round has found it so.
-	busy, again bool
-	// sendAll: the peer counts other entries than this one; tell it all.
-	sendAll bool
-	// bare holds the newest stamp of each bare endpoint that the peer has told or
-	// been told.
+	// inFlight: a gossip call is in progress. rerun: a later round found it so, and another
+	// call follows.
+	inFlight, rerun bool
+	// sendAllMembers: the peer's view of the members differs; send it the full list.
+	sendAllMembers bool
+	// bare holds, for each bare endpoint, the newest stamp that the peer has sent or been
+	// sent.
 	bare map[string]uint64
-	// leaving is since when the peer has been told that an endpoint leaves.
-	leaving map[string]time.Time
-	// config is the digest of the peer's contracts that differed from this entry's,
-	// and since when; fetched is the pair of digests of the last fetch.
-	config  uint64
-	differs time.Time
-	fetched digestPair
-	fetchAt time.Time
+	// leavingSince is when the peer was first sent the notice that an endpoint is leaving.
+	leavingSince map[string]time.Time
+	// peerDigest is the digest of the peer's contracts that differed from this entry's, and
+	// differsSince is since when; fetched is the pair of digests of the last fetch.
+	peerDigest   uint64
+	differsSince time.Time
+	fetched      digestPair
+	fetchAt      time.Time
 }
 
 type digestPair struct{ own, theirs uint64 }
 
-func (p *Peers) state(id quota.PeerID) *state {
+func (p *Peers) state(id quota.PeerID) *peerState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, known := p.states[id]
 	if !known {
-		s = &state{bare: map[string]uint64{}, sendAll: true}
+		s = &peerState{bare: map[string]uint64{}, sendAllMembers: true}
 		p.states[id] = s
 	}
 	return s
 }
 
-// keepStates drops what is remembered of processes that are gone.
-func (p *Peers) keepStates(present map[quota.PeerID]bool) {
+// pruneStates drops the state of processes that are gone.
+func (p *Peers) pruneStates(present map[quota.PeerID]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.states {
@@ -53,78 +53,78 @@
 	}
 }
 
-// begin reports whether no exchange was under way. One that is has another follow it.
-func (s *state) begin() bool {
+// tryBegin reports whether no call was in flight. If one is, another call follows it.
+func (s *peerState) tryBegin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy {
-		s.again = true
+	if s.inFlight {
+		s.rerun = true
 		return false
 	}
-	s.busy = true
+	s.inFlight = true
 	return true
 }
 
-// end reports whether another exchange is to follow at once, which is then under way.
-func (s *state) end() (again bool) {
+// end reports whether another call is to follow at once, which then counts as in flight.
+func (s *peerState) end() (rerun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	again, s.again = s.again, false
-	s.busy = again
-	return again
+	rerun, s.rerun = s.rerun, false
+	s.inFlight = rerun
+	return rerun
 }
 
-// leavingFor is how long a peer is told again and again that an endpoint leaves.
-// Every other announcement is followed by the endpoint's next one, so that one
-// that is lost with its message does little harm; this one is the last.
-const leavingFor = 15 * time.Second
+// leavingResendPeriod is how long the notice that an endpoint is leaving is resent to a
+// peer. Every other announcement is followed by the endpoint's next one, so losing one
+// with its message does little harm; this one is the last.
+const leavingResendPeriod = 15 * time.Second
 
-// news returns the announcements that the peer has not had yet, and takes them
-// as told.
-func (s *state) news(now time.Time, all []*wirev1.BareEndpoint) []*wirev1.BareEndpoint {
+// unsentBare returns the announcements that the peer does not have yet, and marks them
+// as sent.
+func (s *peerState) unsentBare(now time.Time, all []*wirev1.BareEndpoint) []*wirev1.BareEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var news []*wirev1.BareEndpoint
-	told := make(map[string]uint64, len(all))
-	leaving := map[string]time.Time{}
+	var unsent []*wirev1.BareEndpoint
+	sent := make(map[string]uint64, len(all))
+	sinceByKey := map[string]time.Time{}
 	for _, e := range all {
 		key := bareKey(e)
-		again := false
+		resend := false
 		if e.GetLeaving() {
-			since, known := s.leaving[key]
+			since, known := s.leavingSince[key]
 			if !known {
 				since = now
 			}
-			leaving[key] = since
-			again = now.Sub(since) < leavingFor
+			sinceByKey[key] = since
+			resend = now.Sub(since) < leavingResendPeriod
 		}
-		if again || e.GetStamp() > s.bare[key] {
-			news = append(news, e)
+		if resend || e.GetStamp() > s.bare[key] {
+			unsent = append(unsent, e)
 		}
-		told[key] = max(e.GetStamp(), s.bare[key])
+		sent[key] = max(e.GetStamp(), s.bare[key])
 	}
-	s.bare, s.leaving = told, leaving
-	return news
+	s.bare, s.leavingSince = sent, sinceByKey
+	return unsent
 }
 
 func bareKey(e *wirev1.BareEndpoint) string { return e.GetService() + "@" + e.GetAddress() }
 
-// untold takes back what was in a message that got no answer.
-func (s *state) untold(news []*wirev1.BareEndpoint) {
+// markUnsent reverts unsentBare for a message that got no response.
+func (s *peerState) markUnsent(unsent []*wirev1.BareEndpoint) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range news {
+	for _, e := range unsent {
 		if key := bareKey(e); s.bare[key] == e.GetStamp() {
 			delete(s.bare, key)
 		}
 	}
 }
 
-// told notes what the peer knows already.
-func (s *state) told(theirs []*wirev1.BareEndpoint) {
+// markKnown records what the peer already knows.
+func (s *peerState) markKnown(theirs []*wirev1.BareEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range theirs {
@@ -133,14 +133,14 @@
 	}
 }
 
-func (s *state) setSendAll(v bool) {
+func (s *peerState) setSendAllMembers(v bool) {
 	s.mu.Lock()
-	s.sendAll = v
+	s.sendAllMembers = v
 	s.mu.Unlock()
 }
 
-func (s *state) wantsAll() bool {
+func (s *peerState) sendsAllMembers() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sendAll
+	return s.sendAllMembers
 }
