--- a/entry/contracts/bench_test.go
+++ b/entry/contracts/bench_test.go
@@ -11,18 +11,18 @@
 	"almondstand.dev/standin/store"
 )
 
-// teams is the number of contracts the system is designed for.
-const teams = 310
+// contractCount is the number of contracts the system is designed for.
+const contractCount = 310
 
-// filled returns an entry with all contracts at their full history.
-func filled(b *testing.B) (*store.Server, *bench) {
+// fullEntry returns an entry that holds all contracts with their full history.
+func fullEntry(b *testing.B) (*store.Server, *testEntry) {
 	b.Helper()
 	s, err := store.Serve()
 	assert.NilError(b, err)
 	b.Cleanup(s.Close)
-	node := newEntry(b, s, 2*time.Second)
+	node := newTestEntryTimeout(b, s, 2*time.Second)
 	for version := range contracts.KeptVersions + 1 {
-		for i := range teams {
+		for i := range contractCount {
 			c := sample(fmt.Sprintf("team-%03d", i), float64(1+version))
 			_, err := node.writer.Apply(b.Context(), c, anyRevision)
 			assert.NilError(b, err)
@@ -32,7 +32,7 @@
 }
 
 func BenchmarkByToken(b *testing.B) {
-	_, node := filled(b)
+	_, node := fullEntry(b)
 	digest := tokenDigest("token of team-100")
 	b.ResetTimer()
 	b.ReportAllocs()
@@ -43,10 +43,10 @@
 	})
 }
 
-// BenchmarkChange is the work of one entry for one change that a peer passed
-// on. It also reports the bytes of one change and of all contracts.
+// BenchmarkChange measures one entry's work to apply one change received from a peer. It
+// also reports the size of one change and of all contracts.
 func BenchmarkChange(b *testing.B) {
-	_, node := filled(b)
+	_, node := fullEntry(b)
 	snapshot := node.registry.Snapshot()
 	all := 0
 	for _, record := range snapshot {
@@ -66,13 +66,13 @@
 	b.ReportMetric(float64(all), "B/all")
 }
 
-// BenchmarkRepair takes all contracts out of the store under four running
-// entries and waits until it holds them again; it reports the writes this took.
+// BenchmarkRepair deletes all contracts from the store under four running entries and
+// waits until the store holds them again; it reports the number of writes.
 func BenchmarkRepair(b *testing.B) {
-	s, first := filled(b)
+	s, first := fullEntry(b)
 	first.run(b)
 	for range 3 {
-		newEntry(b, s, 2*time.Second).run(b)
+		newTestEntryTimeout(b, s, 2*time.Second).run(b)
 	}
 	b.ResetTimer()
 	for range b.N {
--- a/entry/contracts/export_test.go
+++ b/entry/contracts/export_test.go
@@ -6,15 +6,15 @@
 	"almondstand.dev/platform"
 )
 
-// Poll reads everything from the store once, as Run does at its start.
-func (r *Registry) Poll(ctx context.Context) bool { return r.list(ctx).valid }
+// Poll reads all contracts from the store once, as Run does at its start.
+func (r *Registry) Poll(ctx context.Context) bool { return r.listAll(ctx).valid }
 
-// Watched takes a change of a key as the watch tells it.
+// Watched applies a change of a key as a watch event delivers it.
 func (r *Registry) Watched(ctx context.Context, kv platform.KeyValue) {
-	r.takeEvents(ctx, []platform.Event{{KeyValue: kv}})
+	r.applyEvents(ctx, []platform.Event{{KeyValue: kv}})
 }
 
-// RepairAll writes back all that the store is known to lack, each key once.
+// RepairAll writes back everything that the store is known to lack, each key once.
 func (r *Registry) RepairAll(ctx context.Context) {
 	r.repairs.mu.Lock()
 	keys := make(map[string]int64, len(r.repairs.keys))
@@ -27,7 +27,7 @@
 	}
 }
 
-// DecodeRecord reads the value of a key.
+// DecodeRecord decodes the value of a key.
 func DecodeRecord(key string, value []byte) ([]Version, error) {
 	r, err := decodeRecord(key, value)
 	if err != nil {
--- a/entry/contracts/fuzz_test.go
+++ b/entry/contracts/fuzz_test.go
@@ -9,8 +9,8 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// FuzzRecord holds that a value in the store, whoever wrote it, never makes an
-// entry panic, and that what is accepted passes the contract's own checks.
+// FuzzRecord checks that no value in the store, whoever wrote it, makes an entry panic,
+// and that every accepted value passes the contract's own checks.
 func FuzzRecord(f *testing.F) {
 	const text = `{"format":1,"revision":7,"previous":3,"written_at":"2026-01-01T00:00:00Z","contract":` +
 		`{"customer":"a","rate":1,"burst":1,"in_flight":1,"answer_time":"2s","services":["s"]},` +
@@ -30,9 +30,9 @@
 	})
 }
 
-func TestRecordWithTextAfterIsRefused(t *testing.T) {
+func TestRecordWithTrailingDataIsRejected(t *testing.T) {
 	s := newStore(t)
-	value := encoded(t, newBench(t, s), sample("karlovac", 10))
+	value := encoded(t, newTestEntry(t, s), sample("karlovac", 10))
 	for _, after := range []string{"}", "]", "{}", "x"} {
 		_, err := contracts.DecodeRecord(contracts.Key("karlovac"), append(append([]byte{}, value...), after...))
 		assert.Assert(t, err != nil, after)
--- a/entry/contracts/machine_test.go
+++ b/entry/contracts/machine_test.go
@@ -17,31 +17,31 @@
 	"almondstand.dev/standin/store"
 )
 
-// entries is the number of entries in the machine.
+// entries is the number of entries in the state machine.
 const entries = 3
 
-// machine drives the writers and registries of several entries against one
-// stand-in, and holds them to the oracle below. Every change has a rate of its
-// own, so that the rate names the change.
+// machine drives the writers and registries of several entries against one fake store,
+// and compares them with the oracle below. Every change has its own rate, so the rate
+// identifies the change.
 type machine struct {
 	store *store.Server
-	nodes []*bench
+	nodes []*testEntry
 	rate  float64
-	// lost is true while answers of writes are going to be lost.
-	lost bool
+	// losingAnswers is true while responses to writes are going to be lost.
+	losingAnswers bool
 
 	oracle oracle
 }
 
-// oracle knows of each change what its writer was told.
+// oracle records the result that each change's writer received.
 type oracle struct {
 	// accepted changes are in force or replaced by a newer accepted one.
 	accepted map[float64]int64
-	// refused changes were not made and never will be.
-	refused map[float64]bool
-	// newest is the accepted change with the highest revision, by customer.
+	// rejected changes were not made and never will be.
+	rejected map[float64]bool
+	// newest is the accepted change with the highest revision, by client.
 	newest map[string]accepted
-	// held is the highest revision seen in force, by entry and customer.
+	// held is the highest revision seen in force, by entry and client.
 	held map[string]int64
 }
 
@@ -51,12 +51,12 @@
 	retired  bool
 }
 
-var customers = []string{"karlovac", "osijek"}
+var clients = []string{"karlovac", "osijek"}
 
 func newMachine(t *rapid.T, s *store.Server) *machine {
 	m := &machine{store: s, oracle: oracle{
 		accepted: map[float64]int64{},
-		refused:  map[float64]bool{},
+		rejected: map[float64]bool{},
 		newest:   map[string]accepted{},
 		held:     map[string]int64{},
 	}}
@@ -66,7 +66,7 @@
 	return m
 }
 
-func newNode(t *rapid.T, s *store.Server) *bench {
+func newNode(t *rapid.T, s *store.Server) *testEntry {
 	client, err := etcd.New(etcd.Options{
 		Addresses:  []string{s.Address},
 		RetryPause: time.Millisecond,
@@ -77,17 +77,17 @@
 	}
 	registry := contracts.New(contracts.Options{Store: client, MinPause: time.Millisecond, MaxPause: time.Millisecond})
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: client, Registry: registry, Timeout: 30 * time.Second})
-	return &bench{store: s, client: client, registry: registry, writer: writer}
+	return &testEntry{store: s, client: client, registry: registry, writer: writer}
 }
 
-func (m *machine) node(t *rapid.T) *bench {
+func (m *machine) node(t *rapid.T) *testEntry {
 	return m.nodes[rapid.IntRange(0, entries-1).Draw(t, "entry")]
 }
 
-func customer(t *rapid.T) string { return rapid.SampledFrom(customers).Draw(t, "customer") }
+func client(t *rapid.T) string { return rapid.SampledFrom(clients).Draw(t, "customer") }
 
 // expect draws the revision in force, none, or any.
-func expect(t *rapid.T, b *bench, name string) contracts.Expect {
+func expect(t *rapid.T, b *testEntry, name string) contracts.Expect {
 	switch rapid.IntRange(0, 3).Draw(t, "expect") {
 	case 0:
 		return contracts.Expect{Revision: 0}
@@ -97,8 +97,8 @@
 	return anyRevision
 }
 
-// told records what the writer was told of a change.
-func (m *machine) told(t *rapid.T, c contract.Contract, written contracts.Written, err error) {
+// recordResult records the result that the writer returned for a change.
+func (m *machine) recordResult(t *rapid.T, c contract.Contract, written contracts.Written, err error) {
 	switch {
 	case err == nil:
 		if written.Revision <= m.oracle.newest[c.Customer].revision && !written.Superseded {
@@ -109,10 +109,9 @@
 			m.oracle.newest[c.Customer] = accepted{written.Revision, c.Rate, c.State == contract.Retired}
 		}
 	case errors.Is(err, contracts.ErrConflict):
-		m.oracle.refused[c.Rate] = true
+		m.oracle.rejected[c.Rate] = true
 	default:
-		// The store answers, though some answers are lost: nothing may stay
-		// unknown.
+		// The store answers, although some responses are lost: no outcome may stay unknown.
 		t.Fatalf("apply: %v", err)
 	}
 }
@@ -123,17 +122,17 @@
 }
 
 func (m *machine) Apply(t *rapid.T) {
-	b, c := m.node(t), m.change(customer(t))
+	b, c := m.node(t), m.change(client(t))
 	written, err := b.writer.Apply(context.Background(), c, expect(t, b, c.Customer))
-	m.told(t, c, written, err)
+	m.recordResult(t, c, written, err)
 }
 
-// Race lets two entries change one contract at the same moment.
+// Race makes two entries change one contract at the same time.
 func (m *machine) Race(t *rapid.T) {
-	name := customer(t)
+	name := client(t)
 	first, second := m.change(name), m.change(name)
 	expected := contracts.Expect{Revision: m.oracle.newest[name].revision}
-	claimed := m.claimed(name)
+	claimed := m.claimedRevision(name)
 	var wait sync.WaitGroup
 	var results [2]contracts.Written
 	var errs [2]error
@@ -148,33 +147,33 @@
 	for i, err := range errs {
 		winner := 1 - i
 		if errs[winner] == nil && errors.As(err, &conflict) && conflict.Winner.Revision != results[winner].Revision {
-			t.Fatalf("the loser was told of revision %d, not %d", conflict.Winner.Revision, results[winner].Revision)
+			t.Fatalf("the conflict contains revision %d, not %d", conflict.Winner.Revision, results[winner].Revision)
 		}
 	}
 	switch {
 	case claimed > expected.Revision:
-		m.bothToldOf(t, claimed, errs)
-	case !m.lost && errs[0] != nil && errs[1] != nil:
+		m.checkBothConflicts(t, claimed, errs)
+	case !m.losingAnswers && errs[0] != nil && errs[1] != nil:
 		t.Fatalf("neither change was accepted: %v, %v", errs[0], errs[1])
 	}
-	m.told(t, first, results[0], errs[0])
-	m.told(t, second, results[1], errs[1])
+	m.recordResult(t, first, results[0], errs[0])
+	m.recordResult(t, second, results[1], errs[1])
 }
 
-// bothToldOf holds that both operators were told of the revision that a value which
-// can't be read claims: it may be an accepted change of a newer release, and
-// neither operator has said that it may go.
-func (m *machine) bothToldOf(t *rapid.T, claimed int64, errs [2]error) {
+// checkBothConflicts checks that both writers returned a conflict with the revision that
+// an unreadable value claims: the value may be an accepted change of a newer release,
+// and neither operator has agreed to replace it.
+func (m *machine) checkBothConflicts(t *rapid.T, claimed int64, errs [2]error) {
 	for _, err := range errs {
 		var conflict *contracts.ConflictError
 		if !errors.As(err, &conflict) || conflict.Winner.Revision != claimed {
-			t.Fatalf("a value that can't be read claims revision %d, told was %v", claimed, err)
+			t.Fatalf("unreadable value claims revision %d, the writer returned %v", claimed, err)
 		}
 	}
 }
 
-// claimed is the revision of a value in the store that can't be read, or zero.
-func (m *machine) claimed(name string) int64 {
+// claimedRevision is the revision of an unreadable value in the store, or zero.
+func (m *machine) claimedRevision(name string) int64 {
 	value, _ := m.store.Value(contracts.Key(name))
 	var claim struct {
 		Revision int64 `json:"revision"`
@@ -186,9 +185,9 @@
 }
 
 func (m *machine) Retire(t *rapid.T) {
-	b, name := m.node(t), customer(t)
+	b, name := m.node(t), client(t)
 	before := m.oracle.newest[name]
-	stored := m.stores(name, before.revision)
+	stored := m.storeHolds(name, before.revision)
 	written, err := b.writer.Retire(context.Background(), name, anyRevision)
 	switch {
 	case before.revision == 0:
@@ -197,7 +196,7 @@
 		}
 	case err != nil:
 		t.Fatalf("retire: %v", err)
-	// A version that the store has lost is written anew.
+	// A version that the store has lost is written again.
 	case written.Unchanged != (before.retired && stored):
 		t.Fatalf("retired before: %v, in the store: %v, unchanged: %v", before.retired, stored, written.Unchanged)
 	case written.Unchanged && written.Revision != before.revision:
@@ -207,8 +206,8 @@
 	}
 }
 
-// stores reports whether the store holds the revision.
-func (m *machine) stores(name string, revision int64) bool {
+// storeHolds reports whether the store holds the revision.
+func (m *machine) storeHolds(name string, revision int64) bool {
 	value, _ := m.store.Value(contracts.Key(name))
 	versions, err := contracts.DecodeRecord(contracts.Key(name), value)
 	return err == nil && versions[0].Revision == revision
@@ -216,31 +215,31 @@
 
 func (m *machine) LoseAnswers(t *rapid.T) {
 	m.store.LoseAnswers(rapid.IntRange(1, 3).Draw(t, "answers"))
-	m.lost = true
+	m.losingAnswers = true
 }
 
 func (m *machine) BadValue(t *rapid.T) {
 	value := rapid.SampledFrom([]string{"", "{", "null", `{"format":2}`, `{"format":1,"revision":99,"contract":{}}`}).Draw(t, "value")
-	m.meet()
-	m.store.Put(contracts.Key(customer(t)), []byte(value))
+	m.syncAll()
+	m.store.Put(contracts.Key(client(t)), []byte(value))
 }
 
 func (m *machine) Delete(t *rapid.T) {
-	m.meet()
-	m.store.Delete(contracts.Key(customer(t)))
+	m.syncAll()
+	m.store.Delete(contracts.Key(client(t)))
 }
 
 func (m *machine) Save(*rapid.T) { m.store.Save() }
 
 func (m *machine) Restore(*rapid.T) {
-	m.meet()
+	m.syncAll()
 	m.store.Restore()
 }
 
-// meet lets all entries read all that was accepted. An entry that knows no
-// better than a store that lost a change writes over that change: a limit that
-// the design names, and not the matter of this machine.
-func (m *machine) meet() {
+// syncAll lets all entries read everything that was accepted. An entry that has not seen
+// a change which the store lost overwrites that change; the design documents this limit,
+// and this test does not cover it.
+func (m *machine) syncAll() {
 	for _, b := range m.nodes {
 		b.registry.Poll(context.Background())
 		for _, peer := range m.nodes {
@@ -264,29 +263,29 @@
 	}
 }
 
-// Restart replaces an entry by a fresh one that has read the store and asked a
+// Restart replaces an entry by a new one that has read the store and fetched from a
 // peer.
 func (m *machine) Restart(t *rapid.T) {
 	i := rapid.IntRange(0, entries-1).Draw(t, "entry")
-	m.meet()
+	m.syncAll()
 	m.nodes[i].client.Close()
 	m.nodes[i] = newNode(t, m.store)
-	for _, name := range customers {
+	for _, name := range clients {
 		delete(m.oracle.held, fmt.Sprint(i, name))
 	}
-	m.meet()
+	m.syncAll()
 }
 
-// Check holds every entry to the oracle.
+// Check compares every entry with the oracle.
 func (m *machine) Check(t *rapid.T) {
 	for i, b := range m.nodes {
-		for _, name := range customers {
+		for _, name := range clients {
 			m.checkEntry(t, fmt.Sprint(i, name), b, name)
 		}
 	}
 }
 
-func (m *machine) checkEntry(t *rapid.T, slot string, b *bench, name string) {
+func (m *machine) checkEntry(t *rapid.T, slot string, b *testEntry, name string) {
 	versions := b.registry.History(name)
 	if len(versions) == 0 {
 		if m.oracle.held[slot] > 0 {
@@ -300,8 +299,8 @@
 	}
 	m.oracle.held[slot] = now.Revision
 	for _, v := range versions {
-		if m.oracle.refused[v.Contract.Rate] {
-			t.Fatalf("entry %s holds a change that was refused", slot)
+		if m.oracle.rejected[v.Contract.Rate] {
+			t.Fatalf("entry %s holds a change that was rejected", slot)
 		}
 		if m.oracle.accepted[v.Contract.Rate] == 0 {
 			t.Fatalf("entry %s holds a change that nobody made", slot)
@@ -309,11 +308,11 @@
 	}
 }
 
-// finish lets the entries repair the store, and holds that the newest accepted
-// change is in force everywhere and in the store.
+// finish lets the entries repair the store, and checks that the newest accepted change
+// is in force everywhere and in the store.
 func (m *machine) finish(t *rapid.T) {
 	m.store.LoseAnswers(0)
-	m.meet()
+	m.syncAll()
 	for _, b := range m.nodes {
 		b.registry.Poll(context.Background())
 		b.registry.RepairAll(context.Background())
@@ -321,7 +320,7 @@
 	fresh := newNode(t, m.store)
 	defer fresh.client.Close()
 	fresh.registry.Poll(context.Background())
-	for _, name := range customers {
+	for _, name := range clients {
 		want := m.oracle.newest[name]
 		if want.revision == 0 {
 			continue
@@ -335,15 +334,15 @@
 	}
 }
 
-// unreadable reports whether the store's value can't be read: the entries
-// leave such a value alone.
+// unreadable reports whether the store's value can't be decoded: the entries do not
+// overwrite such a value.
 func (m *machine) unreadable(name string) bool {
 	value, _ := m.store.Value(contracts.Key(name))
 	_, err := contracts.DecodeRecord(contracts.Key(name), value)
 	return err != nil
 }
 
-func (m *machine) checkNewest(t *rapid.T, b *bench, name string, want accepted) {
+func (m *machine) checkNewest(t *rapid.T, b *testEntry, name string, want accepted) {
 	c, found := b.registry.ByCustomer(name)
 	revision := b.registry.Held()[contracts.Key(name)]
 	if !found || revision != want.revision || c.Rate != want.rate || (c.State == contract.Retired) != want.retired {
@@ -351,10 +350,10 @@
 	}
 }
 
-// TestMachine drives several entries through changes, races, lost answers, bad
-// values, deletions and restores of the store. What a writer was told has to
-// stay true: accepted changes are in force everywhere in the end and never go
-// back, refused ones are nowhere.
+// TestMachine drives several entries through changes, concurrent writes, lost responses,
+// invalid values, deletions and restores of the store. The results that writers returned
+// must stay true: accepted changes are in force everywhere in the end and are never
+// reverted, rejected ones are in force nowhere.
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, err := store.Serve()
--- a/entry/contracts/main_test.go
+++ b/entry/contracts/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Runs of the state machine are alike and short, unless a flag says otherwise.
+// Runs of the state machine are reproducible and short, unless a flag says otherwise.
 var machineFlags = map[string]string{"rapid.seed": "20260101", "rapid.checks": "40"}
 
 func TestMain(m *testing.M) {
--- a/entry/contracts/peers.go
+++ b/entry/contracts/peers.go
@@ -11,64 +11,65 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// ErrNotWhole means that a peer's answer is not what the peer sent, or lacks
-// records, and that nothing of it was used.
-var ErrNotWhole = errors.New("peer's answer with contracts is not whole")
+// ErrNotWhole means that a peer's response was corrupted or lacks records, and that
+// nothing of it was used.
+var ErrNotWhole = errors.New("peer's response with contracts is incomplete or corrupted")
 
-// Merge puts the records that are newer in force and returns how many were.
+// Merge applies the records that are newer than those in force and returns how many it
+// applied.
 func (r *Registry) Merge(records []*wirev1.ContractRecord) int {
-	offers := make([]offer, 0, len(records))
+	candidates := make([]candidate, 0, len(records))
 	for _, rec := range records {
-		offers = append(offers, offer{key: rec.GetKey(), value: rec.GetValue(), from: "peer"})
+		candidates = append(candidates, candidate{key: rec.GetKey(), value: rec.GetValue(), from: "peer"})
 	}
 	applied := 0
-	for _, v := range r.offer(context.Background(), offers) {
-		if v == verdictTaken {
+	for _, v := range r.applyCandidates(context.Background(), candidates) {
+		if v == resultApplied {
 			applied++
 		}
 	}
 	return applied
 }
 
-// Answer returns the records that a peer with the given revisions lacks.
+// Answer returns the records that are newer than the revisions a peer holds.
 func (r *Registry) Answer(request *wirev1.FetchContractsRequest) *wirev1.FetchContractsResponse {
 	all := r.Snapshot()
-	answer := &wirev1.FetchContractsResponse{Total: uint32(len(all))}
+	response := &wirev1.FetchContractsResponse{Total: uint32(len(all))}
 	for _, rec := range all {
-		answer.ConfigRevision = max(answer.ConfigRevision, rec.Revision)
+		response.ConfigRevision = max(response.ConfigRevision, rec.Revision)
 		if rec.Revision > request.GetHeld()[rec.Key] {
-			answer.Records = append(answer.Records, rec)
+			response.Records = append(response.Records, rec)
 		}
 	}
-	answer.Digest = recordsDigest(answer.Records)
-	return answer
+	response.Digest = recordsDigest(response.Records)
+	return response
 }
 
-// MergeAnswer merges a peer's answer after the count and the digest were
-// verified, and returns how many records came into force. A part of an answer
-// would leave this entry with some contracts in force and others unknown,
-// whose callers it would turn away as strangers.
-func (r *Registry) MergeAnswer(answer *wirev1.FetchContractsResponse) (int, error) {
-	if !r.whole(answer) {
+// MergeAnswer merges a peer's response after verifying its record count and digest, and
+// returns how many records it applied. With a part of a response this entry would have
+// some contracts in force and lack others, and would reject the callers of the missing
+// ones as unknown.
+func (r *Registry) MergeAnswer(response *wirev1.FetchContractsResponse) (int, error) {
+	if !r.isComplete(response) {
 		eventPeerRefused.Log(context.Background(), r.opts.Logger,
-			slog.Int("records", len(answer.GetRecords())), slog.Int("total", int(answer.GetTotal())))
+			slog.Int("records", len(response.GetRecords())), slog.Int("total", int(response.GetTotal())))
 		return 0, ErrNotWhole
 	}
-	return r.Merge(answer.GetRecords()), nil
+	return r.Merge(response.GetRecords()), nil
 }
 
-func (r *Registry) whole(answer *wirev1.FetchContractsResponse) bool {
-	if !bytes.Equal(answer.GetDigest(), recordsDigest(answer.GetRecords())) {
+func (r *Registry) isComplete(response *wirev1.FetchContractsResponse) bool {
+	if !bytes.Equal(response.GetDigest(), recordsDigest(response.GetRecords())) {
 		return false
 	}
 	known := r.Held()
-	for _, rec := range answer.GetRecords() {
+	for _, rec := range response.GetRecords() {
 		known[rec.GetKey()] = rec.GetRevision()
 	}
-	return len(known) >= int(answer.GetTotal())
+	return len(known) >= int(response.GetTotal())
 }
 
-// recordsDigest is the SHA-256 over the records in their order, each part led
+// recordsDigest is the SHA-256 over the records in the given order, each part preceded
 // by its length.
 func recordsDigest(records []*wirev1.ContractRecord) []byte {
 	h := sha256.New()
--- a/entry/contracts/record.go
+++ b/entry/contracts/record.go
@@ -15,48 +15,47 @@
 	"almondstand.dev/platform"
 )
 
-// Prefix is the part of the store's keys that holds the contracts.
+// Prefix is the key prefix of the contracts in the store.
 const Prefix = "contracts/"
 
-// Key returns the store's key of a customer's contract.
-func Key(customer string) string { return Prefix + customer }
+// Key returns the store key of a client's contract.
+func Key(client string) string { return Prefix + client }
 
-// format is the version of the record's form.
+// format is the version of the record encoding.
 const format = 1
 
-// KeptVersions is the number of older versions kept beside a contract. They
-// travel with every change, so that there are few.
+// KeptVersions is the number of older versions kept beside a contract. They are sent
+// with every change, so the number is small.
 const KeptVersions = 4
 
-// maxRevision bounds what is accepted as a revision, so that a hand-written
-// one leaves room for all that follow.
+// maxRevision bounds the revisions that are accepted, so that a manually written one
+// leaves enough numbers for all later changes.
 const maxRevision = 1 << 53
 
 // Version is one version of a contract.
 type Version struct {
 	// Revision orders the versions of all contracts.
 	Revision int64 `json:"revision"`
-	// Previous is the revision of the version this one replaced; zero for the
-	// first.
+	// Previous is the revision of the version that this one replaced; zero for the first.
 	Previous int64 `json:"previous"`
-	// WrittenAt is the wall clock of the entry that wrote it.
+	// WrittenAt is the wall clock time of the entry that wrote it.
 	WrittenAt time.Time         `json:"written_at"`
 	Contract  contract.Contract `json:"contract"`
 }
 
 // record is the value of one key: the version in force and those before it.
 //
-// The revision is part of the value and not the store's own revision of the
-// key, since that one goes back when the store is restored from an old copy: a
-// change made after that would be refused by every entry. The writer takes a
-// number above the store's revision and above all that the entry holds. On one
-// key the compare-and-swap makes the numbers grow.
+// The revision is part of the value rather than the store's own revision of the key,
+// because the store's goes back when it is restored from a backup, and every entry would
+// then reject a change made afterwards. The writer takes a number above the store's
+// revision and above all revisions that the entry holds. On one key the compare-and-swap
+// ensures that the numbers increase.
 type record struct {
 	Version
 	History []Version
 }
 
-// stored is the JSON form of a record.
+// stored is the JSON encoding of a record.
 type stored struct {
 	Format    int             `json:"format"`
 	Revision  int64           `json:"revision"`
@@ -82,13 +81,13 @@
 }
 
 var (
-	errFormat   = fmt.Errorf("record is not of format %d", format)
-	errRevision = fmt.Errorf("record's revision is not from 1 to %d", int64(maxRevision))
-	errTrailing = errors.New("text after the record")
-	errKey      = errors.New("record of another customer than its key")
+	errFormat   = fmt.Errorf("record format is not %d", format)
+	errRevision = fmt.Errorf("record revision is not between 1 and %d", int64(maxRevision))
+	errTrailing = errors.New("trailing data after the record")
+	errKey      = errors.New("record's client does not match its key")
 )
 
-// decodeRecord reads the value of a key strictly.
+// decodeRecord decodes the value of a key strictly.
 func decodeRecord(key string, value []byte) (*record, error) {
 	if len(value) > platform.MaxValueSize {
 		return nil, platform.ErrTooLarge
@@ -119,9 +118,9 @@
 	return &record{Version: version, History: s.History}, nil
 }
 
-// peekRevision returns the revision that a value which can't be read claims to
-// have, or zero. A newer release may have written a form that this one doesn't
-// know; its revision still counts.
+// peekRevision returns the revision that an unreadable value claims to have, or zero. A
+// newer release may have written an encoding that this one doesn't know; its revision
+// still counts.
 func peekRevision(value []byte) int64 {
 	var s struct {
 		Revision int64 `json:"revision"`
@@ -132,8 +131,8 @@
 	return s.Revision
 }
 
-// successor returns the version that replaced the one of the given revision,
-// or nil when the record no longer tells.
+// successor returns the version that replaced the one of the given revision, or nil when
+// the record's history no longer contains it.
 func (r *record) successor(of int64) *Version {
 	if r.Previous == of {
 		return &r.Version
--- a/entry/contracts/registry.go
+++ b/entry/contracts/registry.go
@@ -1,11 +1,11 @@
-// Package contracts keeps the contracts at an entry. The Registry reads them
-// from the platform's store and from peers, and serves them to requests without
-// a lock. The Writer changes them.
+// Package contracts keeps the contracts at an entry. The Registry reads them from the
+// platform's store and from peers, and serves them to requests without a lock. The
+// Writer changes them.
 //
-// A version in force is replaced by a newer one only. An older version, an
-// unreadable value and a missing key leave it in force and are logged; older
-// versions and missing keys in the store are written over with the version in
-// force, since it was accepted and every entry may be replaced one day.
+// A version in force is only replaced by a newer one. An older version, an unreadable
+// value and a missing key leave it in force and are logged; older versions and missing
+// keys in the store are overwritten with the version in force, since it was accepted and
+// the entries that hold it may all be replaced in time.
 package contracts
 
 import (
@@ -28,7 +28,7 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Values of options that were left out.
+// Defaults of Options.
 const (
 	DefaultMinPause    = 100 * time.Millisecond
 	DefaultMaxPause    = 2 * time.Second
@@ -41,21 +41,22 @@
 	Store  platform.Store
 	Logger *slog.Logger
 	Scope  tally.Scope
-	// Now is the clock; it has to carry a monotonic reading.
+	// Now is the clock; its times must have a monotonic clock reading.
 	Now func() time.Time
-	// Jitter returns a number in [0,1) that spreads the pauses.
+	// Jitter returns a number in [0,1) that randomizes the pauses.
 	Jitter func() float64
-	// MinPause and MaxPause bound the pause after a failed call; it doubles.
+	// MinPause and MaxPause bound the pause after a failed call, which doubles with each
+	// failure.
 	MinPause time.Duration
 	MaxPause time.Duration
-	// Relist is the time after which everything is read again, in case that a
-	// change was missed unnoticed.
+	// Relist is the time after which all contracts are listed again, in case the watch
+	// missed a change unnoticed.
 	Relist time.Duration
-	// RepairPause is the mean time between two writes of repairs.
+	// RepairPause is the mean time between two repair writes.
 	RepairPause time.Duration
 }
 
-func (o *Options) complete() {
+func (o *Options) setDefaults() {
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
@@ -84,14 +85,14 @@
 type Registry struct {
 	opts    Options
 	current atomic.Pointer[snapshot]
-	// contact is when the store last answered.
-	contact atomic.Pointer[time.Time]
-	listed  atomic.Bool
-	// complaints are the times of the last records of failures, by event; only
-	// the loop of Run uses them.
-	complaints map[int]time.Time
+	// lastContact is when the store last answered.
+	lastContact atomic.Pointer[time.Time]
+	listed      atomic.Bool
+	// failureLogged are the times at which each failure event was last logged; only the loop
+	// of Run uses it.
+	failureLogged map[int]time.Time
 
-	// mu orders changes; readers don't take it.
+	// mu serializes changes; readers don't take it.
 	mu       sync.Mutex
 	onChange []func(contract.Contract)
 	// unreadable are the hashes of the last unreadable values, by key.
@@ -101,77 +102,75 @@
 }
 
 type metrics struct {
-	contracts tally.Gauge
-	revision  tally.Gauge
-	refused   tally.Counter
-	bad       tally.Counter
-	lists     tally.Counter
-	watches   tally.Counter
+	contracts  tally.Gauge
+	revision   tally.Gauge
+	rejected   tally.Counter
+	unreadable tally.Counter
+	lists      tally.Counter
+	watches    tally.Counter
 }
 
 // New returns an empty registry; Run fills it.
 func New(opts Options) *Registry {
-	opts.complete()
+	opts.setDefaults()
 	r := &Registry{
-		opts:       opts,
-		complaints: map[int]time.Time{},
-		unreadable: map[string]uint64{},
-		repairs:    newRepairs(),
+		opts:          opts,
+		failureLogged: map[int]time.Time{},
+		unreadable:    map[string]uint64{},
+		repairs:       newRepairs(),
 		metrics: metrics{
-			contracts: opts.Scope.Gauge("contracts_held"),
-			revision:  opts.Scope.Gauge("contracts_revision"),
-			refused:   opts.Scope.Counter("contracts_refused"),
-			bad:       opts.Scope.Counter("contracts_unreadable"),
-			lists:     opts.Scope.Counter("contracts_lists"),
-			watches:   opts.Scope.Counter("contracts_watches"),
+			contracts:  opts.Scope.Gauge("contracts_held"),
+			revision:   opts.Scope.Gauge("contracts_revision"),
+			rejected:   opts.Scope.Counter("contracts_refused"),
+			unreadable: opts.Scope.Counter("contracts_unreadable"),
+			lists:      opts.Scope.Counter("contracts_lists"),
+			watches:    opts.Scope.Counter("contracts_watches"),
 		},
 	}
-	empty, _ := newSnapshot(map[string]*held{})
+	empty, _ := newSnapshot(map[string]*heldContract{})
 	r.current.Store(empty)
 	return r
 }
 
-// ByToken returns the active or retired contract that names the SHA-256 of the
-// token.
+// ByToken returns the active or retired contract that lists the SHA-256 of the token.
 func (r *Registry) ByToken(digest [32]byte) (contract.Contract, bool) {
-	return r.current.Load().find(digest)
+	return r.current.Load().lookup(digest)
 }
 
-// ByCustomer returns a customer's contract.
+// ByCustomer returns a client's contract.
 func (r *Registry) ByCustomer(name string) (contract.Contract, bool) {
-	h, found := r.current.Load().byCustomer[name]
+	h, found := r.current.Load().byClient[name]
 	if !found {
 		return contract.Contract{}, false
 	}
 	return h.record.Contract, true
 }
 
-// All returns all contracts in the order of the customers' names.
+// All returns all contracts, sorted by client name.
 func (r *Registry) All() []contract.Contract {
 	s := r.current.Load()
-	all := make([]contract.Contract, 0, len(s.byCustomer))
-	for _, name := range slices.Sorted(maps.Keys(s.byCustomer)) {
-		all = append(all, s.byCustomer[name].record.Contract)
+	all := make([]contract.Contract, 0, len(s.byClient))
+	for _, name := range slices.Sorted(maps.Keys(s.byClient)) {
+		all = append(all, s.byClient[name].record.Contract)
 	}
 	return all
 }
 
-// History returns the kept versions of a customer's contract, the one in force
-// first.
-func (r *Registry) History(customer string) []Version {
-	h, found := r.current.Load().byCustomer[customer]
+// History returns the kept versions of a client's contract, the one in force first.
+func (r *Registry) History(client string) []Version {
+	h, found := r.current.Load().byClient[client]
 	if !found {
 		return nil
 	}
 	return h.record.versions()
 }
 
-// Snapshot returns every contract as the store holds it, by key.
+// Snapshot returns every contract with its key and the value as stored.
 func (r *Registry) Snapshot() []*wirev1.ContractRecord {
 	s := r.current.Load()
-	all := make([]*wirev1.ContractRecord, 0, len(s.byCustomer))
-	for _, name := range slices.Sorted(maps.Keys(s.byCustomer)) {
-		h := s.byCustomer[name]
+	all := make([]*wirev1.ContractRecord, 0, len(s.byClient))
+	for _, name := range slices.Sorted(maps.Keys(s.byClient)) {
+		h := s.byClient[name]
 		all = append(all, &wirev1.ContractRecord{Key: h.key, Revision: h.record.Revision, Value: h.value})
 	}
 	return all
@@ -180,8 +179,8 @@
 // Held returns the revision in force of each key.
 func (r *Registry) Held() map[string]int64 {
 	s := r.current.Load()
-	all := make(map[string]int64, len(s.byCustomer))
-	for _, h := range s.byCustomer {
+	all := make(map[string]int64, len(s.byClient))
+	for _, h := range s.byClient {
 		all[h.key] = h.record.Revision
 	}
 	return all
@@ -190,29 +189,29 @@
 // Revision returns the highest revision held.
 func (r *Registry) Revision() int64 { return r.current.Load().revision }
 
-// Digest is equal at two entries that hold the same versions.
+// Digest is equal at entries that hold the same versions.
 func (r *Registry) Digest() uint64 { return r.current.Load().digest }
 
 // Listed reports whether the store was read in full since the start.
 func (r *Registry) Listed() bool { return r.listed.Load() }
 
-// StoreAge returns the time since the store last answered, and the longest
-// time there is when it never has.
+// StoreAge returns the time since the store last answered, or the maximum duration if it
+// never has.
 func (r *Registry) StoreAge(now time.Time) time.Duration {
-	at := r.contact.Load()
+	at := r.lastContact.Load()
 	if at == nil {
 		return math.MaxInt64
 	}
 	return max(0, now.Sub(*at))
 }
 
-func (r *Registry) heard() {
+func (r *Registry) recordContact() {
 	now := r.opts.Now()
-	r.contact.Store(&now)
+	r.lastContact.Store(&now)
 }
 
-// OnChange calls f for each contract held, and then for each version that
-// comes into force, in order. f must not block and must not change contracts.
+// OnChange calls f for each contract held, and then for each version that comes into
+// force, in order. f must not block and must not change contracts.
 func (r *Registry) OnChange(f func(contract.Contract)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,102 +221,102 @@
 	}
 }
 
-// offer is a version that the store or a peer holds.
-type offer struct {
+// candidate is a version that the store or a peer holds, or that the writer has written.
+type candidate struct {
 	key   string
 	value []byte
-	// from says who holds it, for the log.
+	// from names the source for the log.
 	from string
 }
 
-// verdict is what became of an offer.
-type verdict int
+// applyResult is the result of applying a candidate.
+type applyResult int
 
 const (
-	// verdictTaken: it is newer and in force now.
-	verdictTaken verdict = iota
-	// verdictSame: it is in force already.
-	verdictSame
-	// verdictOlder: a newer one is in force.
-	verdictOlder
-	// verdictUnreadable: it can't be read.
-	verdictUnreadable
+	// resultApplied: it is newer and in force now.
+	resultApplied applyResult = iota
+	// resultSame: it is in force already.
+	resultSame
+	// resultOlder: a newer one is in force.
+	resultOlder
+	// resultUnreadable: it can't be decoded.
+	resultUnreadable
 )
 
-// offer puts the newer ones of the versions in force, all at once, and returns
-// a verdict for each.
-func (r *Registry) offer(ctx context.Context, offers []offer) []verdict {
+// applyCandidates puts the candidates that are newer in force, all at once, and returns
+// a result for each.
+func (r *Registry) applyCandidates(ctx context.Context, candidates []candidate) []applyResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current.Load()
-	verdicts := make([]verdict, len(offers))
-	changed := map[string]*held{}
-	for i, o := range offers {
-		verdicts[i] = r.judge(ctx, s, changed, o)
+	results := make([]applyResult, len(candidates))
+	changed := map[string]*heldContract{}
+	for i, c := range candidates {
+		results[i] = r.evaluate(ctx, s, changed, c)
 	}
 	if len(changed) > 0 {
 		r.publish(ctx, s, changed)
 	}
-	return verdicts
+	return results
 }
 
-func (r *Registry) judge(ctx context.Context, s *snapshot, changed map[string]*held, o offer) verdict {
-	rec, err := decodeRecord(o.key, o.value)
+func (r *Registry) evaluate(ctx context.Context, s *snapshot, changed map[string]*heldContract, c candidate) applyResult {
+	rec, err := decodeRecord(c.key, c.value)
 	if err != nil {
-		r.metrics.bad.Inc(1)
-		r.logUnreadable(ctx, o, err)
-		return verdictUnreadable
+		r.metrics.unreadable.Inc(1)
+		r.logUnreadable(ctx, c, err)
+		return resultUnreadable
 	}
-	customer := rec.Contract.Customer
-	now, found := changed[customer]
+	client := rec.Contract.Customer
+	current, found := changed[client]
 	if !found {
-		now, found = s.byCustomer[customer]
+		current, found = s.byClient[client]
 	}
-	offered := newHeld(o.key, o.value, rec)
-	if found && offered.sum == now.sum {
-		return verdictSame
+	update := newHeldContract(c.key, c.value, rec)
+	if found && update.checksum == current.checksum {
+		return resultSame
 	}
-	if found && !newer(offered, now) {
-		r.metrics.refused.Inc(1)
-		return verdictOlder
+	if found && !newer(update, current) {
+		r.metrics.rejected.Inc(1)
+		return resultOlder
 	}
-	changed[customer] = offered
-	return verdictTaken
+	changed[client] = update
+	return resultApplied
 }
 
-// logUnreadable logs a value once: peers offer it again at each exchange.
-func (r *Registry) logUnreadable(ctx context.Context, o offer, cause error) {
-	sum := xxhash.Sum64(o.value)
-	if last, logged := r.unreadable[o.key]; logged && last == sum {
+// logUnreadable logs a value once, because peers send it again at each fetch.
+func (r *Registry) logUnreadable(ctx context.Context, c candidate, cause error) {
+	sum := xxhash.Sum64(c.value)
+	if last, logged := r.unreadable[c.key]; logged && last == sum {
 		return
 	}
-	r.unreadable[o.key] = sum
-	eventUnreadable.Log(ctx, r.opts.Logger, slog.String("key", o.key),
-		slog.String("from", o.from), slog.Any("cause", cause))
+	r.unreadable[c.key] = sum
+	eventUnreadable.Log(ctx, r.opts.Logger, slog.String("key", c.key),
+		slog.String("from", c.from), slog.Any("cause", cause))
 }
 
-// newer orders two versions of one contract. Equal revisions with different
-// values arise when the store was restored from an old copy and an entry that
-// didn't know better wrote to it: all entries then have to choose alike.
-func newer(a, b *held) bool {
+// newer orders two versions of one contract. Different values with equal revisions arise
+// when the store was restored from a backup and an entry that had not seen the lost
+// version wrote to it: all entries must then choose the same one.
+func newer(a, b *heldContract) bool {
 	if a.record.Revision != b.record.Revision {
 		return a.record.Revision > b.record.Revision
 	}
 	return bytes.Compare(a.value, b.value) > 0
 }
 
-func (r *Registry) publish(ctx context.Context, s *snapshot, changed map[string]*held) {
-	next, clashes := s.with(changed)
+func (r *Registry) publish(ctx context.Context, s *snapshot, changed map[string]*heldContract) {
+	next, conflicts := s.withChanges(changed)
 	r.current.Store(next)
-	r.metrics.contracts.Update(float64(len(next.byCustomer)))
+	r.metrics.contracts.Update(float64(len(next.byClient)))
 	r.metrics.revision.Update(float64(next.revision))
-	for _, c := range clashes {
+	for _, c := range conflicts {
 		eventTokenTwice.Log(ctx, r.opts.Logger, slog.String("used", c.used), slog.String("ignored", c.ignored))
 	}
-	for _, customer := range slices.Sorted(maps.Keys(changed)) {
-		c := changed[customer].record.Contract
-		eventApplied.Log(ctx, r.opts.Logger, slog.String("customer", customer),
-			slog.Int64("revision", changed[customer].record.Revision), slog.String("state", string(c.State)))
+	for _, client := range slices.Sorted(maps.Keys(changed)) {
+		c := changed[client].record.Contract
+		eventApplied.Log(ctx, r.opts.Logger, slog.String("customer", client),
+			slog.Int64("revision", changed[client].record.Revision), slog.String("state", string(c.State)))
 		for _, f := range r.onChange {
 			f(c)
 		}
--- a/entry/contracts/registry_test.go
+++ b/entry/contracts/registry_test.go
@@ -24,8 +24,8 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// bench is a stand-in of the store with one entry's registry and writer.
-type bench struct {
+// testEntry is one entry's registry and writer with a fake store.
+type testEntry struct {
 	store    *store.Server
 	client   *etcd.Client
 	registry *contracts.Registry
@@ -41,20 +41,21 @@
 	return s
 }
 
-// newBench adds an entry to the store.
-func newBench(t *testing.T, s *store.Server) *bench {
+// newTestEntry adds an entry to the store.
+func newTestEntry(t *testing.T, s *store.Server) *testEntry {
 	t.Helper()
-	return newEntry(t, s, 300*time.Millisecond)
+	return newTestEntryTimeout(t, s, 300*time.Millisecond)
 }
 
-// newEntry adds an entry that waits so long for one answer of the store.
-func newEntry(t testing.TB, s *store.Server, patience time.Duration) *bench {
+// newTestEntryTimeout adds an entry with the given timeout for one response of the
+// store.
+func newTestEntryTimeout(t testing.TB, s *store.Server, timeout time.Duration) *testEntry {
 	t.Helper()
 	client, err := etcd.New(etcd.Options{
 		Addresses:      []string{s.Address},
-		Timeout:        3 * patience,
-		AttemptTimeout: patience,
-		WatchIdle:      patience,
+		Timeout:        3 * timeout,
+		AttemptTimeout: timeout,
+		WatchIdle:      timeout,
 		RetryPause:     5 * time.Millisecond,
 	})
 	assert.NilError(t, err)
@@ -66,11 +67,11 @@
 		RepairPause: 5 * time.Millisecond,
 	})
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: client, Registry: registry, Timeout: 3 * time.Second})
-	return &bench{store: s, client: client, registry: registry, writer: writer}
+	return &testEntry{store: s, client: client, registry: registry, writer: writer}
 }
 
 // run starts the registry's loop.
-func (b *bench) run(t testing.TB) {
+func (b *testEntry) run(t testing.TB) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -102,7 +103,7 @@
 
 var anyRevision = contracts.Expect{AnyRevision: true}
 
-func (b *bench) apply(t *testing.T, c contract.Contract) int64 {
+func (b *testEntry) apply(t *testing.T, c contract.Contract) int64 {
 	t.Helper()
 	written, err := b.writer.Apply(t.Context(), c, anyRevision)
 	assert.NilError(t, err)
@@ -120,8 +121,8 @@
 	}, poll.WithDelay(2*time.Millisecond), poll.WithTimeout(20*time.Second))
 }
 
-// holds waits until the customer's contract has the rate at the entry.
-func (b *bench) holds(t *testing.T, customer string, rate float64) {
+// waitForRate waits until the client's contract has the rate at the entry.
+func (b *testEntry) waitForRate(t *testing.T, customer string, rate float64) {
 	t.Helper()
 	eventually(t, "contract of "+customer+" in force", func() bool {
 		c, found := b.registry.ByCustomer(customer)
@@ -131,11 +132,11 @@
 
 func TestChangeReachesEveryEntry(t *testing.T) {
 	s := newStore(t)
-	first, second := newBench(t, s), newBench(t, s)
+	first, second := newTestEntry(t, s), newTestEntry(t, s)
 	first.run(t)
 	second.run(t)
 	revision := first.apply(t, sample("karlovac", 10))
-	second.holds(t, "karlovac", 10)
+	second.waitForRate(t, "karlovac", 10)
 	assert.Equal(t, second.registry.Held()["contracts/karlovac"], revision)
 	assert.Equal(t, second.registry.Digest(), first.registry.Digest())
 
@@ -146,44 +147,43 @@
 	assert.Assert(t, !found)
 }
 
-// A lost watch looks to the entry like a store where nothing happens. The
-// change made meanwhile has to arrive all the same, without reading everything
-// again.
+// To the entry, a broken watch looks like a store without changes. A change made
+// meanwhile must still arrive, without listing everything again.
 func TestChangeDuringLostWatch(t *testing.T) {
-	lose := map[string]func(*store.Server){
+	breakWatch := map[string]func(*store.Server){
 		"cut":        func(s *store.Server) { s.CutWatches() },
 		"silent":     func(s *store.Server) { s.SilenceWatches() },
 		"refused":    func(s *store.Server) { s.SetMode(store.Refuse); s.CutWatches() },
 		"store down": func(s *store.Server) { s.SetMode(store.Down); s.CutWatches() },
 		"store hung": func(s *store.Server) { s.SetMode(store.Silent); s.SilenceWatches() },
 	}
-	for name, act := range lose {
+	for name, act := range breakWatch {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(t)
-			b, other := newBench(t, s), newBench(t, s)
+			b, other := newTestEntry(t, s), newTestEntry(t, s)
 			b.run(t)
 			other.apply(t, sample("karlovac", 10))
-			b.holds(t, "karlovac", 10)
+			b.waitForRate(t, "karlovac", 10)
 			lists := s.Counts()["range"]
 			act(s)
-			b.holds(t, "karlovac", 10)
+			b.waitForRate(t, "karlovac", 10)
 			s.SetMode(store.Up)
 			other.apply(t, sample("karlovac", 20))
-			b.holds(t, "karlovac", 20)
-			// One range is the other entry's, before its swap.
+			b.waitForRate(t, "karlovac", 20)
+			// One range request is the other entry's, before its swap.
 			assert.Equal(t, s.Counts()["range"], lists+1)
 		})
 	}
 }
 
-// The store forgets its history while the watch is cut. The changes in between
-// can't be watched any more and have to be read.
+// The store compacts its history while the watch is broken. The changes in between can
+// no longer be watched and must be listed.
 func TestChangeBeforeCompaction(t *testing.T) {
 	s := newStore(t)
-	b, other := newBench(t, s), newBench(t, s)
+	b, other := newTestEntry(t, s), newTestEntry(t, s)
 	b.run(t)
 	other.apply(t, sample("karlovac", 10))
-	b.holds(t, "karlovac", 10)
+	b.waitForRate(t, "karlovac", 10)
 	s.SetMode(store.Refuse)
 	s.CutWatches()
 	watches := s.Counts()["watch"]
@@ -191,25 +191,25 @@
 	b.store.Put(contracts.Key("osijek"), encoded(t, other, sample("osijek", 30)))
 	s.Compact()
 	s.SetMode(store.Up)
-	b.holds(t, "osijek", 30)
+	b.waitForRate(t, "osijek", 30)
 }
 
-// encoded returns the value that an entry would write for a first contract.
-func encoded(t *testing.T, b *bench, c contract.Contract) []byte {
+// encoded returns the value that an entry would write for a client's first contract.
+func encoded(t *testing.T, b *testEntry, c contract.Contract) []byte {
 	t.Helper()
 	s := newStore(t)
-	alone := newBench(t, s)
-	alone.apply(t, c)
+	other := newTestEntry(t, s)
+	other.apply(t, c)
 	value, _ := s.Value(contracts.Key(c.Customer))
 	return value
 }
 
-// The store is restored from a copy made before two changes. The entries keep
-// what they accepted, write it back, and a later change counts, although the
-// store's own revisions are lower than before.
+// The store is restored from a backup made before two changes. The entries must keep
+// what they accepted and write it back, and a later change must take effect, although
+// the store's own revisions are lower than before.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	s := newStore(t)
-	b, other := newBench(t, s), newBench(t, s)
+	b, other := newTestEntry(t, s), newTestEntry(t, s)
 	b.run(t)
 	other.run(t)
 	b.apply(t, sample("karlovac", 10))
@@ -218,49 +218,49 @@
 		b.apply(t, sample("karlovac", float64(20+i)))
 	}
 	b.apply(t, sample("osijek", 30))
-	other.holds(t, "karlovac", 24)
-	other.holds(t, "osijek", 30)
+	other.waitForRate(t, "karlovac", 24)
+	other.waitForRate(t, "osijek", 30)
 	assert.Assert(t, s.Restore())
 
 	eventually(t, "the store to hold the newest again", func() bool {
-		fresh := newBench(t, s)
+		fresh := newTestEntry(t, s)
 		fresh.registry.Poll(t.Context())
 		return fresh.registry.Digest() == other.registry.Digest()
 	})
 	c, _ := b.registry.ByCustomer("karlovac")
 	assert.Equal(t, c.Rate, 24.0)
 	other.apply(t, sample("karlovac", 40))
-	b.holds(t, "karlovac", 40)
+	b.waitForRate(t, "karlovac", 40)
 }
 
-// Someone writes past the entries. The last good contract has to stay in force;
-// applying it again mends the store.
-func TestBadValueBehindOurBack(t *testing.T) {
+// Values are written to the store without going through the entries. The last valid
+// contract must stay in force, and applying it again must repair the store.
+func TestInvalidValueWrittenPastTheEntries(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	b.run(t)
 	revision := b.apply(t, sample("karlovac", 10))
 	s.Put(contracts.Key("karlovac"), []byte(`{"format":1}`))
 	s.Put(contracts.Key("osijek"), []byte(`not JSON`))
 	b.apply(t, sample("varazdin", 5)) // Comes after the bad values on the watch.
-	b.holds(t, "varazdin", 5)
-	b.holds(t, "karlovac", 10)
+	b.waitForRate(t, "varazdin", 5)
+	b.waitForRate(t, "karlovac", 10)
 	_, found := b.registry.ByCustomer("osijek")
 	assert.Assert(t, !found)
 
 	written, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: revision})
 	assert.NilError(t, err)
-	fresh := newBench(t, s)
+	fresh := newTestEntry(t, s)
 	fresh.registry.Poll(t.Context())
-	fresh.holds(t, "karlovac", 20)
+	fresh.waitForRate(t, "karlovac", 20)
 	assert.Assert(t, written.Revision > revision)
 }
 
-// A record under another customer's key would put one customer's limits and
-// tokens in place of another's.
+// A record under another client's key would replace that client's limits and tokens with
+// its own.
 func TestRecordUnderAnotherKey(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	s.Put(contracts.Key("osijek"), encoded(t, b, sample("karlovac", 10)))
 	assert.Assert(t, b.registry.Poll(t.Context()))
 	assert.Equal(t, len(b.registry.All()), 0)
@@ -268,7 +268,7 @@
 
 func TestDeletedKeyStaysInForceAndIsWrittenBack(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	b.run(t)
 	b.apply(t, sample("karlovac", 10))
 	s.Delete(contracts.Key("karlovac"))
@@ -276,24 +276,24 @@
 		value, _ := s.Value(contracts.Key("karlovac"))
 		return value != nil
 	})
-	b.holds(t, "karlovac", 10)
+	b.waitForRate(t, "karlovac", 10)
 }
 
-// An entry starts while the store is down. It gets the contracts from a peer,
-// whole or not at all.
-func TestFreshEntryDuringOutage(t *testing.T) {
+// An entry starts while the store is down. It must get the contracts from a peer,
+// completely or not at all.
+func TestNewEntryDuringOutage(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	b.apply(t, sample("karlovac", 10))
 	b.apply(t, sample("osijek", 20))
 	s.SetMode(store.Down)
-	fresh := newBench(t, s)
+	fresh := newTestEntry(t, s)
 	assert.Assert(t, !fresh.registry.Poll(t.Context()))
 	answer := b.registry.Answer(&wirev1.FetchContractsRequest{Held: fresh.registry.Held()})
 
-	cut := proto.Clone(answer).(*wirev1.FetchContractsResponse)
-	cut.Records = cut.Records[:1]
-	_, err := fresh.registry.MergeAnswer(cut)
+	truncated := proto.Clone(answer).(*wirev1.FetchContractsResponse)
+	truncated.Records = truncated.Records[:1]
+	_, err := fresh.registry.MergeAnswer(truncated)
 	assert.ErrorIs(t, err, contracts.ErrNotWhole)
 	changed := proto.Clone(answer).(*wirev1.FetchContractsResponse)
 	changed.Records[0].Revision++
@@ -311,11 +311,11 @@
 	assert.NilError(t, err)
 }
 
-// An answer is for the contracts that its request named as held. At an entry
-// that doesn't hold them it is only a part.
-func TestPeerAnswerForAnotherEntry(t *testing.T) {
+// A response contains what the requesting entry does not hold. At an entry that holds
+// less it is incomplete.
+func TestPeerResponseForAnotherEntry(t *testing.T) {
 	s := newStore(t)
-	b, fresh := newBench(t, s), newBench(t, s)
+	b, fresh := newTestEntry(t, s), newTestEntry(t, s)
 	b.apply(t, sample("karlovac", 10))
 	held := b.registry.Held()
 	b.apply(t, sample("osijek", 20))
@@ -324,22 +324,22 @@
 	assert.Equal(t, len(fresh.registry.All()), 0)
 }
 
-func TestOlderRecordFromPeerIsRefused(t *testing.T) {
+func TestOlderRecordFromPeerIsRejected(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	b.apply(t, sample("karlovac", 10))
 	old := b.registry.Snapshot()
 	b.apply(t, sample("karlovac", 20))
 	assert.Equal(t, b.registry.Merge(old), 0)
-	b.holds(t, "karlovac", 20)
+	b.waitForRate(t, "karlovac", 20)
 }
 
-// A watch resumes and tells an old change of a key whose newest version a peer has
-// brought already. Nothing is wrong, so no operator is alarmed. After a restore
-// from an old copy the store holds the old version for good: that is told.
-func TestOnlyARestoredStoreAlarms(t *testing.T) {
+// A resumed watch delivers an old change of a key whose newest version already came from
+// a peer. Nothing is wrong, so no alarm may be logged. After a restore from a backup the
+// store keeps the old version: that must be logged.
+func TestOnlyARestoredStoreRaisesTheAlarm(t *testing.T) {
 	s := newStore(t)
-	other := newBench(t, s)
+	other := newTestEntry(t, s)
 	var out bytes.Buffer
 	registry := contracts.New(contracts.Options{Store: other.client, Logger: slog.New(slog.NewTextHandler(&out, nil))})
 	alarms := func() int { return strings.Count(out.String(), "event=1401") }
@@ -360,11 +360,11 @@
 	assert.Equal(t, alarms(), 1, out.String())
 }
 
-// Two entries can hold different values of one revision after a restore. They
-// have to choose alike, whichever comes first.
-func TestEqualRevisionsAreChosenAlike(t *testing.T) {
+// Two entries can hold different values with one revision after a restore. They must
+// choose the same one, whichever arrives first.
+func TestEqualRevisionsResolveAlike(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	first, second := encoded(t, b, sample("karlovac", 10)), encoded(t, b, sample("karlovac", 20))
 	record := func(value []byte) []*wirev1.ContractRecord {
 		return []*wirev1.ContractRecord{{Key: contracts.Key("karlovac"), Value: value}}
@@ -374,7 +374,7 @@
 	others, err := contracts.DecodeRecord(contracts.Key("karlovac"), second)
 	assert.NilError(t, err)
 	assert.Equal(t, versions[0].Revision, others[0].Revision)
-	other := newBench(t, s)
+	other := newTestEntry(t, s)
 	b.registry.Merge(record(first))
 	b.registry.Merge(record(second))
 	other.registry.Merge(record(second))
@@ -383,38 +383,38 @@
 	assert.Equal(t, b.registry.Digest(), other.registry.Digest())
 }
 
-// Two customers' contracts name one token by mistake. The token must count for
-// the same one at every entry, and the operators' interface refuses the second.
-func TestTokenOfTwoCustomers(t *testing.T) {
+// Two clients' contracts list the same token by mistake. The token must belong to the
+// same client at every entry, and the writer must reject the second contract.
+func TestTokenOfTwoClients(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
-	thief := sample("zagreb", 10)
-	thief.TokenDigests = sample("osijek", 1).TokenDigests
-	b.registry.Merge([]*wirev1.ContractRecord{{Key: contracts.Key("zagreb"), Value: encoded(t, b, thief)}})
+	b := newTestEntry(t, s)
+	duplicate := sample("zagreb", 10)
+	duplicate.TokenDigests = sample("osijek", 1).TokenDigests
+	b.registry.Merge([]*wirev1.ContractRecord{{Key: contracts.Key("zagreb"), Value: encoded(t, b, duplicate)}})
 	b.registry.Merge([]*wirev1.ContractRecord{{Key: contracts.Key("osijek"), Value: encoded(t, b, sample("osijek", 5))}})
 	c, found := b.registry.ByToken(tokenDigest("token of osijek"))
 	assert.Assert(t, found)
 	assert.Equal(t, c.Customer, "osijek")
 
-	_, err := b.writer.Apply(t.Context(), thief, anyRevision)
+	_, err := b.writer.Apply(t.Context(), duplicate, anyRevision)
 	var invalid *contract.Invalid
 	assert.Assert(t, errors.As(err, &invalid))
 	assert.Equal(t, invalid.Problems[0].Path, "token_digests[0]")
 }
 
-func TestStoreAgeGrowsWhileTheStoreIsSilent(t *testing.T) {
+func TestStoreAgeGrowsWhileTheStoreDoesNotAnswer(t *testing.T) {
 	s := newStore(t)
-	var ahead atomic.Int64
-	client := newBench(t, s).client
+	var clockOffset atomic.Int64
+	client := newTestEntry(t, s).client
 	registry := contracts.New(contracts.Options{
 		Store: client,
-		Now:   func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) },
+		Now:   func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) },
 	})
 	assert.Equal(t, registry.StoreAge(time.Now()), time.Duration(math.MaxInt64))
 	assert.Assert(t, registry.Poll(t.Context()))
 	assert.Assert(t, registry.StoreAge(time.Now().Add(time.Hour)) >= 59*time.Minute)
 	s.SetMode(store.Refuse)
-	ahead.Store(int64(2 * time.Hour))
+	clockOffset.Store(int64(2 * time.Hour))
 	assert.Assert(t, !registry.Poll(t.Context()))
 	assert.Assert(t, registry.StoreAge(time.Now().Add(2*time.Hour)) >= 119*time.Minute)
 	s.SetMode(store.Up)
@@ -424,7 +424,7 @@
 
 func TestOnChangeSeesHeldAndNewOnesInOrder(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	b.apply(t, sample("karlovac", 1))
 	var rates []float64
 	b.registry.OnChange(func(c contract.Contract) { rates = append(rates, c.Rate) })
--- a/entry/contracts/repair.go
+++ b/entry/contracts/repair.go
@@ -11,8 +11,8 @@
 	"almondstand.dev/platform"
 )
 
-// repairs are the keys of which the store holds an older version than the one
-// in force, or none, with the store's revision of the key.
+// repairs are the keys for which the store holds an older version than the one in force,
+// or none, with the store's revision of the key.
 type repairs struct {
 	mu   *sync.Mutex
 	keys map[string]int64
@@ -20,21 +20,21 @@
 
 func newRepairs() repairs { return repairs{mu: &sync.Mutex{}, keys: map[string]int64{}} }
 
-func (r repairs) need(key string, modRevision int64) {
+func (r repairs) add(key string, modRevision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.keys[key] = modRevision
 }
 
-func (r repairs) done(key string) {
+func (r repairs) remove(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.keys, key)
 }
 
-// any returns one key that needs repair; maps are walked in random order, so
-// that several entries seldom choose the same one.
-func (r repairs) any() (key string, modRevision int64, found bool) {
+// pick returns one key that needs repair; map iteration order is random, so several
+// entries seldom choose the same one.
+func (r repairs) pick() (key string, modRevision int64, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key, modRevision := range r.keys {
@@ -43,13 +43,13 @@
 	return "", 0, false
 }
 
-// runRepairs writes the versions in force back to a store that lost them, one
-// key at a time with a pause. All entries do so: the compare-and-swap lets one
-// win, and the others see its write on their watch and drop theirs.
+// runRepairs writes the versions in force back to a store that lost them, one key at a
+// time with a pause. All entries do so: the compare-and-swap lets one succeed, and the
+// others see its write on their watch and drop theirs.
 func (r *Registry) runRepairs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		r.sleep(ctx, 4*r.opts.RepairPause/3)
-		key, modRevision, found := r.repairs.any()
+		key, modRevision, found := r.repairs.pick()
 		if found && ctx.Err() == nil {
 			r.repair(ctx, key, modRevision)
 		}
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// repairTimeout bounds one write of a repair.
+// repairTimeout bounds one repair write.
 const repairTimeout = 5 * time.Second
 
 func (r *Registry) repair(ctx context.Context, key string, modRevision int64) {
-	h, found := r.current.Load().byCustomer[strings.TrimPrefix(key, Prefix)]
+	h, found := r.current.Load().byClient[strings.TrimPrefix(key, Prefix)]
 	if !found {
-		r.repairs.done(key)
+		r.repairs.remove(key)
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, repairTimeout)
@@ -71,21 +71,21 @@
 	result, err := r.opts.Store.CompareAndSwap(callCtx, key, modRevision, h.value, 0)
 	switch {
 	case errors.Is(err, platform.ErrTooLarge):
-		r.repairs.done(key)
+		r.repairs.remove(key)
 	case err != nil:
-		// Tried again: a write that took effect after all is seen on the watch,
-		// and a second one then fails its comparison.
+		// Retried later: if the write took effect after all, the watch shows it, and a second
+		// one fails its comparison.
 	case result.Swapped:
-		r.repairs.done(key)
-		// Only now is it sure that the store had gone back. A watch that resumes
-		// tells old changes of a key again, of which a peer brought the newest.
+		r.repairs.remove(key)
+		// Only a successful swap proves that the store had gone back. A resumed watch delivers
+		// old changes of a key again, of which a peer already sent the newest.
 		if modRevision > 0 {
 			eventOlderRefused.Log(ctx, r.opts.Logger, slog.String("key", key), slog.Int64("in_force", h.record.Revision))
 		}
 		eventRepaired.Log(ctx, r.opts.Logger, slog.String("key", key), slog.Int64("revision", h.record.Revision))
 	case result.Current == nil:
-		r.repairs.need(key, 0)
+		r.repairs.add(key, 0)
 	default:
-		r.take(ctx, []platform.KeyValue{*result.Current})
+		r.applyStored(ctx, []platform.KeyValue{*result.Current})
 	}
 }
--- a/entry/contracts/snapshot.go
+++ b/entry/contracts/snapshot.go
@@ -13,85 +13,86 @@
 	"almondstand.dev/contract"
 )
 
-// held is one contract as this entry holds it. It is never changed in place.
-type held struct {
+// heldContract is one contract as this entry holds it. It is immutable.
+type heldContract struct {
 	key    string
 	value  []byte
 	record *record
-	// sum depends on the key, the revision and the value.
-	sum uint64
+	// checksum depends on the key, the revision and the value.
+	checksum uint64
 }
 
-func newHeld(key string, value []byte, r *record) *held {
+func newHeldContract(key string, value []byte, r *record) *heldContract {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key)
 	var revision [8]byte
 	binary.BigEndian.PutUint64(revision[:], uint64(r.Revision))
 	_, _ = digest.Write(revision[:])
 	_, _ = digest.Write(value)
-	return &held{key: key, value: slices.Clone(value), record: r, sum: digest.Sum64()}
+	return &heldContract{key: key, value: slices.Clone(value), record: r, checksum: digest.Sum64()}
 }
 
 type tokenDigest = [sha256.Size]byte
 
-// owner is who a token belongs to.
+// owner is the contract to which a token belongs.
 type owner struct {
 	digest tokenDigest
-	held   *held
+	held   *heldContract
 }
 
-// snapshot is everything a request reads. It is never changed in place.
+// snapshot is all the data that requests read. It is immutable.
 type snapshot struct {
-	byCustomer map[string]*held
-	byToken    map[tokenDigest]owner
-	revision   int64
-	digest     uint64
+	byClient map[string]*heldContract
+	byToken  map[tokenDigest]owner
+	revision int64
+	digest   uint64
 }
 
-// clash is a token digest that two customers' contracts name.
-type clash struct{ used, ignored string }
+// tokenConflict is a token digest that two clients' contracts list.
+type tokenConflict struct{ used, ignored string }
 
 // newSnapshot builds the indexes over the contracts.
-func newSnapshot(byCustomer map[string]*held) (*snapshot, []clash) {
-	s := &snapshot{byCustomer: byCustomer, byToken: map[tokenDigest]owner{}}
-	var clashes []clash
-	// Every entry resolves a clash alike, whatever came first: in the order of
-	// the names.
-	for _, customer := range slices.Sorted(maps.Keys(byCustomer)) {
-		h := byCustomer[customer]
+func newSnapshot(byClient map[string]*heldContract) (*snapshot, []tokenConflict) {
+	s := &snapshot{byClient: byClient, byToken: map[tokenDigest]owner{}}
+	var conflicts []tokenConflict
+	// Conflicts are resolved in the order of the client names, so that every entry gets the
+	// same result regardless of the order in which contracts arrived.
+	for _, client := range slices.Sorted(maps.Keys(byClient)) {
+		h := byClient[client]
 		s.revision = max(s.revision, h.record.Revision)
-		s.digest ^= h.sum
-		clashes = append(clashes, s.indexTokens(customer, h)...)
+		s.digest ^= h.checksum
+		conflicts = append(conflicts, s.indexTokens(client, h)...)
 	}
-	return s, clashes
+	return s, conflicts
 }
 
-func (s *snapshot) indexTokens(customer string, h *held) []clash {
-	var clashes []clash
+func (s *snapshot) indexTokens(client string, h *heldContract) []tokenConflict {
+	var conflicts []tokenConflict
 	for _, text := range h.record.Contract.TokenDigests {
 		digest, ok := parseDigest(text)
 		if !ok {
 			continue
 		}
-		if first, taken := s.byToken[digest]; taken {
-			clashes = append(clashes, clash{used: first.held.record.Contract.Customer, ignored: customer})
+		if first, found := s.byToken[digest]; found {
+			conflicts = append(conflicts, tokenConflict{used: first.held.record.Contract.Customer, ignored: client})
 			continue
 		}
 		s.byToken[digest] = owner{digest: digest, held: h}
 	}
-	return clashes
+	return conflicts
 }
 
-// with returns a copy in which h replaces its customer's contract.
-func (s *snapshot) with(changed map[string]*held) (*snapshot, []clash) {
-	byCustomer := maps.Clone(s.byCustomer)
-	maps.Copy(byCustomer, changed)
-	return newSnapshot(byCustomer)
+// withChanges returns a copy in which the changed contracts replace their clients'
+// previous ones.
+func (s *snapshot) withChanges(changed map[string]*heldContract) (*snapshot, []tokenConflict) {
+	byClient := maps.Clone(s.byClient)
+	maps.Copy(byClient, changed)
+	return newSnapshot(byClient)
 }
 
-// find looks a token's digest up. The map finds it by parts of a SHA-256 that
-// nobody can choose; the comparison that decides takes constant time.
-func (s *snapshot) find(digest tokenDigest) (contract.Contract, bool) {
+// lookup finds a contract by a token's digest. The map lookup depends on bits of a
+// SHA-256, which nobody can choose; the comparison that decides takes constant time.
+func (s *snapshot) lookup(digest tokenDigest) (contract.Contract, bool) {
 	o, found := s.byToken[digest]
 	if !found || subtle.ConstantTimeCompare(o.digest[:], digest[:]) != 1 {
 		return contract.Contract{}, false
--- a/entry/contracts/writer.go
+++ b/entry/contracts/writer.go
@@ -15,24 +15,24 @@
 
 // Errors of a write.
 var (
-	// ErrConflict means that another version is in the store than the expected
-	// one; the error is a *ConflictError.
+	// ErrConflict means that the store holds another version than the expected one; the
+	// error is a *ConflictError.
 	ErrConflict = errors.New("contract was changed meanwhile")
-	// ErrUnknownOutcome means that the change may or may not have been made, or
-	// may still be made.
+	// ErrUnknownOutcome means that the change may or may not have been made, or may still be
+	// made.
 	ErrUnknownOutcome = errors.New("outcome of the change is unknown")
 	// ErrStoreDown means that the store was not reached; nothing was changed.
 	ErrStoreDown = errors.New("store does not answer; nothing was changed")
-	// ErrNotFound means that the customer has no contract.
+	// ErrNotFound means that the client has no contract.
 	ErrNotFound = errors.New("customer has no contract")
 )
 
-// ConflictError tells the version that stands in the way.
+// ConflictError contains the version that conflicts with the change.
 type ConflictError struct {
 	// Expected is the revision that the change was made for; zero for none.
 	Expected int64
-	// Winner is the version in the store. Its Revision is zero when there is
-	// none; its Contract is empty when it can't be read at this entry.
+	// Winner is the version in the store. Its Revision is zero when there is none; its
+	// Contract is empty when this entry can't decode it.
 	Winner Version
 }
 
@@ -44,19 +44,19 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// Expect is the version that a change replaces.
+// Expect is the precondition of a change: the version that it replaces.
 type Expect struct {
-	// AnyRevision accepts whatever is in the store when the change begins.
+	// AnyRevision accepts whatever is in the store when the change starts.
 	AnyRevision bool
 	// Revision is the version to be replaced; zero: there is none yet.
 	Revision int64
 }
 
-// Written is a change that was accepted.
+// Written is the result of an accepted change.
 type Written struct {
 	// Revision of the version that the change made.
 	Revision int64
-	// Unchanged is true when the same content was in the store before.
+	// Unchanged is true when the store already held the same content.
 	Unchanged bool
 	// Superseded is true when another change has already replaced it.
 	Superseded bool
@@ -65,12 +65,12 @@
 // WriterOptions are the settings of a Writer.
 type WriterOptions struct {
 	Store platform.Store
-	// Registry learns of a change at once; its options give the clock, the log
+	// Registry receives each change at once; its options also provide the clock, the logger
 	// and the pauses.
 	Registry *Registry
 	// Timeout bounds one change.
 	Timeout time.Duration
-	// NewChange returns a change id that no other change has.
+	// NewChange returns a unique change id.
 	NewChange func() string
 }
 
@@ -86,21 +86,21 @@
 func NewWriter(opts WriterOptions) *Writer {
 	setDefault(&opts.Timeout, DefaultTimeout)
 	if opts.NewChange == nil {
-		opts.NewChange = newChange
+		opts.NewChange = newChangeID
 	}
 	return &Writer{opts: opts}
 }
 
-func newChange() string {
+func newChangeID() string {
 	var b [16]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Apply writes a contract when the store holds the expected version. It returns
-// a *contract.Invalid, a *ConflictError, ErrStoreDown (nothing was changed) or
-// ErrUnknownOutcome. A repeat of a change that was made succeeds with the
-// revision of the first time.
+// Apply writes a contract if the store holds the expected version. It returns a
+// *contract.Invalid, a *ConflictError, ErrStoreDown (nothing was changed) or
+// ErrUnknownOutcome. Repeating a change that was made succeeds with the revision of the
+// first time.
 func (w *Writer) Apply(ctx context.Context, c contract.Contract, expect Expect) (Written, error) {
 	if err := c.Check(); err != nil {
 		return Written{}, err
@@ -112,9 +112,9 @@
 	return w.write(ctx, c.Customer, expect, edit)
 }
 
-// Retire ends a customer's contract.
-func (w *Writer) Retire(ctx context.Context, customer string, expect Expect) (Written, error) {
-	return w.write(ctx, customer, expect, func(base *record) (contract.Contract, error) {
+// Retire ends a client's contract.
+func (w *Writer) Retire(ctx context.Context, client string, expect Expect) (Written, error) {
+	return w.write(ctx, client, expect, func(base *record) (contract.Contract, error) {
 		if base == nil {
 			return contract.Contract{}, ErrNotFound
 		}
@@ -124,12 +124,12 @@
 	})
 }
 
-// History returns the versions of a customer's contract that the store keeps,
-// the newest first.
-func (w *Writer) History(ctx context.Context, customer string) ([]Version, error) {
+// History returns the versions of a client's contract that the store keeps, the newest
+// first.
+func (w *Writer) History(ctx context.Context, client string) ([]Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Timeout)
 	defer cancel()
-	b, err := w.read(ctx, customer)
+	b, err := w.read(ctx, client)
 	if err != nil {
 		return nil, err
 	}
@@ -139,8 +139,8 @@
 	return b.record.versions(), nil
 }
 
-// checkTokens refuses a token that counts for another customer. Two changes at
-// once can still pass it: the registry then decides.
+// checkTokens rejects a token that belongs to another client. Two concurrent changes can
+// both pass it; the registry then resolves the conflict.
 func (w *Writer) checkTokens(c contract.Contract) error {
 	var invalid contract.Invalid
 	for i, text := range c.TokenDigests {
@@ -160,19 +160,19 @@
 	return nil
 }
 
-// base is what a change starts from.
+// base is the state that a change starts from.
 type base struct {
-	// modRevision is the store's revision of the key, zero when absent.
+	// modRevision is the store's modification revision of the key, zero when absent.
 	modRevision int64
-	// storeRevision is the store's at the read.
+	// storeRevision is the store's revision at the read.
 	storeRevision int64
 	// record is the newest version known; nil when there is none.
 	record *record
 	// stored is true when the store holds that version.
 	stored bool
-	// unread is the revision that the store's value has when it is newer than
-	// record and can't be read here, or zero.
-	unread int64
+	// unreadableRevision is the revision of the store's value if it is newer than record and
+	// can't be decoded here, or zero.
+	unreadableRevision int64
 }
 
 func (b *base) revision() int64 {
@@ -182,21 +182,21 @@
 	return b.record.Revision
 }
 
-// read reads the store's version. The one in force at this entry counts when
-// the store's is older, missing or unreadable.
-func (w *Writer) read(ctx context.Context, customer string) (*base, error) {
-	kv, revision, err := w.opts.Store.Get(ctx, Key(customer))
+// read reads the store's version. The one in force at this entry is used instead if the
+// store's is older, missing or unreadable.
+func (w *Writer) read(ctx context.Context, client string) (*base, error) {
+	kv, revision, err := w.opts.Store.Get(ctx, Key(client))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrStoreDown, err)
 	}
-	b := w.baseOf(customer, kv)
+	b := w.newBase(client, kv)
 	b.storeRevision = revision
 	return b, nil
 }
 
-func (w *Writer) baseOf(customer string, kv *platform.KeyValue) *base {
+func (w *Writer) newBase(client string, kv *platform.KeyValue) *base {
 	b := &base{}
-	if h, found := w.opts.Registry.current.Load().byCustomer[customer]; found {
+	if h, found := w.opts.Registry.current.Load().byClient[client]; found {
 		b.record = h.record
 	}
 	if kv == nil {
@@ -206,7 +206,7 @@
 	rec, err := decodeRecord(kv.Key, kv.Value)
 	if err != nil {
 		if revision := peekRevision(kv.Value); revision > b.revision() {
-			b.unread = revision
+			b.unreadableRevision = revision
 		}
 		return b
 	}
@@ -217,15 +217,15 @@
 	return b
 }
 
-// maxTries bounds how often a change starts again because the store's key was
-// rewritten without a new version (a repair).
+// maxTries bounds how often a change is retried because the store's key was rewritten
+// without a new version (by a repair).
 const maxTries = 4
 
-func (w *Writer) write(ctx context.Context, customer string, expect Expect, edit func(*record) (contract.Contract, error)) (Written, error) {
+func (w *Writer) write(ctx context.Context, client string, expect Expect, edit func(*record) (contract.Contract, error)) (Written, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Timeout)
 	defer cancel()
 	change := w.opts.NewChange()
-	b, err := w.read(ctx, customer)
+	b, err := w.read(ctx, client)
 	if err != nil {
 		return Written{}, err
 	}
@@ -234,11 +234,11 @@
 		if err != nil {
 			return Written{}, err
 		}
-		if written, done, err := b.settled(c, expect); done {
+		if written, done, err := b.precheck(c, expect); done {
 			return written, err
 		}
 		c.Change = change
-		p, err := w.propose(customer, b, c)
+		p, err := w.propose(client, b, c)
 		if err != nil {
 			return Written{}, err
 		}
@@ -246,45 +246,45 @@
 		if err != nil || current == nil {
 			return written, err
 		}
-		if current.repeats(c, b.revision()) {
+		if current.isRepeat(c, b.revision()) {
 			return Written{Revision: current.revision(), Unchanged: true}, nil
 		}
 		if current.revision() != b.revision() {
-			return Written{}, conflict(b.revision(), current.record)
+			return Written{}, conflictError(b.revision(), current.record)
 		}
 		b = current
 	}
-	return Written{}, conflict(b.revision(), b.record)
+	return Written{}, conflictError(b.revision(), b.record)
 }
 
-// settled reports whether a change is decided before anything is written: the
-// content is there already, or the expected version isn't.
-func (b *base) settled(c contract.Contract, expect Expect) (written Written, done bool, err error) {
-	// The newer value may be an accepted change made at an entry of a newer
-	// release: the operator has to say that it may go.
-	if b.unread > 0 && !expect.AnyRevision {
-		return Written{}, true, &ConflictError{Expected: expect.Revision, Winner: Version{Revision: b.unread}}
+// precheck reports whether a change is decided before anything is written: the store
+// already holds the content, or doesn't hold the expected version.
+func (b *base) precheck(c contract.Contract, expect Expect) (written Written, done bool, err error) {
+	// The newer value may be an accepted change made at an entry of a newer release: the
+	// operator has to agree explicitly to replace it.
+	if b.unreadableRevision > 0 && !expect.AnyRevision {
+		return Written{}, true, &ConflictError{Expected: expect.Revision, Winner: Version{Revision: b.unreadableRevision}}
 	}
 	expected := expect.AnyRevision || expect.Revision == b.revision()
 	same := b.stored && b.record.Contract.Same(c)
 	switch {
-	case (same && expected) || b.repeats(c, expect.Revision):
+	case (same && expected) || b.isRepeat(c, expect.Revision):
 		return Written{Revision: b.revision(), Unchanged: true}, true, nil
 	case !expected:
-		return Written{}, true, conflict(expect.Revision, b.record)
+		return Written{}, true, conflictError(expect.Revision, b.record)
 	}
 	return Written{}, false, nil
 }
 
-// repeats reports whether the store's version is this change, made for the
-// version that it expected: the operator repeats a change whose answer was lost.
-// Its first copy may have taken effect just now; a conflict with one's own change
-// would send the operator to look for somebody else's.
-func (b *base) repeats(c contract.Contract, previous int64) bool {
+// isRepeat reports whether the store's version is this same change, made against the
+// same previous version: the operator repeats a change whose response was lost. The
+// first attempt may have taken effect only now, and reporting it as a conflict would
+// make the operator search for another person's change.
+func (b *base) isRepeat(c contract.Contract, previous int64) bool {
 	return b.stored && b.record.Contract.Same(c) && b.record.Previous == previous
 }
 
-func conflict(expected int64, winner *record) error {
+func conflictError(expected int64, winner *record) error {
 	e := &ConflictError{Expected: expected}
 	if winner != nil {
 		e.Winner = winner.Version
@@ -294,29 +294,29 @@
 
 // proposal is one change, ready to be written.
 type proposal struct {
-	customer string
-	base     *base
-	record   *record
-	value    []byte
+	client string
+	base   *base
+	record *record
+	value  []byte
 }
 
-func (w *Writer) propose(customer string, b *base, c contract.Contract) (*proposal, error) {
-	revision := max(b.storeRevision, b.revision(), b.unread, w.opts.Registry.Revision()) + 1
+func (w *Writer) propose(client string, b *base, c contract.Contract) (*proposal, error) {
+	revision := max(b.storeRevision, b.revision(), b.unreadableRevision, w.opts.Registry.Revision()) + 1
 	rec := b.record.next(c, revision, w.opts.Registry.opts.Now())
 	value, err := rec.encode()
 	if err != nil {
 		return nil, err
 	}
-	return &proposal{customer: customer, base: b, record: rec, value: value}, nil
+	return &proposal{client: client, base: b, record: rec, value: value}, nil
 }
 
-// swap writes a proposal. When another value is in the store, it returns that.
+// swap writes a proposal. If the store holds another value, it returns that.
 func (w *Writer) swap(ctx context.Context, p *proposal) (Written, *base, error) {
-	key := Key(p.customer)
+	key := Key(p.client)
 	result, err := w.opts.Store.CompareAndSwap(ctx, key, p.base.modRevision, p.value, 0)
 	switch {
 	case errors.Is(err, platform.ErrUnknown):
-		written, err := w.settle(ctx, p)
+		written, err := w.resolveUnknown(ctx, p)
 		return written, nil, err
 	case errors.Is(err, platform.ErrUnavailable):
 		return Written{}, nil, fmt.Errorf("%w: %w", ErrStoreDown, err)
@@ -325,24 +325,23 @@
 	case result.Swapped:
 		return w.accepted(ctx, p), nil, nil
 	}
-	current := w.baseOf(p.customer, result.Current)
+	current := w.newBase(p.client, result.Current)
 	current.storeRevision = result.Revision
 	return Written{}, current, nil
 }
 
 func (w *Writer) accepted(ctx context.Context, p *proposal) Written {
-	w.opts.Registry.offer(ctx, []offer{{key: Key(p.customer), value: p.value, from: "writer"}})
+	w.opts.Registry.applyCandidates(ctx, []candidate{{key: Key(p.client), value: p.value, from: "writer"}})
 	return Written{Revision: p.record.Revision}
 }
 
-// settle finds out what became of a write whose answer was lost. It reads the
-// key back; while the key is as it was, the same write is sent again: its
-// comparison lets only one of the two copies take effect, whichever arrives
-// first. When the time is up the outcome stays unknown, since a copy may still
-// be on its way.
-func (w *Writer) settle(ctx context.Context, p *proposal) (Written, error) {
+// resolveUnknown determines the outcome of a write whose response was lost. It reads the
+// key back; while the key is unchanged, it sends the same write again: the comparison
+// lets only one of the two copies take effect, whichever arrives first. At the timeout
+// the outcome stays unknown, since a copy may still be in flight.
+func (w *Writer) resolveUnknown(ctx context.Context, p *proposal) (Written, error) {
 	registry := w.opts.Registry
-	key := Key(p.customer)
+	key := Key(p.client)
 	for ctx.Err() == nil {
 		kv, _, err := w.opts.Store.Get(ctx, key)
 		if err != nil {
@@ -359,35 +358,34 @@
 			}
 			continue
 		}
-		return w.judge(ctx, p, kv)
+		return w.outcomeOf(ctx, p, kv)
 	}
-	return Written{}, w.unknown(ctx, p)
+	return Written{}, w.logUnknownOutcome(ctx, p)
 }
 
-// judge tells from the version now in the store what became of the proposal.
-func (w *Writer) judge(ctx context.Context, p *proposal, kv *platform.KeyValue) (Written, error) {
+// outcomeOf determines the outcome of the proposal from the version now in the store.
+func (w *Writer) outcomeOf(ctx context.Context, p *proposal, kv *platform.KeyValue) (Written, error) {
 	if kv == nil {
-		return Written{}, w.unknown(ctx, p)
+		return Written{}, w.logUnknownOutcome(ctx, p)
 	}
 	rec, err := decodeRecord(kv.Key, kv.Value)
 	if err != nil {
-		return Written{}, w.unknown(ctx, p)
+		return Written{}, w.logUnknownOutcome(ctx, p)
 	}
-	w.opts.Registry.offer(ctx, []offer{{key: kv.Key, value: kv.Value, from: "store"}})
-	if mine := rec.byChange(p.record.Contract.Change); mine != nil {
-		return Written{Revision: mine.Revision, Superseded: mine.Revision != rec.Revision}, nil
+	w.opts.Registry.applyCandidates(ctx, []candidate{{key: kv.Key, value: kv.Value, from: "store"}})
+	if own := rec.byChange(p.record.Contract.Change); own != nil {
+		return Written{Revision: own.Revision, Superseded: own.Revision != rec.Revision}, nil
 	}
-	// The key has moved on, so a copy of the write that is still on its way
-	// fails its comparison. Another change took its place if the chain of
-	// versions shows which.
+	// The key has changed, so a copy of the write that is still in flight fails its
+	// comparison. Another change took its place if the version history shows which one.
 	if rec.successor(p.base.revision()) != nil {
-		return Written{}, conflict(p.base.revision(), rec)
+		return Written{}, conflictError(p.base.revision(), rec)
 	}
-	return Written{}, w.unknown(ctx, p)
+	return Written{}, w.logUnknownOutcome(ctx, p)
 }
 
-func (w *Writer) unknown(ctx context.Context, p *proposal) error {
+func (w *Writer) logUnknownOutcome(ctx context.Context, p *proposal) error {
 	eventUnknownOutcome.Log(ctx, w.opts.Registry.opts.Logger,
-		slog.String("customer", p.customer), slog.String("change", p.record.Contract.Change))
+		slog.String("customer", p.client), slog.String("change", p.record.Contract.Change))
 	return ErrUnknownOutcome
 }
--- a/entry/contracts/writer_test.go
+++ b/entry/contracts/writer_test.go
@@ -14,12 +14,11 @@
 	"almondstand.dev/standin/store"
 )
 
-// The store makes the change and its answer is lost. The operator has to be
-// told of the one change that was made, not of an error or a conflict with
-// himself.
-func TestApplyWhoseAnswerIsLost(t *testing.T) {
+// The store makes the change and its response is lost. The operator must get the result
+// of the one change that was made, not an error or a conflict with that change.
+func TestApplyWithLostResponse(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	s.LoseAnswers(2)
 	written, err := b.writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
 	assert.NilError(t, err)
@@ -30,12 +29,12 @@
 	assert.Equal(t, s.Counts()["txn"], int64(1))
 }
 
-// The write is still on its way when the writer reads the key back and finds it
-// as before. It then sends it again; the first copy arrives late and must
-// change nothing.
-func TestApplyWhoseWriteArrivesLate(t *testing.T) {
+// The write is still in flight when the writer reads the key back and finds it
+// unchanged. The writer sends it again; the first copy arrives late and must change
+// nothing.
+func TestApplyWithDelayedWrite(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	s.LateWrites(1, 30*time.Millisecond)
 	written, err := b.writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
 	assert.NilError(t, err)
@@ -49,12 +48,11 @@
 	assert.Equal(t, versions[1].Revision, written.Revision)
 }
 
-// The change is made, its answer is lost, and another operator replaces it
-// before the writer reads back. Both changes were made; neither writer may hear
-// of a conflict.
-func TestApplyWhoseAnswerIsLostAndIsReplaced(t *testing.T) {
+// The change is made, its response is lost, and another operator replaces it before the
+// writer reads back. Both changes were made; neither writer may return a conflict.
+func TestApplyWithLostResponseIsReplaced(t *testing.T) {
 	s := newStore(t)
-	b, other := newBench(t, s), newBench(t, s)
+	b, other := newTestEntry(t, s), newTestEntry(t, s)
 	hooked := &hookedStore{Store: b.client, afterLostSwap: func() {
 		other.apply(t, sample("karlovac", 20))
 	}}
@@ -63,14 +61,14 @@
 	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
 	assert.NilError(t, err)
 	assert.Assert(t, written.Superseded)
-	b.holds(t, "karlovac", 20)
+	b.waitForRate(t, "karlovac", 20)
 }
 
-// The write gets lost on its way, and another operator's takes its place. The
-// chain of versions shows that this one was not made.
-func TestApplyThatGetsLostAndIsOvertaken(t *testing.T) {
+// The write is lost, and another operator's takes its place. The version history shows
+// that this one was not made.
+func TestLostApplyIsReplaced(t *testing.T) {
 	s := newStore(t)
-	b, other := newBench(t, s), newBench(t, s)
+	b, other := newTestEntry(t, s), newTestEntry(t, s)
 	hooked := &hookedStore{Store: b.client, afterLostSwap: func() {
 		other.apply(t, sample("karlovac", 20))
 		other.apply(t, sample("karlovac", 30))
@@ -83,11 +81,11 @@
 	assert.Equal(t, conflict.Winner.Contract.Rate, 30.0)
 }
 
-// The same, but so many changes follow that the chain no longer tells. The
-// outcome has to stay unknown: "conflict" could be untrue.
-func TestApplyOvertakenTooOften(t *testing.T) {
+// As above, but so many changes follow that the history no longer shows it. The outcome
+// must stay unknown: a conflict could be wrong.
+func TestApplyReplacedTooOften(t *testing.T) {
 	s := newStore(t)
-	b, other := newBench(t, s), newBench(t, s)
+	b, other := newTestEntry(t, s), newTestEntry(t, s)
 	hooked := &hookedStore{Store: b.client, afterLostSwap: func() {
 		for i := range contracts.KeptVersions + 2 {
 			other.apply(t, sample("karlovac", float64(20+i)))
@@ -100,7 +98,7 @@
 }
 
 // hookedStore calls beforeSwap once, between a writer's read and its swap, and
-// afterLostSwap once, between a swap whose answer is lost and what follows it.
+// afterLostSwap once, after a swap whose response is lost.
 type hookedStore struct {
 	platform.Store
 	beforeSwap    func()
@@ -120,12 +118,12 @@
 	return result, err
 }
 
-// The store goes silent with the change in it. The writer must not say that
-// nothing was changed. Once the store answers, the operator repeats the same
-// change and hears of the first one.
-func TestApplyWithoutAnyAnswer(t *testing.T) {
+// The store stops answering after it made the change. The writer must not report that
+// nothing was changed. When the store answers again and the operator repeats the change,
+// the result must be that of the first attempt.
+func TestApplyWithoutResponse(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	hooked := &hookedStore{Store: b.client, afterLostSwap: func() { s.SetMode(store.Refuse) }}
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: hooked, Registry: b.registry, Timeout: time.Second})
 	s.LoseAnswers(1)
@@ -142,19 +140,19 @@
 
 func TestApplyWhileTheStoreIsDown(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	s.SetMode(store.Down)
 	_, err := b.writer.Apply(t.Context(), sample("karlovac", 10), anyRevision)
 	assert.ErrorIs(t, err, contracts.ErrStoreDown)
 	assert.Equal(t, s.Counts()["txn"], int64(0))
 }
 
-// An operator whose change ended as unknown applies it again. The first copy,
-// held up on its way, takes effect between the second one's read and its swap.
-// The operator made this change: the answer is success, not a conflict.
-func TestRepeatThatMeetsItsFirstCopy(t *testing.T) {
+// An operator repeats a change whose outcome was unknown. The delayed first copy takes
+// effect between the second one's read and its swap. Since it is the same operator's
+// change, the result must be success, not a conflict.
+func TestRepeatAfterItsFirstCopyTookEffect(t *testing.T) {
 	s := newStore(t)
-	b, first := newBench(t, s), newBench(t, s)
+	b, first := newTestEntry(t, s), newTestEntry(t, s)
 	hooked := &hookedStore{Store: b.client, beforeSwap: func() {
 		first.apply(t, sample("karlovac", 10))
 	}}
@@ -164,11 +162,11 @@
 	assert.Assert(t, written.Unchanged)
 }
 
-func TestConflictTellsTheWinner(t *testing.T) {
+func TestConflictReturnsTheCurrentVersion(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	revision := b.apply(t, sample("karlovac", 10))
-	other := newBench(t, s)
+	other := newTestEntry(t, s)
 	winner, err := other.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: revision})
 	assert.NilError(t, err)
 	for _, expected := range []int64{0, revision} {
@@ -186,7 +184,7 @@
 
 func TestInvalidContractIsNotWritten(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	c := sample("karlovac", 10)
 	c.Urgency = 0
 	_, err := b.writer.Apply(t.Context(), c, anyRevision)
@@ -195,12 +193,12 @@
 	assert.Equal(t, len(s.Counts()), 0)
 }
 
-// During an upgrade an entry of the newer release writes a form that this one
-// can't read. A change made here must not replace it unasked, and one that is
-// asked to must count at the newer entries too.
+// During an upgrade an entry of the newer release writes an encoding that this one can't
+// decode. A change made here must not replace it unless the operator asks for it, and
+// must then take effect at the newer entries too.
 func TestApplyOverValueOfNewerRelease(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	revision := b.apply(t, sample("karlovac", 10))
 	s.Put(contracts.Key("karlovac"), []byte(`{"format":2,"revision":5000,"contract":{}}`))
 	_, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: revision})
@@ -212,9 +210,9 @@
 	assert.Equal(t, written.Revision, int64(5001))
 }
 
-func TestRetireKeepsTheTokenKnown(t *testing.T) {
+func TestRetiredContractKeepsItsToken(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	_, err := b.writer.Retire(t.Context(), "karlovac", anyRevision)
 	assert.ErrorIs(t, err, contracts.ErrNotFound)
 	b.apply(t, sample("karlovac", 10))
@@ -231,7 +229,7 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	s := newStore(t)
-	b := newBench(t, s)
+	b := newTestEntry(t, s)
 	for i := range 10 {
 		b.apply(t, sample("karlovac", float64(i+1)))
 	}
