--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -1,6 +1,5 @@
-// Package registry makes entries known to each other and to the guards: by a
-// key under a lease in the store, and while the store can't be reached by
-// asking other entries.
+// Package registry makes entries known to each other and to the guards: by a key with a
+// lease in the store, and by gossip with other entries while the store is unreachable.
 package registry
 
 import (
@@ -21,24 +20,26 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Timing.
+// Intervals and timeouts.
 const (
-	// leaseTTL is how long an entry that is gone stays listed.
+	// leaseTTL is how long a crashed entry stays listed in the store.
 	leaseTTL = 12 * time.Second
-	// keepEvery renews the lease: three may fail.
-	keepEvery = 3 * time.Second
-	// listEvery paces the reading of the list.
-	listEvery = 3 * time.Second
-	// meetEvery paces the exchange with another entry while the store is reached,
-	// and meetSoon while it is not: a configuration then comes by it within 2 s.
-	meetEvery = 4 * time.Second
-	meetSoon  = 400 * time.Millisecond
+	// leaseRenewInterval is the pause between lease renewals; three may fail before the lease
+	// expires.
+	leaseRenewInterval = 3 * time.Second
+	// listInterval is the pause between reads of the list of entries.
+	listInterval = 3 * time.Second
+	// gossipInterval is the pause between gossip calls while the store is reachable, and
+	// staleGossipInterval while it is not: a new configuration then arrives by gossip within
+	// 2 s.
+	gossipInterval      = 4 * time.Second
+	staleGossipInterval = 400 * time.Millisecond
 	// callTimeout bounds a call.
 	callTimeout = 500 * time.Millisecond
-	// retryEvery is the pause after a call to the store that failed.
-	retryEvery = time.Second
-	// knownFor drops an address that nobody has named for so long.
-	knownFor = 15 * time.Second
+	// retryInterval is the pause after a failed call to the store.
+	retryInterval = time.Second
+	// addressTTL is how long an address is kept that nobody has reported again.
+	addressTTL = 15 * time.Second
 )
 
 // Store is the platform's store; see platform/store.
@@ -50,7 +51,7 @@
 	End(ctx context.Context, id int64) error
 }
 
-// Config is the configuration that entries exchange; see entry/follower.
+// Config is the configuration that entries share by gossip; see entry/follower.
 type Config interface {
 	Held() (revision int64, raw []byte)
 	Take(ctx context.Context, revision int64, raw []byte)
@@ -62,12 +63,12 @@
 	Entry string
 	// Address at which this entry serves guards and other entries.
 	Address string
-	// Seeds returns addresses that the settings name.
+	// Seeds returns the entry addresses from the settings.
 	Seeds  func() []string
 	Logger *slog.Logger
 }
 
-// Registry knows the entries.
+// Registry maintains the list of known entries.
 type Registry struct {
 	opt    Options
 	store  Store
@@ -75,74 +76,74 @@
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// named is when an address was last named by anybody, and met when it was last named
-	// by the store, by a guard that reaches it, or by the entry itself. Only these are
-	// passed on to other entries: of two that name to each other whatever they have
-	// heard, neither ever drops the address of a host that is gone, and guards dial it
-	// for good.
-	named, met map[string]time.Time
-	list       []string
-	version    uint64
-	next       int
+	// reportedAt is when an address was last reported by anybody, and confirmedAt is when it
+	// was last reported by the store, by a guard that reaches it, or by the entry itself.
+	// Only confirmed addresses are passed on to other entries: if two entries passed on to
+	// each other every address they were told, neither would ever drop that of a host that
+	// is gone, and guards would dial it forever.
+	reportedAt, confirmedAt map[string]time.Time
+	list                    []string
+	version                 uint64
+	next                    int
 }
 
-// New returns a registry that knows this entry only.
+// New returns a registry that knows only this entry.
 func New(o Options, s Store, c Config) *Registry {
-	r := &Registry{opt: o, store: s, config: c, logger: o.Logger, named: map[string]time.Time{}, met: map[string]time.Time{}}
+	r := &Registry{opt: o, store: s, config: c, logger: o.Logger, reportedAt: map[string]time.Time{}, confirmedAt: map[string]time.Time{}}
 	r.rebuild()
 	return r
 }
 
-// Known returns the entries' addresses and a number that changes with them.
+// Known returns the entries' addresses and a version number that changes with them.
 func (r *Registry) Known() ([]string, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list, r.version
 }
 
-// Hint takes addresses of entries that the caller reaches.
+// Hint adds addresses of entries that the caller reaches.
 func (r *Registry) Hint(addresses []string) {
-	addresses = r.sound(addresses)
+	addresses = r.validAddresses(addresses)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range addresses {
-		r.named[a], r.met[a] = time.Now(), time.Now()
+		r.reportedAt[a], r.confirmedAt[a] = time.Now(), time.Now()
 	}
 	r.rebuild()
 }
 
-// hear takes addresses of entries that another entry has met.
-func (r *Registry) hear(addresses []string) {
-	addresses = r.sound(addresses)
+// addReported adds addresses of entries that another entry has confirmed.
+func (r *Registry) addReported(addresses []string) {
+	addresses = r.validAddresses(addresses)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range addresses {
-		r.named[a] = time.Now()
+		r.reportedAt[a] = time.Now()
 	}
 	r.rebuild()
 }
 
-// sound leaves out what is no entry's address.
-func (r *Registry) sound(values []string) []string {
+// validAddresses leaves out values that are no entry address, and logs them.
+func (r *Registry) validAddresses(values []string) []string {
 	addresses, malformed := fleetwire.EntryAddresses(values)
 	if len(malformed) > 0 {
-		malformedAddress.Log(context.Background(), r.logger, slog.Int("values", len(malformed)), slog.String("first", clip(malformed[0])))
+		eventMalformedAddress.Log(context.Background(), r.logger, slog.Int("values", len(malformed)), slog.String("first", truncate(malformed[0])))
 	}
 	return addresses
 }
 
-// foreignText bounds what is written of a value that is no address, bytes.
-const foreignText = 100
+// maxLoggedValue bounds how much of a malformed address is logged, in bytes.
+const maxLoggedValue = 100
 
-func clip(s string) string { return s[:min(len(s), foreignText)] }
+func truncate(s string) string { return s[:min(len(s), maxLoggedValue)] }
 
-// acquainted returns this entry's address and those that may be passed on.
-func (r *Registry) acquainted() []string {
+// confirmedAddresses returns this entry's address and those that may be passed on.
+func (r *Registry) confirmedAddresses() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := []string{r.opt.Address}
-	for a, at := range r.met {
-		if a != r.opt.Address && time.Since(at) <= knownFor {
+	for a, at := range r.confirmedAt {
+		if a != r.opt.Address && time.Since(at) <= addressTTL {
 			list = append(list, a)
 		}
 	}
@@ -150,13 +151,13 @@
 	return list
 }
 
-// rebuild works the list out anew. The lock is held.
+// rebuild recomputes the list. The caller holds the lock.
 func (r *Registry) rebuild() {
 	list := []string{r.opt.Address}
-	for a, at := range r.named {
-		if time.Since(at) > knownFor {
-			delete(r.named, a)
-			delete(r.met, a)
+	for a, at := range r.reportedAt {
+		if time.Since(at) > addressTTL {
+			delete(r.reportedAt, a)
+			delete(r.confirmedAt, a)
 			continue
 		}
 		if a != r.opt.Address {
@@ -167,86 +168,86 @@
 	if !slices.Equal(list, r.list) {
 		r.list = list
 		r.version++
-		members.Log(context.Background(), r.logger, slog.Any("entries", list))
+		eventMembers.Log(context.Background(), r.logger, slog.Any("entries", list))
 	}
 }
 
-// Run registers, lists and exchanges until the context ends; then the lease is ended.
+// Run registers, lists and gossips until ctx ends; then it revokes the lease.
 func (r *Registry) Run(ctx context.Context) error {
 	var loops sync.WaitGroup
-	loops.Go(func() { r.keep(ctx) })
-	loops.Go(func() { r.follow(ctx) })
-	loops.Go(func() { r.exchange(ctx) })
+	loops.Go(func() { r.keepRegistered(ctx) })
+	loops.Go(func() { r.listLoop(ctx) })
+	loops.Go(func() { r.gossipLoop(ctx) })
 	loops.Wait()
 	return nil
 }
 
-// keep holds this entry's key.
-func (r *Registry) keep(ctx context.Context) {
+// keepRegistered registers this entry's key and renews its lease.
+func (r *Registry) keepRegistered(ctx context.Context) {
 	var lease int64
 	failing := false
 	for ctx.Err() == nil {
-		pause := keepEvery
+		pause := leaseRenewInterval
 		var err error
 		if lease == 0 {
 			lease, err = r.register(ctx)
 		} else {
-			err = r.call(ctx, func(c context.Context) error { return r.store.Keep(c, lease) })
+			err = r.withTimeout(ctx, func(c context.Context) error { return r.store.Keep(c, lease) })
 		}
 		switch {
 		case errors.Is(err, store.ErrNoLease):
 			lease = 0
 			pause = 0
-			leaseLost.Log(ctx, r.logger)
+			eventLeaseLost.Log(ctx, r.logger)
 		case err != nil:
-			pause = retryEvery
+			pause = retryInterval
 			if !failing {
-				registerFailed.Log(ctx, r.logger, slog.String("error", err.Error()), slog.Int64("lease", lease))
+				eventRegisterFailed.Log(ctx, r.logger, slog.String("error", err.Error()), slog.Int64("lease", lease))
 			}
 		}
 		failing = err != nil
 		uptime.Sleep(ctx, pause)
 	}
 	if lease != 0 {
-		_ = r.call(context.WithoutCancel(ctx), func(c context.Context) error { return r.store.End(c, lease) })
+		_ = r.withTimeout(context.WithoutCancel(ctx), func(c context.Context) error { return r.store.End(c, lease) })
 	}
 }
 
-// register puts this entry's key under a new lease.
+// register puts this entry's key with a new lease.
 func (r *Registry) register(ctx context.Context) (lease int64, err error) {
 	var granted store.Lease
-	err = r.call(ctx, func(c context.Context) error {
+	err = r.withTimeout(ctx, func(c context.Context) error {
 		granted, err = r.store.Grant(c, leaseTTL)
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	err = r.call(ctx, func(c context.Context) error {
+	err = r.withTimeout(ctx, func(c context.Context) error {
 		return r.store.Put(c, fleetwire.EntriesPrefix+r.opt.Entry, []byte(r.opt.Address), granted.ID)
 	})
 	if err != nil {
 		return 0, err
 	}
-	registered.Log(ctx, r.logger, slog.Int64("lease", granted.ID), slog.String("address", r.opt.Address))
+	eventRegistered.Log(ctx, r.logger, slog.Int64("lease", granted.ID), slog.String("address", r.opt.Address))
 	return granted.ID, nil
 }
 
-// follow reads the list of entries.
-func (r *Registry) follow(ctx context.Context) {
+// listLoop reads the list of entries periodically.
+func (r *Registry) listLoop(ctx context.Context) {
 	failing := false
 	for ctx.Err() == nil {
 		var items []store.Item
-		err := r.call(ctx, func(c context.Context) (err error) {
+		err := r.withTimeout(ctx, func(c context.Context) (err error) {
 			items, err = r.store.List(c, fleetwire.EntriesPrefix)
 			return err
 		})
-		pause := listEvery
+		pause := listInterval
 		if err != nil {
-			pause = retryEvery
+			pause = retryInterval
 		}
 		if err != nil && !failing {
-			listFailed.Log(ctx, r.logger, slog.String("error", err.Error()))
+			eventListFailed.Log(ctx, r.logger, slog.String("error", err.Error()))
 		}
 		failing = err != nil
 		var addresses []string
@@ -258,20 +259,20 @@
 	}
 }
 
-// exchange meets the other entries in turn.
-func (r *Registry) exchange(ctx context.Context) {
+// gossipLoop calls the other entries in turn.
+func (r *Registry) gossipLoop(ctx context.Context) {
 	transport := fleetwire.NewTransport(fleetwire.DialTimeout)
 	defer transport.Close()
 	client := &http.Client{Transport: transport}
 	var last time.Time
 	for ctx.Err() == nil {
-		if time.Since(last) >= meetEvery || !r.config.Fresh() {
+		if time.Since(last) >= gossipInterval || !r.config.Fresh() {
 			last = time.Now()
 			if a := r.nextPeer(); a != "" {
-				r.meet(ctx, client, a)
+				r.gossipWith(ctx, client, a)
 			}
 		}
-		uptime.Sleep(ctx, meetSoon)
+		uptime.Sleep(ctx, staleGossipInterval)
 	}
 }
 
@@ -288,39 +289,39 @@
 	return all[r.next%len(all)]
 }
 
-func (r *Registry) meet(ctx context.Context, client *http.Client, address string) {
+func (r *Registry) gossipWith(ctx context.Context, client *http.Client, address string) {
 	revision, _ := r.config.Held()
-	called, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	res, err := fleetwire.NewClient(client, address).Meet(called, connect.NewRequest(&wirev1.MeetRequest{
+	res, err := fleetwire.NewClient(client, address).Meet(callCtx, connect.NewRequest(&wirev1.MeetRequest{
 		Entry:          r.opt.Entry,
 		Address:        r.opt.Address,
 		ConfigRevision: revision,
 	}))
 	if err != nil {
-		meetFailed.Log(ctx, r.logger, slog.String("address", address), slog.String("error", err.Error()))
+		eventMeetFailed.Log(ctx, r.logger, slog.String("address", address), slog.String("error", err.Error()))
 		client.CloseIdleConnections()
 		return
 	}
-	r.hear(res.Msg.GetEntries())
+	r.addReported(res.Msg.GetEntries())
 	r.Hint([]string{address})
 	if res.Msg.GetConfigRevision() > revision {
 		r.config.Take(ctx, res.Msg.GetConfigRevision(), res.Msg.GetConfig())
 	}
 }
 
-// Meet answers another entry.
+// Meet serves another entry's gossip call.
 func (r *Registry) Meet(_ context.Context, req *connect.Request[wirev1.MeetRequest]) (*connect.Response[wirev1.MeetResponse], error) {
 	r.Hint([]string{req.Msg.GetAddress()})
-	res := &wirev1.MeetResponse{Entries: r.acquainted()}
+	res := &wirev1.MeetResponse{Entries: r.confirmedAddresses()}
 	if revision, raw := r.config.Held(); revision > req.Msg.GetConfigRevision() {
 		res.ConfigRevision, res.Config = revision, raw
 	}
 	return connect.NewResponse(res), nil
 }
 
-func (r *Registry) call(ctx context.Context, f func(context.Context) error) error {
-	called, cancel := context.WithTimeout(ctx, callTimeout)
+func (r *Registry) withTimeout(ctx context.Context, f func(context.Context) error) error {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return f(called)
+	return f(callCtx)
 }
--- a/entry/registry/registry_test.go
+++ b/entry/registry/registry_test.go
@@ -27,27 +27,27 @@
 	}, nil, noConfig{})
 }
 
-// meet has a ask b, as exchange does.
-func meet(t *testing.T, a, b *Registry) {
+// gossip has a make one gossip call to b, as gossipLoop does.
+func gossip(t *testing.T, a, b *Registry) {
 	t.Helper()
 	res, err := b.Meet(t.Context(), connect.NewRequest(&wirev1.MeetRequest{Entry: a.opt.Entry, Address: a.opt.Address}))
 	assert.NilError(t, err)
-	a.hear(res.Msg.GetEntries())
+	a.addReported(res.Msg.GetEntries())
 	a.Hint([]string{b.opt.Address})
 }
 
-// A host is replaced by one at another address. Entries that told each other whatever
-// they had heard kept its address for good: every guard went on dialing it, and with 220
-// hosts replaced a day the list would grow without end. What nobody has met for a while
-// must be dropped by all, however often they meet each other.
-func TestAddressOfALostEntryIsDropped(t *testing.T) {
+// A host is replaced by one at another address. When entries passed on every address
+// that they were told, they kept the old one forever: every guard kept dialing it, and
+// with 220 hosts replaced a day the list would grow without bound. An address that
+// nobody has confirmed for a while must be dropped by all, however often they gossip.
+func TestAddressOfAGoneEntryIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := registryAt("10.0.0.1:1"), registryAt("10.0.0.2:1"), registryAt("10.0.0.3:1")
 		a.Hint([]string{"10.0.0.9:1"})
 		for range 20 {
-			meet(t, a, b)
-			meet(t, b, c)
-			meet(t, c, a)
+			gossip(t, a, b)
+			gossip(t, b, c)
+			gossip(t, c, a)
 			time.Sleep(2 * time.Second)
 		}
 		for _, r := range []*Registry{a, b, c} {
@@ -59,11 +59,12 @@
 	})
 }
 
-// An entry that no settings name must still be learnt of by all, through one that has met it.
-func TestEntryIsLearntOfThroughOthers(t *testing.T) {
+// An entry that is in no settings must become known to all, through an entry that has
+// confirmed its address.
+func TestEntryIsDiscoveredThroughOthers(t *testing.T) {
 	a, b, c := registryAt("10.0.0.1:1"), registryAt("10.0.0.2:1"), registryAt("10.0.0.3:1")
-	meet(t, c, b)
-	meet(t, a, b)
+	gossip(t, c, b)
+	gossip(t, a, b)
 	known, _ := a.Known()
 	assert.DeepEqual(t, known, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 }
