--- a/entry/follower/follower_test.go
+++ b/entry/follower/follower_test.go
@@ -16,18 +16,19 @@
 	"almondstand.dev/platform/store"
 )
 
-type noStore struct{}
+type failingStore struct{}
 
-func (noStore) Get(context.Context, string) (store.Item, bool, error) {
+func (failingStore) Get(context.Context, string) (store.Item, bool, error) {
 	return store.Item{}, false, errors.New("down")
 }
 
 func config(version int) []byte { return fmt.Appendf(nil, `{"version":%d,"routes":[]}`, version) }
 
-// Callers have seen a version's effect; an older one that comes late, from the
-// store or another entry, must not undo it, and one that can't be read changes nothing.
+// After callers have seen a version's effect, an older one that arrives late, from the
+// store or another entry, must not undo it, and one that can't be decoded must change
+// nothing.
 func TestVersionsNeverGoBack(t *testing.T) {
-	f := New(noStore{}, slog.New(slog.NewJSONHandler(io.Discard, nil)))
+	f := New(failingStore{}, slog.New(slog.NewJSONHandler(io.Discard, nil)))
 	assert.Assert(t, f.Table() == nil)
 	assert.Assert(t, !f.Fresh())
 	f.Take(t.Context(), 10, config(5))
@@ -43,13 +44,13 @@
 	assert.Equal(t, revision, int64(13))
 }
 
-// lateStore answers each read, with the newest revision, a while after it was sent.
-type lateStore struct {
+// slowStore answers each read with the newest revision after a delay.
+type slowStore struct {
 	delay time.Duration
 	reads atomic.Int64
 }
 
-func (s *lateStore) Get(ctx context.Context, _ string) (store.Item, bool, error) {
+func (s *slowStore) Get(ctx context.Context, _ string) (store.Item, bool, error) {
 	version := s.reads.Add(1)
 	select {
 	case <-ctx.Done():
@@ -59,12 +60,12 @@
 	}
 }
 
-// An entry is short of processor time, so that each answer of the store is read
-// 0.8 s after its question. Callers must not be served by an old version for good:
-// a read that is slow goes on beside the next one, and its answer counts.
-func TestSlowAnswersAreTaken(t *testing.T) {
+// An entry is short of CPU time, so that it reads each response of the store 0.8 s after
+// the request. Callers must not be served by an old version forever: a slow read
+// continues beside the next one, and its result counts.
+func TestSlowReadsAreApplied(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	f := New(&lateStore{delay: 800 * time.Millisecond}, slog.New(slog.NewJSONHandler(io.Discard, nil)))
+	f := New(&slowStore{delay: 800 * time.Millisecond}, slog.New(slog.NewJSONHandler(io.Discard, nil)))
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -77,11 +78,11 @@
 	assert.NilError(t, <-ended)
 }
 
-// An entry that has not heard from the store lately must not take a path that it
-// doesn't know for one that nobody knows.
-func TestSilentStoreIsNotFresh(t *testing.T) {
-	f := New(noStore{}, slog.New(slog.NewJSONHandler(io.Discard, nil)))
+// An entry that has not reached the store recently must not conclude that a path which
+// it doesn't know does not exist.
+func TestUnreachableStoreIsNotFresh(t *testing.T) {
+	f := New(failingStore{}, slog.New(slog.NewJSONHandler(io.Discard, nil)))
 	f.Take(t.Context(), 10, config(5))
 	assert.Assert(t, !f.read(t.Context()))
-	assert.Assert(t, !f.Fresh(), "a configuration from another entry proves nothing of the store")
+	assert.Assert(t, !f.Fresh(), "a configuration from another entry says nothing about the store")
 }
