--- a/entry/submission/id.go
+++ b/entry/submission/id.go
@@ -1,7 +1,6 @@
-// Package submission names submissions and keeps what their owner knows of
-// them. The id of a submission carries the entry that minted it; that entry
-// alone decides whether the id was used, so nothing has to be agreed between
-// entries.
+// Package submission identifies submissions and keeps their owner's state. The id of a
+// submission contains the entry that minted it; that entry alone decides whether the id
+// was used, so entries need no agreement.
 package submission
 
 import (
@@ -16,9 +15,9 @@
 )
 
 const (
-	// MaxEntryID is the longest id of an entry, in bytes.
+	// MaxEntryID is the maximum length of an entry's id, in bytes.
 	MaxEntryID = 64
-	// MaxText is the longest text form of an id, in bytes.
+	// MaxText is the maximum length of an id's text form, in bytes.
 	MaxText = MaxEntryID + 64
 
 	macSize    = 16
@@ -29,15 +28,15 @@
 // ErrMalformed means that a text is not the text form of an id.
 var ErrMalformed = errors.New("malformed submission id")
 
-// ID names a submission. Its text form is URL-safe and reads
+// ID identifies a submission. Its text form is URL-safe and reads
 // entry.incarnation.sequence.mac; both numbers are in base 36.
 type ID struct {
-	// Entry and Incarnation name the process that minted the id and owns it.
+	// Entry and Incarnation identify the process that minted the id and owns it.
 	Entry       string
 	Incarnation uint64
-	// Sequence counts the ids minted for one customer, from 1.
+	// Sequence counts the ids minted for one client, from 1.
 	Sequence uint64
-	// MAC binds the other fields to the customer.
+	// MAC authenticates the other fields and the client.
 	MAC [macSize]byte
 }
 
@@ -55,9 +54,9 @@
 	return b.String()
 }
 
-// Parse reads the text form. It needs no key, so any entry learns the owner;
-// only the owner can Verify. Each id has one text form, any other is malformed:
-// two spellings of one id would be two jobs.
+// Parse parses the text form. It needs no key, so any entry can determine the owner;
+// only the owner can Verify. Each id has exactly one text form and any other is
+// malformed, because two spellings of one id would be treated as two jobs.
 func Parse(text string) (ID, error) {
 	if len(text) > MaxText {
 		return ID{}, ErrMalformed
@@ -111,8 +110,8 @@
 	return text[:i], text[i+len(separator):], true
 }
 
-// ValidEntryID reports whether an entry may carry this id: 1 to MaxEntryID
-// letters, digits, dots, dashes and underscores.
+// ValidEntryID reports whether the string is a valid entry id: 1 to MaxEntryID letters,
+// digits, dots, dashes and underscores.
 func ValidEntryID(entry string) bool {
 	if entry == "" || len(entry) > MaxEntryID {
 		return false
@@ -133,18 +132,18 @@
 	return c == '.' || c == '-' || c == '_'
 }
 
-// Key is the secret of one incarnation of an entry.
+// Key is the secret MAC key of one incarnation of an entry.
 type Key [32]byte
 
-// NewKey returns a random key. It lives and dies with the process: ids of
-// another incarnation can't be verified, and need not be.
+// NewKey returns a random key. It exists only as long as the process: ids of another
+// incarnation can't be verified, and need not be.
 func NewKey() Key {
 	var k Key
 	_, _ = rand.Read(k[:]) // never fails, see crypto/rand
 	return k
 }
 
-func (k Key) mac(id ID, customer string) [macSize]byte {
+func (k Key) mac(id ID, client string) [macSize]byte {
 	h := hmac.New(sha256.New, k[:])
 	var b [8]byte
 	writeField := func(s string) {
@@ -153,7 +152,7 @@
 		h.Write([]byte(s))
 	}
 	writeField(id.Entry)
-	writeField(customer)
+	writeField(client)
 	binary.BigEndian.PutUint64(b[:], id.Incarnation)
 	h.Write(b[:])
 	binary.BigEndian.PutUint64(b[:], id.Sequence)
@@ -163,8 +162,8 @@
 	return [macSize]byte(sum[:macSize])
 }
 
-// verify compares in constant time.
-func (k Key) verify(id ID, customer string) bool {
-	want := k.mac(id, customer)
+// verify compares the MAC in constant time.
+func (k Key) verify(id ID, client string) bool {
+	want := k.mac(id, client)
 	return hmac.Equal(want[:], id.MAC[:])
 }
--- a/entry/submission/shelf.go
+++ b/entry/submission/shelf.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// shelf keeps answers for a time since they were last asked for, and within a
-// bound in bytes. When the bound is passed, the customer that holds most loses
-// its oldest answer: else one customer's large answers would push out those
-// that the others still need for a repeat.
-type shelf struct {
+// answerCache keeps responses for a time since they were last requested, and within a
+// bound in bytes. When the bound is exceeded, the client with the most bytes loses its
+// oldest response; otherwise one client's large responses would evict those that others
+// still need for a retry.
+type answerCache struct {
 	maxBytes int64
-	keepFor  time.Duration
-	// evicted is told of each answer that goes.
-	evicted func(*record)
+	ttl      time.Duration
+	// onEvict is called for each evicted record.
+	onEvict func(*record)
 
 	bytes int64
-	// all orders the records by last use, the newest in front. As each use
-	// renews the time, it is also the order of expiry.
-	all     *list.List
-	holders map[string]*holder
+	// lru orders the records by last use, the newest in front. As each use renews the
+	// expiry, it is also the order of expiry.
+	lru      *list.List
+	byClient map[string]*clientAnswers
 }
 
-// holder is one customer's part of the shelf, in the same order.
-type holder struct {
+// clientAnswers is one client's part of the cache, in the same order.
+type clientAnswers struct {
 	bytes   int64
 	records *list.List
 }
 
-// place is where a record stands on the shelf.
-type place struct {
-	until     time.Time
-	inAll     *list.Element
-	inHolders *list.Element
+// cachePosition is a record's expiry and its elements in the cache's lists.
+type cachePosition struct {
+	expiresAt time.Time
+	inLRU     *list.Element
+	inClient  *list.Element
 }
 
-func newShelf(maxBytes int64, keepFor time.Duration, evicted func(*record)) *shelf {
-	return &shelf{
+func newAnswerCache(maxBytes int64, ttl time.Duration, onEvict func(*record)) *answerCache {
+	return &answerCache{
 		maxBytes: maxBytes,
-		keepFor:  keepFor,
-		evicted:  evicted,
-		all:      list.New(),
-		holders:  map[string]*holder{},
+		ttl:      ttl,
+		onEvict:  onEvict,
+		lru:      list.New(),
+		byClient: map[string]*clientAnswers{},
 	}
 }
 
-// put adds a record, which may cost others or itself its place.
-func (s *shelf) put(now time.Time, r *record) {
-	h := s.holders[r.key.customer]
+// put adds a record, which may evict others or itself.
+func (s *answerCache) put(now time.Time, r *record) {
+	h := s.byClient[r.key.client]
 	if h == nil {
-		h = &holder{records: list.New()}
-		s.holders[r.key.customer] = h
+		h = &clientAnswers{records: list.New()}
+		s.byClient[r.key.client] = h
 	}
-	r.place = place{
-		until:     now.Add(s.keepFor),
-		inAll:     s.all.PushFront(r),
-		inHolders: h.records.PushFront(r),
+	r.position = cachePosition{
+		expiresAt: now.Add(s.ttl),
+		inLRU:     s.lru.PushFront(r),
+		inClient:  h.records.PushFront(r),
 	}
 	s.bytes += r.size()
 	h.bytes += r.size()
-	s.sweep(now)
+	s.evictExcess(now)
 }
 
-// touch renews a record's time.
-func (s *shelf) touch(now time.Time, r *record) {
-	r.place.until = now.Add(s.keepFor)
-	s.all.MoveToFront(r.place.inAll)
-	s.holders[r.key.customer].records.MoveToFront(r.place.inHolders)
+// touch renews a record's expiry.
+func (s *answerCache) touch(now time.Time, r *record) {
+	r.position.expiresAt = now.Add(s.ttl)
+	s.lru.MoveToFront(r.position.inLRU)
+	s.byClient[r.key.client].records.MoveToFront(r.position.inClient)
 }
 
-// sweep evicts what is past its time or over the bound.
-func (s *shelf) sweep(now time.Time) {
-	for e := s.all.Back(); e != nil; e = s.all.Back() {
+// evictExcess evicts the records that are expired or exceed the bound.
+func (s *answerCache) evictExcess(now time.Time) {
+	for e := s.lru.Back(); e != nil; e = s.lru.Back() {
 		r := e.Value.(*record)
-		if now.Before(r.place.until) {
+		if now.Before(r.position.expiresAt) {
 			break
 		}
 		s.evict(r)
@@ -83,24 +83,24 @@
 	}
 }
 
-func (s *shelf) largest() *holder {
-	var most *holder
-	for _, h := range s.holders {
-		if most == nil || h.bytes > most.bytes {
-			most = h
+func (s *answerCache) largest() *clientAnswers {
+	var largest *clientAnswers
+	for _, h := range s.byClient {
+		if largest == nil || h.bytes > largest.bytes {
+			largest = h
 		}
 	}
-	return most
+	return largest
 }
 
-func (s *shelf) evict(r *record) {
-	h := s.holders[r.key.customer]
-	s.all.Remove(r.place.inAll)
-	h.records.Remove(r.place.inHolders)
+func (s *answerCache) evict(r *record) {
+	h := s.byClient[r.key.client]
+	s.lru.Remove(r.position.inLRU)
+	h.records.Remove(r.position.inClient)
 	s.bytes -= r.size()
 	h.bytes -= r.size()
 	if h.records.Len() == 0 {
-		delete(s.holders, r.key.customer)
+		delete(s.byClient, r.key.client)
 	}
-	s.evicted(r)
+	s.onEvict(r)
 }
--- a/entry/submission/table.go
+++ b/entry/submission/table.go
@@ -20,7 +20,7 @@
 	Refused Outcome = "refused"
 )
 
-// Answer is the reply to a submission, as every caller of it gets it.
+// Answer is the response to a submission, the same for every caller that requests it.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
@@ -32,31 +32,31 @@
 	Ran        task.Ran
 }
 
-// State is what the table knows of an id.
+// State is the state of an id in the table.
 type State int
 
 // States.
 const (
-	// Unknown: this entry never minted the id for this customer.
+	// Unknown: this entry never minted the id for this client.
 	Unknown State = iota
 	// Unused: minted, and no job was submitted under it.
 	Unused
-	// Begun: this call made it used; the caller now runs the job and calls
-	// Finish or Abort.
+	// Begun: this call marked it used; the caller now runs the job and calls Finish or
+	// Abort.
 	Begun
-	// Running: the job runs; its Flight can be waited for.
+	// Running: the job is running; its Flight can be waited for.
 	Running
-	// Kept: the answer is at hand.
+	// Kept: the response is cached.
 	Kept
-	// Evicted: it was accepted, and its answer is no longer kept.
+	// Evicted: it was accepted, and its response is no longer cached.
 	Evicted
-	// Expired: so old that nobody knows whether it was used. It never runs.
+	// Expired: so old that it is no longer known whether it was used. It never runs.
 	Expired
 	// Conflict: it was used for another body.
 	Conflict
 )
 
-// Flight is one running submission.
+// Flight is one running submission, which several callers can wait for.
 type Flight struct {
 	key       key
 	cancel    func()
@@ -65,10 +65,10 @@
 	answer    Answer
 }
 
-// Done is closed when the answer is there.
+// Done is closed when the response is available.
 func (f *Flight) Done() <-chan struct{} { return f.done }
 
-// Answer returns the answer; call it after Done is closed.
+// Answer returns the response; call it after Done is closed.
 func (f *Flight) Answer() Answer { return f.answer }
 
 func (f *Flight) end(a Answer) {
@@ -76,8 +76,8 @@
 	close(f.done)
 }
 
-// Lookup is the table's reply about an id. Flight is set for Begun and
-// Running, Answer for Kept.
+// Lookup is the table's result for an id. Flight is set for Begun and Running, Answer
+// for Kept.
 type Lookup struct {
 	State  State
 	Flight *Flight
@@ -89,29 +89,29 @@
 	Entry       string
 	Incarnation uint64
 	Key         Key
-	// ValidIDs is how many of the newest ids of one customer are valid; it is
-	// rounded up to a multiple of 4096. Each costs one bit.
+	// ValidIDs is how many of the newest ids of one client are valid; it is rounded up to a
+	// multiple of 4096. Each costs one bit.
 	ValidIDs int
-	// KeepBytes bounds the memory of kept answers; the customer that holds most
-	// gives way.
+	// KeepBytes bounds the memory of cached responses; the client with the most bytes is
+	// evicted from first.
 	KeepBytes int64
-	// KeepFor is how long an answer is kept after it was last asked for.
+	// KeepFor is how long a response is cached after it was last requested.
 	KeepFor time.Duration
 }
 
-// Defaults.
+// Defaults of Options.
 const (
 	DefaultValidIDs  = 1 << 19
 	DefaultKeepBytes = 64 << 20
 	DefaultKeepFor   = 2 * time.Minute
 
-	// recordBytes is what a kept answer costs besides its body.
+	// recordBytes is the memory that a cached response takes besides its body.
 	recordBytes = 512
 )
 
-// Table is what an entry knows of the submissions it owns. Each id runs at
-// most one job: the used bit outlives the answer, and an id that has left the
-// window of bits never runs. Safe for concurrent use.
+// Table holds the state of the submissions that an entry owns. Each id runs at most one
+// job: the used bit outlives the cached response, and an id that has left the window of
+// bits never runs. Safe for concurrent use.
 type Table struct {
 	opts   Options
 	chunks int
@@ -119,21 +119,21 @@
 	mu      sync.Mutex
 	windows map[string]*window
 	records map[key]*record
-	kept    *shelf
+	cache   *answerCache
 }
 
-// key is unambiguous once the MAC is verified: sequences are per customer.
+// key is unique once the MAC is verified: sequences are per client.
 type key struct {
-	customer string
+	client   string
 	sequence uint64
 }
 
 type record struct {
-	key    key
-	body   [sha256.Size]byte
-	flight *Flight // nil once the answer is kept
-	answer Answer
-	place  place // while the answer is kept
+	key      key
+	body     [sha256.Size]byte
+	flight   *Flight // nil once the response is cached
+	answer   Answer
+	position cachePosition // while the response is cached
 }
 
 func (r *record) size() int64 { return int64(len(r.answer.Body)) + recordBytes }
@@ -151,23 +151,23 @@
 	}
 	t := &Table{
 		opts: opts,
-		// One more than asked for: the newest chunk is only partly minted.
+		// One more than requested, because the newest chunk is only partly minted.
 		chunks:  (opts.ValidIDs+chunkBits-1)/chunkBits + 1,
 		windows: map[string]*window{},
 		records: map[key]*record{},
 	}
-	t.kept = newShelf(opts.KeepBytes, opts.KeepFor, func(r *record) { delete(t.records, r.key) })
+	t.cache = newAnswerCache(opts.KeepBytes, opts.KeepFor, func(r *record) { delete(t.records, r.key) })
 	return t
 }
 
-// Mint returns n fresh ids for a customer.
-func (t *Table) Mint(customer string, n int) []ID {
+// Mint returns n new ids for a client.
+func (t *Table) Mint(client string, n int) []ID {
 	ids := make([]ID, n)
 	t.mu.Lock()
-	w := t.windows[customer]
+	w := t.windows[client]
 	if w == nil {
 		w = newWindow(t.chunks)
-		t.windows[customer] = w
+		t.windows[client] = w
 	}
 	for i := range ids {
 		ids[i].Sequence = w.mint()
@@ -176,84 +176,85 @@
 	for i := range ids {
 		ids[i].Entry = t.opts.Entry
 		ids[i].Incarnation = t.opts.Incarnation
-		ids[i].MAC = t.opts.Key.mac(ids[i], customer)
+		ids[i].MAC = t.opts.Key.mac(ids[i], client)
 	}
 	return ids
 }
 
-// Owns reports whether the id names this entry and incarnation as its owner.
+// Owns reports whether the id has this entry and incarnation as its owner.
 func (t *Table) Owns(id ID) bool {
 	return id.Entry == t.opts.Entry && id.Incarnation == t.opts.Incarnation
 }
 
-// Verify reports whether this entry minted the id for this customer.
-func (t *Table) Verify(id ID, customer string) bool {
-	return t.Owns(id) && t.opts.Key.verify(id, customer)
+// Verify reports whether this entry minted the id for this client.
+func (t *Table) Verify(id ID, client string) bool {
+	return t.Owns(id) && t.opts.Key.verify(id, client)
 }
 
-// Begin makes an unused id used, for a body with this digest. cancel is called
-// when the submission is cancelled while it runs.
-func (t *Table) Begin(now time.Time, id ID, customer string, body [sha256.Size]byte, cancel func()) Lookup {
-	if !t.Verify(id, customer) {
+// Begin marks an unused id as used, for a body with this digest. cancel is called when
+// the submission is cancelled while it runs.
+func (t *Table) Begin(now time.Time, id ID, client string, body [sha256.Size]byte, cancel func()) Lookup {
+	if !t.Verify(id, client) {
 		return Lookup{State: Unknown}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found, r := t.find(now, id, customer)
+	found, r := t.find(now, id, client)
 	if found.State != Unused {
-		return conflicting(found, r, body)
+		return checkBody(found, r, body)
 	}
-	k := key{customer, id.Sequence}
+	k := key{client, id.Sequence}
 	f := &Flight{key: k, cancel: cancel, done: make(chan struct{})}
 	t.records[k] = &record{key: k, body: body, flight: f}
-	t.windows[customer].setUsed(id.Sequence, true)
+	t.windows[client].setUsed(id.Sequence, true)
 	return Lookup{State: Begun, Flight: f}
 }
 
-// conflicting tells a repeat from another body under the same id. An id that
-// was cancelled before its job came holds no body and conflicts with none.
-func conflicting(found Lookup, r *record, body [sha256.Size]byte) Lookup {
+// checkBody returns Conflict if the id was used for another body, and the lookup's
+// result for a repeat. An id that was cancelled before its job arrived has no body and
+// conflicts with none.
+func checkBody(found Lookup, r *record, body [sha256.Size]byte) Lookup {
 	if r == nil || r.body == body || r.body == [sha256.Size]byte{} {
 		return found
 	}
 	return Lookup{State: Conflict}
 }
 
-// Find tells what is known of an id and changes nothing.
-func (t *Table) Find(now time.Time, id ID, customer string) Lookup {
-	if !t.Verify(id, customer) {
+// Find returns the state of an id and does not change it.
+func (t *Table) Find(now time.Time, id ID, client string) Lookup {
+	if !t.Verify(id, client) {
 		return Lookup{State: Unknown}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found, _ := t.find(now, id, customer)
+	found, _ := t.find(now, id, client)
 	return found
 }
 
-// Cancel cancels a running submission. An unused id becomes used, with the
-// given answer kept: a job that arrives under it later never runs.
-func (t *Table) Cancel(now time.Time, id ID, customer string, unused Answer) Lookup {
-	found := t.cancel(now, id, customer, unused)
+// Cancel cancels a running submission. An unused id becomes used, with the given
+// response cached: a job that arrives under it later never runs.
+func (t *Table) Cancel(now time.Time, id ID, client string, unused Answer) Lookup {
+	found := t.cancel(now, id, client, unused)
 	if found.State == Running {
 		found.Flight.cancel() // outside the lock: it runs the owner's code
 	}
 	return found
 }
 
-func (t *Table) cancel(now time.Time, id ID, customer string, unused Answer) Lookup {
-	if !t.Verify(id, customer) {
+func (t *Table) cancel(now time.Time, id ID, client string, unused Answer) Lookup {
+	if !t.Verify(id, client) {
 		return Lookup{State: Unknown}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found, _ := t.find(now, id, customer)
+	found, _ := t.find(now, id, client)
 	switch found.State {
 	case Unused:
-		r := &record{key: key{customer, id.Sequence}}
+		r := &record{key: key{client, id.Sequence}}
 		t.records[r.key] = r
-		t.windows[customer].setUsed(id.Sequence, true)
+		t.windows[client].setUsed(id.Sequence, true)
 		r.answer = unused
-		t.kept.put(now, r)
+		t.cache.put(now, r)
 		return Lookup{State: Kept, Answer: unused}
 	case Running:
 		found.Flight.cancelled = true
@@ -261,14 +262,14 @@
 	return found
 }
 
-// Finish ends a flight for good. With keep its answer is kept for repeats.
+// Finish completes a flight. With keep its response is cached for retries.
 func (t *Table) Finish(now time.Time, f *Flight, a Answer, keep bool) {
 	t.mu.Lock()
 	r := t.records[f.key]
 	r.flight = nil
 	if keep {
 		r.answer = a
-		t.kept.put(now, r)
+		t.cache.put(now, r)
 	} else {
 		delete(t.records, f.key)
 	}
@@ -276,9 +277,9 @@
 	f.end(a)
 }
 
-// Abort ends a flight of which nothing ran, and makes its id unused again. It
-// does nothing and returns false when the submission was cancelled meanwhile:
-// the id then stays used, and the caller calls Finish.
+// Abort ends a flight of which nothing ran, and makes its id unused again. It does
+// nothing and returns false if the submission was cancelled meanwhile: the id then stays
+// used, and the caller calls Finish.
 func (t *Table) Abort(f *Flight, a Answer) bool {
 	t.mu.Lock()
 	if f.cancelled {
@@ -286,7 +287,7 @@
 		return false
 	}
 	delete(t.records, f.key)
-	w := t.windows[f.key.customer]
+	w := t.windows[f.key.client]
 	if !w.expired(f.key.sequence) {
 		w.setUsed(f.key.sequence, false)
 	}
@@ -295,22 +296,22 @@
 	return true
 }
 
-// KeptBytes returns the memory held for kept answers.
+// KeptBytes returns the memory of the cached responses.
 func (t *Table) KeptBytes() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.kept.bytes
+	return t.cache.bytes
 }
 
-// find is called with the lock held and the id verified.
-func (t *Table) find(now time.Time, id ID, customer string) (Lookup, *record) {
-	t.kept.sweep(now)
-	w := t.windows[customer]
+// find returns the state of a verified id. The caller holds the lock.
+func (t *Table) find(now time.Time, id ID, client string) (Lookup, *record) {
+	t.cache.evictExcess(now)
+	w := t.windows[client]
 	if w == nil || !w.minted(id.Sequence) {
 		return Lookup{State: Unknown}, nil
 	}
-	if r := t.records[key{customer, id.Sequence}]; r != nil {
-		return t.held(now, r), r
+	if r := t.records[key{client, id.Sequence}]; r != nil {
+		return t.lookupRecord(now, r), r
 	}
 	if w.expired(id.Sequence) {
 		return Lookup{State: Expired}, nil
@@ -321,10 +322,10 @@
 	return Lookup{State: Unused}, nil
 }
 
-func (t *Table) held(now time.Time, r *record) Lookup {
+func (t *Table) lookupRecord(now time.Time, r *record) Lookup {
 	if r.flight != nil {
 		return Lookup{State: Running, Flight: r.flight}
 	}
-	t.kept.touch(now, r)
+	t.cache.touch(now, r)
 	return Lookup{State: Kept, Answer: r.answer}
 }
--- a/entry/submission/table_test.go
+++ b/entry/submission/table_test.go
@@ -16,10 +16,10 @@
 	return New(Options{Entry: "zagreb-1.a_b", Incarnation: incarnation, Key: NewKey(), ValidIDs: 1, KeepBytes: 4 * recordBytes, KeepFor: time.Minute})
 }
 
-// skip mints n ids that nobody uses, as many callers would.
-func (t *Table) skip(id ID, n int) {
-	for customer, w := range t.windows {
-		if t.Verify(id, customer) {
+// mintUnused mints n ids that nobody uses, as many callers would.
+func (t *Table) mintUnused(id ID, n int) {
+	for client, w := range t.windows {
+		if t.Verify(id, client) {
 			for range n {
 				w.mint()
 			}
@@ -27,7 +27,8 @@
 	}
 }
 
-// FuzzParse: any text is refused or is the one text form of what it names.
+// FuzzParse checks that Parse rejects a text or that the text is the only text form of
+// the id.
 func FuzzParse(f *testing.F) {
 	f.Add(newTable(1).Mint("shop", 1)[0].String())
 	for _, text := range []string{"", "...", "a.1.1.", "a.01.1.AAAAAAAAAAAAAAAAAAAAAA", "a.A.1.AAAAAAAAAAAAAAAAAAAAAA",
@@ -45,7 +46,7 @@
 	})
 }
 
-func TestIDNamesItsOwnerAndHoldsToItsCustomer(t *testing.T) {
+func TestIDContainsItsOwnerAndIsBoundToItsClient(t *testing.T) {
 	table := newTable(77)
 	ids := table.Mint("shop", 2)
 	assert.Assert(t, ids[0] != ids[1])
@@ -63,25 +64,25 @@
 	assert.Assert(t, !newTable(78).Owns(parsed), "another incarnation")
 }
 
-// oracle is what a caller may rely on for one id.
+// oracle is the expected state of one id.
 type oracle struct {
-	customer string
-	flight   *Flight
-	body     byte
-	used     bool
-	// answers counts final answers: jobs that ran under the id.
+	client string
+	flight *Flight
+	body   byte
+	used   bool
+	// answers counts final responses: jobs that ran under the id.
 	answers int
 	last    Answer
 }
 
-// TestTableAgainstOracle drives the table with repeats, joins, refusals,
-// cancels, evictions, expiry and strangers, and holds it to an oracle that only
-// remembers for each id whether it was used and what was answered: a used id
-// never runs again, whatever the table has forgotten.
+// TestTableAgainstOracle drives the table with repeats, concurrent requests, rejections,
+// cancels, evictions, expiry and ids of other incarnations, and compares it with an
+// oracle that only records for each id whether it was used and what the response was. A
+// used id must never run again, whatever the table has evicted.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable(1)
-		stranger := newTable(2).Mint("shop", 1)[0]
+		foreign := newTable(2).Mint("shop", 1)[0]
 		now := time.Unix(1000, 0)
 		ids := []ID{}
 		known := map[ID]*oracle{}
@@ -92,9 +93,9 @@
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			return id, known[id]
 		}
-		// check holds a reply about a used or unused id to what happened to it.
+		// check compares a result for a used or unused id with what happened to that id.
 		check := func(t *rapid.T, o *oracle, id ID, got Lookup) {
-			expired := table.windows[o.customer].expired(id.Sequence)
+			expired := table.windows[o.client].expired(id.Sequence)
 			switch got.State {
 			case Unused:
 				assert.Assert(t, !o.used && !expired)
@@ -113,22 +114,22 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"mint": func(t *rapid.T) {
-				customer := rapid.SampledFrom([]string{"shop", "other"}).Draw(t, "customer")
-				for _, id := range table.Mint(customer, rapid.IntRange(1, 2).Draw(t, "n")) {
+				client := rapid.SampledFrom([]string{"shop", "other"}).Draw(t, "customer")
+				for _, id := range table.Mint(client, rapid.IntRange(1, 2).Draw(t, "n")) {
 					assert.Assert(t, known[id] == nil, "minted twice")
-					known[id] = &oracle{customer: customer}
+					known[id] = &oracle{client: client}
 					ids = append(ids, id)
 				}
 			},
 			"mint many": func(t *rapid.T) {
 				if len(ids) > 0 {
-					table.skip(ids[0], rapid.SampledFrom([]int{chunkBits / 2, chunkBits}).Draw(t, "n"))
+					table.mintUnused(ids[0], rapid.SampledFrom([]int{chunkBits / 2, chunkBits}).Draw(t, "n"))
 				}
 			},
 			"begin": func(t *rapid.T) {
 				id, o := pick(t)
 				body := rapid.SampledFrom([]byte{1, 2}).Draw(t, "body")
-				got := table.Begin(now, id, o.customer, sha256.Sum256([]byte{body}), func() {})
+				got := table.Begin(now, id, o.client, sha256.Sum256([]byte{body}), func() {})
 				switch got.State {
 				case Begun:
 					assert.Assert(t, !o.used, "an id ran twice")
@@ -170,7 +171,7 @@
 			"cancel": func(t *rapid.T) {
 				id, o := pick(t)
 				unused := Answer{Status: 409}
-				got := table.Cancel(now, id, o.customer, unused)
+				got := table.Cancel(now, id, o.client, unused)
 				if !o.used && got.State == Kept {
 					o.used, o.last = true, unused
 				}
@@ -178,12 +179,12 @@
 			},
 			"find": func(t *rapid.T) {
 				id, o := pick(t)
-				check(t, o, id, table.Find(now, id, o.customer))
+				check(t, o, id, table.Find(now, id, o.client))
 			},
 			"other customer": func(t *rapid.T) {
 				id, o := pick(t)
-				other := map[string]string{"shop": "other", "other": "shop"}[o.customer]
-				for _, id := range []ID{id, stranger} {
+				other := map[string]string{"shop": "other", "other": "shop"}[o.client]
+				for _, id := range []ID{id, foreign} {
 					assert.Equal(t, table.Find(now, id, other).State, Unknown)
 					assert.Equal(t, table.Cancel(now, id, other, Answer{}).State, Unknown)
 					assert.Equal(t, table.Begin(now, id, other, [32]byte{}, nil).State, Unknown)
@@ -200,15 +201,15 @@
 				}
 				assert.Equal(t, table.KeptBytes(), held)
 				assert.Assert(t, held <= table.opts.KeepBytes)
-				assert.Equal(t, table.kept.all.Len(), kept)
+				assert.Equal(t, table.cache.lru.Len(), kept)
 			},
 		})
 	})
 }
 
-// TestAnswersLapse: an answer goes when it was not asked for in time, and when
-// newer ones need the room; its id stays used.
-func TestAnswersLapse(t *testing.T) {
+// TestCachedAnswersExpire checks that a response is evicted when it was not requested in
+// time, and when newer ones need the memory; its id must stay used.
+func TestCachedAnswersExpire(t *testing.T) {
 	table := newTable(1)
 	now := time.Unix(1000, 0)
 	ids := table.Mint("shop", 6)
@@ -226,15 +227,14 @@
 	assert.Equal(t, table.Begin(now, ids[3], "shop", [32]byte{1}, nil).State, Evicted)
 }
 
-// TestLargeAnswersDisplaceTheirOwn: one customer fills the room for answers many
-// times over. Another customer, whose connection broke, repeats and still gets
-// its answer.
-func TestLargeAnswersDisplaceTheirOwn(t *testing.T) {
+// TestLargeAnswersEvictTheirOwn: one client fills the cache many times over. Another
+// client, whose connection broke, retries and must still get its response.
+func TestLargeAnswersEvictTheirOwn(t *testing.T) {
 	table := newTable(1)
 	now := time.Unix(1000, 0)
-	finish := func(customer string, size int) ID {
-		id := table.Mint(customer, 1)[0]
-		f := table.Begin(now, id, customer, [32]byte{1}, nil).Flight
+	finish := func(client string, size int) ID {
+		id := table.Mint(client, 1)[0]
+		f := table.Begin(now, id, client, [32]byte{1}, nil).Flight
 		table.Finish(now, f, Answer{Body: make([]byte, size)}, true)
 		return id
 	}
@@ -247,19 +247,19 @@
 	assert.Equal(t, table.Find(now, last, "other").State, Kept)
 }
 
-// TestAbortAfterExpiry: a job is refused so late that its id has left the
-// window, and a newer id has taken over its bit. Freeing the old id there would
-// let the newer one run a second time.
+// TestAbortAfterExpiry: a job is rejected so late that its id has left the window, and a
+// newer id uses the same bit. Clearing the bit for the old id would let the newer one
+// run a second time.
 func TestAbortAfterExpiry(t *testing.T) {
 	table := newTable(1)
 	now := time.Unix(1000, 0)
 	old := table.Mint("shop", 1)[0]
-	refused := table.Begin(now, old, "shop", [32]byte{1}, nil).Flight
-	table.skip(old, table.chunks*chunkBits-1)
+	rejected := table.Begin(now, old, "shop", [32]byte{1}, nil).Flight
+	table.mintUnused(old, table.chunks*chunkBits-1)
 	newer := table.Mint("shop", 1)[0]
 	assert.Equal(t, newer.Sequence-old.Sequence, uint64(table.chunks*chunkBits))
 	table.Finish(now, table.Begin(now, newer, "shop", [32]byte{1}, nil).Flight, Answer{}, false)
-	assert.Assert(t, table.Abort(refused, Answer{}))
+	assert.Assert(t, table.Abort(rejected, Answer{}))
 	assert.Equal(t, table.Find(now, newer, "shop").State, Evicted)
 	assert.Equal(t, table.Find(now, old, "shop").State, Expired)
 }
--- a/entry/submission/window.go
+++ b/entry/submission/window.go
@@ -7,8 +7,8 @@
 
 type chunk [chunkBits / wordBits]uint64
 
-// window is a bitset over the newest ids of one customer. Sequence numbers
-// only grow; when a new chunk begins, the oldest one is forgotten.
+// window is a bitset over the newest ids of one client. Sequence numbers only increase;
+// when a new chunk begins, the oldest one is dropped.
 type window struct {
 	next   uint64
 	chunks []*chunk
@@ -34,7 +34,7 @@
 	return 0 < sequence && sequence < w.next
 }
 
-// expired reports whether the bit of a minted number is forgotten.
+// expired reports whether the bit of a minted number has been dropped.
 func (w *window) expired(sequence uint64) bool {
 	newest := (w.next - 1) / chunkBits
 	return sequence/chunkBits+uint64(len(w.chunks)) <= newest
