--- a/entry/api/answer.go
+++ b/entry/api/answer.go
@@ -27,7 +27,7 @@
 	RunTime string `json:"run_time"`
 }
 
-// failureBody is the body of every other answer.
+// failureBody is the body of every answer that reports a failure.
 type failureBody struct {
 	Submission string       `json:"submission,omitempty"`
 	Error      errorBody    `json:"error"`
@@ -45,7 +45,7 @@
 	Code Code     `json:"code"`
 }
 
-// stateBody tells how far a submission is.
+// stateBody reports the state of a submission: running, or its outcome.
 type stateBody struct {
 	Submission string             `json:"submission"`
 	Outcome    submission.Outcome `json:"outcome"`
@@ -54,11 +54,12 @@
 
 const (
 	outcomeRunning submission.Outcome = "running"
-	// codeCompleted stands for a task that completed in a job that failed.
+	// codeCompleted is the code of a task that completed in a job that failed.
 	codeCompleted Code = "completed"
 )
 
-// newAnswer renders a body. The types rendered here can't fail to encode.
+// newAnswer encodes body as JSON. The body types of this package cannot fail to
+// encode; the fallback exists for a type that is added later.
 func newAnswer(status int, body any) submission.Answer {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return submission.Answer{Status: status, Body: b, Digest: sha256.Sum256(b)}
 }
 
-// answer renders a failure of the whole request.
+// answer returns the response to a request that failed as a whole.
 func (f *failure) answer(id string) submission.Answer {
 	a := newAnswer(f.status, failureBody{
 		Submission: id,
@@ -83,7 +84,7 @@
 	return a
 }
 
-// jobAnswer renders the engine's answer.
+// jobAnswer converts the engine's answer to a response.
 func (s *Server) jobAnswer(id string, a *engine.Answer) submission.Answer {
 	if a.Complete() {
 		return completeAnswer(id, a)
@@ -107,12 +108,13 @@
 	return out
 }
 
-// milliseconds writes a span in one unit and in ASCII, which any caller can read.
+// milliseconds formats a duration in milliseconds and in ASCII only, so that
+// callers in any language can parse it.
 func milliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d.Microseconds())/1000, 'f', -1, 64) + "ms"
 }
 
-// orEmpty keeps an empty payload from reading as null.
+// orEmpty replaces nil by an empty slice, since JSON encodes nil as null.
 func orEmpty(b []byte) []byte {
 	if b == nil {
 		return []byte{}
@@ -133,7 +135,7 @@
 	if message == "" {
 		message = "a task of the job failed"
 	}
-	status, outcome, retryAfter := s.failedStatus(a, ran)
+	status, outcome, retryAfter := s.failedJobStatus(a, ran)
 	out := newAnswer(status, failureBody{
 		Submission: id,
 		Error:      errorBody{Code: Code(a.Code), Message: message, Ran: ran},
@@ -143,9 +145,10 @@
 	return out
 }
 
-// failedStatus returns what a failed job looks like from outside. A job that no
-// endpoint would start may come again, under the same id.
-func (s *Server) failedStatus(a *engine.Answer, ran task.Ran) (int, submission.Outcome, time.Duration) {
+// failedJobStatus returns the HTTP status, outcome and retry delay of a failed
+// job. A job that every endpoint refused to start may be submitted again under
+// the same id.
+func (s *Server) failedJobStatus(a *engine.Answer, ran task.Ran) (int, submission.Outcome, time.Duration) {
 	switch {
 	case a.Code == task.CodeCancelled:
 		return http.StatusConflict, submission.Cancelled, 0
@@ -157,9 +160,10 @@
 	return http.StatusBadGateway, submission.Failed, 0
 }
 
-// cancelledAnswer is kept for a submission cancelled before it was taken.
+// cancelledAnswer returns the answer stored for a submission that is cancelled
+// before its job is accepted.
 func cancelledAnswer(id string) submission.Answer {
-	f := notRun(http.StatusConflict, Code(task.CodeCancelled), "cancelled before it was run")
+	f := notStarted(http.StatusConflict, Code(task.CodeCancelled), "cancelled before it was run")
 	a := f.answer(id)
 	a.Outcome = submission.Cancelled
 	return a
--- a/entry/api/api_test.go
+++ b/entry/api/api_test.go
@@ -28,20 +28,20 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// fakes stands for every part around the server.
+// fakes implements all dependencies of the server.
 type fakes struct {
-	mu        sync.Mutex
-	contracts map[string]contract.Contract // by token
-	run       func(ctx context.Context, j engine.Job) (*engine.Answer, error)
-	runs      int
-	draining  bool
-	decision  quota.Decision
-	released  int
-	undone    int
-	standing  member.Standing
-	forward   func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
-	closed    bool
-	observed  []burn.Kind
+	mu         sync.Mutex
+	contracts  map[string]contract.Contract // by token
+	run        func(ctx context.Context, j engine.Job) (*engine.Answer, error)
+	runs       int
+	draining   bool
+	decision   quota.Decision
+	released   int
+	undone     int
+	peerStatus member.Standing
+	forward    func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
+	closed     bool
+	observed   []burn.Kind
 }
 
 func (f *fakes) ByToken(digest [32]byte) (contract.Contract, bool) {
@@ -53,9 +53,9 @@
 	return contract.Contract{}, false
 }
 
-func (f *fakes) ByCustomer(customer string) (contract.Contract, bool) {
+func (f *fakes) ByCustomer(client string) (contract.Contract, bool) {
 	for _, c := range f.contracts {
-		if c.Customer == customer {
+		if c.Customer == client {
 			return c, true
 		}
 	}
@@ -78,7 +78,7 @@
 
 func (f *fakes) Admit(time.Time, string, int) quota.Decision { return f.decision }
 
-func (f *fakes) Standing(string, uint64) member.Standing { return f.standing }
+func (f *fakes) Standing(string, uint64) member.Standing { return f.peerStatus }
 
 func (f *fakes) Forward(_ context.Context, _ string, r *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
 	return f.forward(r)
@@ -104,15 +104,15 @@
 	return a, nil
 }
 
-// failing answers a job of two tasks: the first failed as given, the second
-// never ran.
+// failing answers a job of two tasks: the first fails with the given code and
+// ran value, the second never runs.
 func failing(code task.Code, ran task.Ran) func(context.Context, engine.Job) (*engine.Answer, error) {
 	return func(context.Context, engine.Job) (*engine.Answer, error) {
-		return &engine.Answer{Code: code, Message: "as told", Outcomes: []task.Outcome{{Code: code, Ran: ran}, {Code: code, Ran: task.RanNo}}}, nil
+		return &engine.Answer{Code: code, Message: "test failure", Outcomes: []task.Outcome{{Code: code, Ran: ran}, {Code: code, Ran: task.RanNo}}}, nil
 	}
 }
 
-func refusing(err error, retryAfter time.Duration) func(context.Context, engine.Job) (*engine.Answer, error) {
+func rejecting(err error, retryAfter time.Duration) func(context.Context, engine.Job) (*engine.Answer, error) {
 	return func(context.Context, engine.Job) (*engine.Answer, error) {
 		return nil, &engine.Refusal{Err: err, RetryAfter: retryAfter}
 	}
@@ -124,7 +124,7 @@
 )
 
 func newFakes() *fakes {
-	f := &fakes{run: echo, standing: member.Live}
+	f := &fakes{run: echo, peerStatus: member.Live}
 	f.decision = quota.Decision{OK: true, Release: func() { f.released++ }, Undo: func() { f.undone++ }}
 	shop := contract.Contract{Customer: "shop", State: contract.Active, Services: []string{"teardown"}, AnswerTime: contract.Duration(time.Second)}
 	other := shop
@@ -173,7 +173,7 @@
 	return w
 }
 
-// decoded reads a failure's body, and checks what every answer must have.
+// decoded decodes a failure body and checks the headers that every answer has.
 func decoded(t *testing.T, w *httptest.ResponseRecorder) failureBody {
 	t.Helper()
 	assert.Equal(t, w.Header().Get(headerEntry), entryID)
@@ -184,7 +184,7 @@
 	return b
 }
 
-func mintOne(t *testing.T, h http.Handler, token string) string {
+func mintID(t *testing.T, h http.Handler, token string) string {
 	t.Helper()
 	w := request{method: "POST", path: "/v1/submissions", token: token}.send(h)
 	assert.Equal(t, w.Code, http.StatusOK, w.Body)
@@ -193,7 +193,7 @@
 	return "/v1/submissions/" + b.Submissions[0]
 }
 
-func TestPostJobAnswersWhole(t *testing.T) {
+func TestPostJobReturnsAllResults(t *testing.T) {
 	f := newFakes()
 	h := handler(newServer(f, 1))
 	w := request{method: "POST", path: "/v1/jobs", token: "t-shop", body: jobText}.send(h)
@@ -217,12 +217,12 @@
 	assert.Equal(t, w.Code, http.StatusGone)
 }
 
-// TestFailuresOfJobs checks the status, headers and body of each way in which a
-// job has no answer, both for POST /v1/jobs and under an id.
-func TestFailuresOfJobs(t *testing.T) {
+// TestJobFailureResponses checks status, headers and body of each kind of
+// failure, both for POST /v1/jobs and for PUT under a submission id.
+func TestJobFailureResponses(t *testing.T) {
 	cases := []struct {
 		name    string
-		set     func(*fakes)
+		setup   func(*fakes)
 		token   string
 		body    string
 		header  map[string]string
@@ -231,7 +231,7 @@
 		ran     task.Ran
 		retry   string // Retry-After, Retry-After-Ms
 		kind    []burn.Kind
-		onIDRan task.Ran // when it differs under an id
+		onIDRan task.Ran // set if it differs under an id
 	}{
 		{name: "no token", token: "none", status: 401, code: CodeUnauthenticated, ran: "no", onIDRan: "unknown"},
 		{name: "retired", token: "t-retired", status: 403, code: CodeRetired, ran: "no"},
@@ -244,27 +244,27 @@
 		{name: "bad digest", header: map[string]string{headerDigest: "sha-256=AAAA"}, status: 400, code: CodeBadRequest, ran: "no"},
 		{name: "service not allowed", body: strings.Replace(jobText, "teardown", "billing", 1), status: 403, code: CodeServiceForbidden, ran: "no"},
 		{name: "no such service", body: strings.Replace(jobText, "teardown", "nowhere", 1), status: 404, code: CodeServiceUnknown, ran: "no"},
-		{name: "over quota", set: func(f *fakes) { f.decision = quota.Decision{RetryAfter: 1001 * time.Millisecond} },
+		{name: "over quota", setup: func(f *fakes) { f.decision = quota.Decision{RetryAfter: 1001 * time.Millisecond} },
 			status: 429, code: CodeOverQuota, ran: "no", retry: "2 1001", kind: []burn.Kind{burn.RefusedOver}},
-		{name: "never fits", set: func(f *fakes) { f.decision = quota.Decision{Permanent: true} },
+		{name: "never fits", setup: func(f *fakes) { f.decision = quota.Decision{Permanent: true} },
 			status: 422, code: CodeJobTooLarge, ran: "no", kind: []burn.Kind{burn.RefusedOver}},
-		{name: "draining", set: func(f *fakes) { f.draining = true }, status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "isolated", set: func(f *fakes) { f.closed = true }, status: 503, code: CodeIsolated, ran: "no", retry: "2 1500", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "backlog", set: func(f *fakes) { f.run = refusing(scheduler.ErrBacklog, 2300*time.Microsecond) },
+		{name: "draining", setup: func(f *fakes) { f.draining = true }, status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
+		{name: "isolated", setup: func(f *fakes) { f.closed = true }, status: 503, code: CodeIsolated, ran: "no", retry: "2 1500", kind: []burn.Kind{burn.RefusedWithin}},
+		{name: "backlog", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrBacklog, 2300*time.Microsecond) },
 			status: 429, code: CodeBacklog, ran: "no", retry: "1 3", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "no endpoint", set: func(f *fakes) { f.run = refusing(scheduler.ErrNoEndpoint, 0) },
+		{name: "no endpoint", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrNoEndpoint, 0) },
 			status: 503, code: CodeNoEndpoint, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "queue full", set: func(f *fakes) { f.run = refusing(scheduler.ErrQueueFull, time.Second) },
+		{name: "queue full", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrQueueFull, time.Second) },
 			status: 503, code: CodeQueueFull, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "drain race", set: func(f *fakes) { f.run = refusing(engine.ErrDraining, 0) },
+		{name: "drain race", setup: func(f *fakes) { f.run = rejecting(engine.ErrDraining, 0) },
 			status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "endpoints refused", set: func(f *fakes) { f.run = failing(task.CodeRefused, task.RanNo) },
+		{name: "endpoints refused", setup: func(f *fakes) { f.run = failing(task.CodeRefused, task.RanNo) },
 			status: 503, code: Code(task.CodeRefused), ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "task failed", set: func(f *fakes) { f.run = failing(task.CodeFailed, task.RanYes) },
+		{name: "task failed", setup: func(f *fakes) { f.run = failing(task.CodeFailed, task.RanYes) },
 			status: 502, code: Code(task.CodeFailed), ran: "yes", kind: []burn.Kind{burn.Failed}},
-		{name: "endpoint lost", set: func(f *fakes) { f.run = failing(task.CodeLost, task.RanUnknown) },
+		{name: "endpoint lost", setup: func(f *fakes) { f.run = failing(task.CodeLost, task.RanUnknown) },
 			status: 502, code: Code(task.CodeLost), ran: "unknown", kind: []burn.Kind{burn.Failed}},
-		{name: "answer time", set: func(f *fakes) { f.run = failing(task.CodeDeadline, task.RanNo) },
+		{name: "answer time", setup: func(f *fakes) { f.run = failing(task.CodeDeadline, task.RanNo) },
 			status: 504, code: Code(task.CodeDeadline), ran: "no", kind: []burn.Kind{burn.Failed}},
 	}
 	for _, c := range cases {
@@ -274,7 +274,7 @@
 				h := handler(newServer(f, 1))
 				r := request{method: "POST", path: "/v1/jobs", token: "t-shop", body: jobText, header: c.header}
 				if underID && c.token == "" {
-					r.method, r.path = "PUT", mintOne(t, h, "t-shop")
+					r.method, r.path = "PUT", mintID(t, h, "t-shop")
 				} else if underID {
 					r.method, r.path = "PUT", "/v1/submissions/"+entryID+".1.1.AAAAAAAAAAAAAAAAAAAAAA"
 				}
@@ -284,11 +284,11 @@
 				if c.body != "" {
 					r.body = c.body
 				}
-				if c.set != nil {
-					c.set(f)
+				if c.setup != nil {
+					c.setup(f)
 				}
 				if underID && c.token == "t-retired" {
-					return // it was never given an id
+					return // a retired contract cannot get an id
 				}
 				w := r.send(h)
 				b := decoded(t, w)
@@ -307,11 +307,11 @@
 	}
 }
 
-func TestRefusedIDMayComeAgain(t *testing.T) {
+func TestRejectedIDCanBeSubmittedAgain(t *testing.T) {
 	f := newFakes()
 	h := handler(newServer(f, 1))
-	put := request{method: "PUT", path: mintOne(t, h, "t-shop"), token: "t-shop", body: jobText}
-	f.run = refusing(scheduler.ErrBacklog, time.Second)
+	put := request{method: "PUT", path: mintID(t, h, "t-shop"), token: "t-shop", body: jobText}
+	f.run = rejecting(scheduler.ErrBacklog, time.Second)
 	w := put.send(h)
 	assert.Equal(t, w.Code, 429)
 	assert.Equal(t, "/v1/submissions/"+w.Header().Get(headerNext), put.path)
@@ -325,24 +325,25 @@
 	assert.Equal(t, f.undone, 1)
 }
 
-// TestRepeatsJoin: a caller sends a job, loses its connection, and repeats. It
-// gets the same answer whether the job still runs or has ended, the job runs
-// once, and another body under the same id is refused.
-func TestRepeatsJoin(t *testing.T) {
+// TestRepeatedRequestsShareOneJob: a caller submits a job, loses its connection
+// and repeats the request. It gets the same answer whether the job is still
+// running or has ended, the job runs once, and a different body under the same
+// id is rejected.
+func TestRepeatedRequestsShareOneJob(t *testing.T) {
 	f := newFakes()
 	h := handler(newServer(f, 1))
-	running, goOn := make(chan struct{}), make(chan struct{})
+	running, proceed := make(chan struct{}), make(chan struct{})
 	f.run = func(ctx context.Context, j engine.Job) (*engine.Answer, error) {
 		close(running)
-		<-goOn
-		assert.Check(t, ctx.Err()) // the first caller has gone; the job goes on
+		<-proceed
+		assert.Check(t, ctx.Err()) // the job continues after its first caller disconnects
 		return echo(ctx, j)
 	}
-	put := request{method: "PUT", path: mintOne(t, h, "t-shop"), token: "t-shop", body: jobText}
+	put := request{method: "PUT", path: mintID(t, h, "t-shop"), token: "t-shop", body: jobText}
 	ctx, disconnect := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	bodies := make([]string, 3)
-	all.Go(func() {
+	wg.Go(func() {
 		req := httptest.NewRequestWithContext(ctx, "PUT", put.path, strings.NewReader(put.body))
 		req.Header.Set("Authorization", "Bearer t-shop")
 		w := httptest.NewRecorder()
@@ -358,9 +359,9 @@
 	w := other.send(h)
 	assert.Equal(t, w.Code, http.StatusConflict)
 	assert.Equal(t, decoded(t, w).Error.Ran, task.RanUnknown)
-	all.Go(func() { bodies[1] = put.send(h).Body.String() })
-	close(goOn)
-	all.Wait()
+	wg.Go(func() { bodies[1] = put.send(h).Body.String() })
+	close(proceed)
+	wg.Wait()
 	bodies[2] = put.send(h).Body.String()
 	assert.Equal(t, bodies[0], bodies[1])
 	assert.Equal(t, bodies[0], bodies[2])
@@ -368,14 +369,14 @@
 	assert.Equal(t, f.runs, 1)
 }
 
-// TestBadRepeatSaysUnknown: a job ran under an id, and a damaged repeat of it
-// can't be read. Told "not run", the caller would submit it again under a new
-// id and run it twice.
-func TestBadRepeatSaysUnknown(t *testing.T) {
+// TestMalformedRepeatReportsUnknown: a job ran under an id, and a malformed
+// repeat of the request cannot be read. If the answer said that the job did not
+// run, the caller would submit it under a new id and it would run twice.
+func TestMalformedRepeatReportsUnknown(t *testing.T) {
 	f := newFakes()
-	f.standing = member.Live
+	f.peerStatus = member.Live
 	h := handler(newServer(f, 1))
-	put := request{method: "PUT", path: mintOne(t, h, "t-shop"), token: "t-shop", body: jobText}
+	put := request{method: "PUT", path: mintID(t, h, "t-shop"), token: "t-shop", body: jobText}
 	assert.Equal(t, put.send(h).Code, 200)
 	put.body = strings.Repeat(" ", 5000)
 	for _, path := range []string{put.path, "/v1/submissions/osijek-1.1.1.AAAAAAAAAAAAAAAAAAAAAA"} {
@@ -387,12 +388,12 @@
 	assert.Equal(t, f.runs, 1)
 }
 
-// TestDelete: a job cancelled while it runs ends at once for all who wait; an
-// id cancelled before its job came never runs one.
+// TestDelete: cancelling a running job answers every waiting request at once;
+// cancelling an unused id prevents any later job under it from running.
 func TestDelete(t *testing.T) {
 	f := newFakes()
 	h := handler(newServer(f, 1))
-	unused := mintOne(t, h, "t-shop")
+	unused := mintID(t, h, "t-shop")
 	w := request{method: "DELETE", path: unused, token: "t-shop"}.send(h)
 	assert.Equal(t, w.Code, 200)
 	assert.Assert(t, strings.Contains(w.Body.String(), `"outcome":"cancelled","ran":"no"`), w.Body)
@@ -407,9 +408,9 @@
 		<-ctx.Done()
 		return failing(task.CodeCancelled, task.RanUnknown)(ctx, j)
 	}
-	put := request{method: "PUT", path: mintOne(t, h, "t-shop"), token: "t-shop", body: jobText}
-	var wait sync.WaitGroup
-	wait.Go(func() {
+	put := request{method: "PUT", path: mintID(t, h, "t-shop"), token: "t-shop", body: jobText}
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		w := put.send(h)
 		assert.Check(t, w.Code == http.StatusConflict)
 	})
@@ -417,16 +418,16 @@
 	w = request{method: "DELETE", path: put.path, token: "t-shop"}.send(h)
 	assert.Equal(t, w.Code, 200)
 	assert.Assert(t, strings.Contains(w.Body.String(), `"outcome":"cancelled","ran":"unknown"`), w.Body)
-	wait.Wait()
+	wg.Wait()
 	assert.Equal(t, len(f.observed), 0)
 }
 
-// TestOtherCustomer: one customer can neither read, cancel nor repeat another's
-// submission, and what it is told does not depend on whether that exists.
-func TestOtherCustomer(t *testing.T) {
+// TestOtherClient: a client cannot read, cancel or repeat another client's
+// submission, and the error is the same whether or not the submission exists.
+func TestOtherClient(t *testing.T) {
 	f := newFakes()
 	h := handler(newServer(f, 1))
-	used, unused := mintOne(t, h, "t-shop"), mintOne(t, h, "t-shop")
+	used, unused := mintID(t, h, "t-shop"), mintID(t, h, "t-shop")
 	assert.Equal(t, request{method: "PUT", path: used, token: "t-shop", body: jobText}.send(h).Code, 200)
 	for _, method := range []string{"GET", "DELETE", "PUT"} {
 		var errs []errorBody
@@ -443,11 +444,12 @@
 	assert.Equal(t, f.runs, 1)
 }
 
-// TestForward: a repeat reaches another entry than the one that owns the id.
+// TestForward: a repeated request arrives at an entry that does not own the id
+// and is forwarded to the owner.
 func TestForward(t *testing.T) {
 	owner, ownerFakes := newServer(newFakes(), 7), newFakes()
 	owner.opts.Engine = ownerFakes
-	path := mintOne(t, handler(owner), "t-shop")
+	path := mintID(t, handler(owner), "t-shop")
 	f := newFakes()
 	var to uint64
 	f.forward = func(r *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
@@ -470,26 +472,26 @@
 	assert.Equal(t, request{method: "DELETE", path: path, token: "t-shop"}.send(h).Code, 200)
 	assert.Equal(t, request{method: "GET", path: path, token: "t-other"}.send(h).Code, 404)
 
-	ownerFakes.run = refusing(scheduler.ErrBacklog, 1500*time.Millisecond)
-	fresh := mintOne(t, handler(owner), "t-shop")
+	ownerFakes.run = rejecting(scheduler.ErrBacklog, 1500*time.Millisecond)
+	fresh := mintID(t, handler(owner), "t-shop")
 	w := request{method: "PUT", path: fresh, token: "t-shop", body: jobText}.send(h)
 	assert.Equal(t, w.Code, 429)
 	assert.Equal(t, w.Header().Get(headerRetryAfter), "2")
 	assert.Equal(t, w.Header().Get(headerRetryAfterMs), "1500")
 }
 
-// TestOwnerOutOfReach: the owner of an id is silent, dies while it is waited
-// for, or is gone. Its job may have run, so the answer comes at once and never
-// says "no".
-func TestOwnerOutOfReach(t *testing.T) {
+// TestOwnerUnreachable: the owner of an id does not respond, fails during the
+// forwarded call, or has left the cluster. The job may have run, so the answer
+// is sent at once and never says that the job did not run.
+func TestOwnerUnreachable(t *testing.T) {
 	lostCall := func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) { return nil, errors.New("cut") }
 	cases := []struct {
-		name     string
-		owner    string
-		standing member.Standing
-		status   int
-		code     Code
-		retry    string
+		name       string
+		owner      string
+		peerStatus member.Standing
+		status     int
+		code       Code
+		retry      string
 	}{
 		{"silent", "osijek-1", member.Silent, 503, CodeOwnerSilent, "1"},
 		{"gone", "osijek-1", member.Gone, 410, CodeLost, ""},
@@ -499,7 +501,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFakes()
-			f.standing, f.forward = c.standing, lostCall
+			f.peerStatus, f.forward = c.peerStatus, lostCall
 			h := handler(newServer(f, 5))
 			for _, method := range []string{"PUT", "GET", "DELETE"} {
 				w := request{method: method, path: "/v1/submissions/" + c.owner + ".1.1.AAAAAAAAAAAAAAAAAAAAAA", token: "t-shop", body: jobText}.send(h)
@@ -543,11 +545,11 @@
 	assert.Equal(t, w.Code, 404)
 }
 
-// TestLongJobOutlivesReadTimeout: a job runs longer than the time allowed to
-// send its request. If the read deadline stayed in place while the handler
-// waits, net/http would take its passing for a lost caller, end the request's
-// context, and the job would be cancelled. It lifts the deadline once the body
-// has been read whole; this holds us to that.
+// TestLongJobOutlivesReadTimeout: a job runs longer than ReadTimeout. If the
+// read deadline stayed set while the handler waits, net/http would treat its
+// expiry as a closed connection and cancel the request's context, and with it
+// the job. net/http clears the deadline once the whole body has been read; this
+// test fails if that changes.
 func TestLongJobOutlivesReadTimeout(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		f := newFakes()
@@ -581,13 +583,13 @@
 	}
 }
 
-// TestFaultFreesRepeats: a panic in the middle of a job must not leave the
-// repeats under its id waiting for good, nor let the job run again.
-func TestFaultFreesRepeats(t *testing.T) {
+// TestPanicReleasesRepeats: a panic while a job runs must not leave repeated
+// requests under its id waiting forever, nor let the job run again.
+func TestPanicReleasesRepeats(t *testing.T) {
 	f := newFakes()
 	h := handler(newServer(f, 1))
 	f.run = func(context.Context, engine.Job) (*engine.Answer, error) { panic("fault") }
-	put := request{method: "PUT", path: mintOne(t, h, "t-shop"), token: "t-shop", body: jobText}
+	put := request{method: "PUT", path: mintID(t, h, "t-shop"), token: "t-shop", body: jobText}
 	func() {
 		defer func() { assert.Assert(t, recover() != nil) }()
 		put.send(h)
@@ -598,16 +600,16 @@
 	assert.Equal(t, f.runs, 1)
 }
 
-func TestOpenBodiesAreBounded(t *testing.T) {
+func TestTotalSizeOfOpenBodiesIsLimited(t *testing.T) {
 	s := newServer(newFakes(), 1)
 	s.opts.MaxOpenBody = 10
 	w := request{method: "POST", path: "/v1/jobs", token: "t-shop", body: jobText}.send(handler(s))
 	assert.Equal(t, w.Code, 503)
 	assert.Equal(t, decoded(t, w).Error.Code, CodeBusy)
-	assert.Equal(t, s.openBody.Load(), int64(0))
+	assert.Equal(t, s.openBodyBytes.Load(), int64(0))
 }
 
-func TestDecodeNamesThePath(t *testing.T) {
+func TestDecodeErrorsIncludeThePath(t *testing.T) {
 	cases := map[string]string{
 		`{"service":"a","tasks":[{"payload":"x","pay":1}]}`:              "tasks[0].payload: must be a string in base64",
 		`{"service":"a","tasks":[{},{"pay":[[[[]]]]}]}`:                  "tasks[1].pay: unknown field",
@@ -634,8 +636,8 @@
 	}
 }
 
-// FuzzDecodeJob: whatever a caller sends, the decoder gives a job within the
-// limits or an error that fits an answer.
+// FuzzDecodeJob checks that any input decodes to a job within the limits or to
+// an error short enough for an answer.
 func FuzzDecodeJob(f *testing.F) {
 	f.Add([]byte(jobText))
 	f.Add([]byte(`{"service":"a","idempotent":true,"tasks":[{"kind":"k","size":0,"run_time":"1h"}]}`))
--- a/entry/api/auth.go
+++ b/entry/api/auth.go
@@ -11,7 +11,7 @@
 // maxToken is the longest bearer token, in bytes.
 const maxToken = 512
 
-// authenticate finds the contract of the caller's bearer token.
+// authenticate returns the contract that the caller's bearer token belongs to.
 func (s *Server) authenticate(w http.ResponseWriter, r *http.Request) (contract.Contract, *failure) {
 	token, ok := bearer(r.Header.Get("Authorization"))
 	if ok {
@@ -19,15 +19,15 @@
 		if known {
 			return c, nil
 		}
-		// An entry that starts during an outage, or is cut off, may lack the
-		// caller's contract. A 401 would tell a customer in good standing that its
-		// token is wrong for good; it comes back instead, here or elsewhere.
-		if f := s.checkGate(r.Context()); f != nil {
+		// An entry that starts during a store outage, or that is isolated, may not
+		// have the caller's contract yet. A 401 would report a valid token as
+		// permanently wrong; a 503 makes the caller retry at this or another entry.
+		if f := s.checkReady(r.Context()); f != nil {
 			return contract.Contract{}, f
 		}
 	}
 	w.Header().Set("WWW-Authenticate", "Bearer")
-	return contract.Contract{}, notRun(http.StatusUnauthorized, CodeUnauthenticated, "send the bearer token of a contract")
+	return contract.Contract{}, notStarted(http.StatusUnauthorized, CodeUnauthenticated, "send the bearer token of a contract")
 }
 
 func bearer(header string) (string, bool) {
@@ -38,10 +38,10 @@
 	return token, token != "" && len(token) <= maxToken
 }
 
-// checkActive refuses new work under a retired contract.
-func checkActive(c contract.Contract) *failure {
+// checkContractActive rejects new jobs under a retired contract.
+func checkContractActive(c contract.Contract) *failure {
 	if c.State != contract.Active {
-		return notRun(http.StatusForbidden, CodeRetired, "the contract is retired")
+		return notStarted(http.StatusForbidden, CodeRetired, "the contract is retired")
 	}
 	return nil
 }
--- a/entry/api/body.go
+++ b/entry/api/body.go
@@ -13,15 +13,16 @@
 	"strings"
 )
 
-// body is a request's body with its digest. Call release when done with it.
+// body is a request's body with its digest. The user of a body calls release
+// after its last use.
 type body struct {
 	bytes   []byte
 	digest  [sha256.Size]byte
 	release func()
 }
 
-// readBody reads a request's body within the limits and checks the digest that
-// the caller sent along.
+// readBody reads a request's body within the size limits and checks it against
+// the Content-Digest header, if the caller sent one.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (*body, *failure) {
 	if f := checkMedia(r); f != nil {
 		return nil, f
@@ -29,19 +30,19 @@
 	if r.ContentLength > s.opts.MaxBody {
 		return nil, s.tooLarge()
 	}
-	charged := &chargedReader{
-		from:   http.MaxBytesReader(w, r.Body, s.opts.MaxBody),
+	reader := &budgetReader{
+		src:    http.MaxBytesReader(w, r.Body, s.opts.MaxBody),
 		server: s,
 	}
 	var buf bytes.Buffer
 	if r.ContentLength > 0 {
-		buf.Grow(int(min(r.ContentLength+bytes.MinRead, trustedLength)))
+		buf.Grow(int(min(r.ContentLength+bytes.MinRead, maxPreallocated)))
 	}
-	if _, err := buf.ReadFrom(charged); err != nil {
-		charged.release()
+	if _, err := buf.ReadFrom(reader); err != nil {
+		reader.release()
 		return nil, s.readFailure(err)
 	}
-	b := &body{bytes: buf.Bytes(), digest: sha256.Sum256(buf.Bytes()), release: charged.release}
+	b := &body{bytes: buf.Bytes(), digest: sha256.Sum256(buf.Bytes()), release: reader.release}
 	if f := checkDigest(r, b.digest); f != nil {
 		b.release()
 		return nil, f
@@ -49,11 +50,12 @@
 	return b, nil
 }
 
-// trustedLength is how much memory a declared length gets before it is sent.
-const trustedLength = 64 << 10
+// maxPreallocated bounds, in bytes, the buffer that is allocated for a declared
+// Content-Length before any of the body has arrived.
+const maxPreallocated = 64 << 10
 
 func (s *Server) tooLarge() *failure {
-	return notRun(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body may have at most %d bytes", s.opts.MaxBody)
+	return notStarted(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body may have at most %d bytes", s.opts.MaxBody)
 }
 
 func (s *Server) readFailure(err error) *failure {
@@ -61,17 +63,17 @@
 	switch {
 	case errors.As(err, &large):
 		return s.tooLarge()
-	case errors.Is(err, errBusy):
-		return notNow(http.StatusServiceUnavailable, CodeBusy, s.opts.RetryAfter, "too many large requests are open")
+	case errors.Is(err, errBodyBudget):
+		return retryLater(http.StatusServiceUnavailable, CodeBusy, s.opts.RetryAfter, "too many large requests are open")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return notRun(http.StatusRequestTimeout, CodeSlowBody, "the body did not arrive in time")
+		return notStarted(http.StatusRequestTimeout, CodeSlowBody, "the body did not arrive in time")
 	}
-	return notRun(http.StatusBadRequest, CodeBadRequest, "the body was cut short")
+	return notStarted(http.StatusBadRequest, CodeBadRequest, "the body was cut short")
 }
 
 func checkMedia(r *http.Request) *failure {
 	if r.Header.Get("Content-Encoding") != "" {
-		return notRun(http.StatusUnsupportedMediaType, CodeMediaType, "send the body without Content-Encoding")
+		return notStarted(http.StatusUnsupportedMediaType, CodeMediaType, "send the body without Content-Encoding")
 	}
 	contentType := r.Header.Get("Content-Type")
 	if contentType == "" {
@@ -79,7 +81,7 @@
 	}
 	media, _, err := mime.ParseMediaType(contentType)
 	if err != nil || media != "application/json" {
-		return notRun(http.StatusUnsupportedMediaType, CodeMediaType, "send the body as application/json")
+		return notStarted(http.StatusUnsupportedMediaType, CodeMediaType, "send the body as application/json")
 	}
 	return nil
 }
@@ -95,36 +97,36 @@
 		encoded, end := strings.CutSuffix(encoded, ":")
 		declared, err := base64.StdEncoding.DecodeString(encoded)
 		if !colons || !end || err != nil {
-			return notRun(http.StatusBadRequest, CodeBadRequest, "Content-Digest: write sha-256=:<base64>:")
+			return notStarted(http.StatusBadRequest, CodeBadRequest, "Content-Digest: write sha-256=:<base64>:")
 		}
 		if subtle.ConstantTimeCompare(declared, actual[:]) != 1 {
-			return notRun(http.StatusBadRequest, CodeDigestMismatch, "the body does not match its Content-Digest")
+			return notStarted(http.StatusBadRequest, CodeDigestMismatch, "the body does not match its Content-Digest")
 		}
 	}
 	return nil
 }
 
-var errBusy = errors.New("bound on open bodies reached")
+var errBodyBudget = errors.New("limit on the total size of open request bodies reached")
 
-// chargedReader counts what it reads against the bound for all open requests.
-// Each body is bounded alone; without this, many large ones at once would take
-// all memory.
-type chargedReader struct {
-	from   io.Reader
-	server *Server
-	held   int64
+// budgetReader counts the bytes it reads towards the limit for all open
+// requests. The limit on a single body does not prevent many large bodies from
+// exhausting memory together.
+type budgetReader struct {
+	src     io.Reader
+	server  *Server
+	counted int64
 }
 
-func (c *chargedReader) Read(p []byte) (int, error) {
-	n, err := c.from.Read(p)
-	c.held += int64(n)
-	if c.server.openBody.Add(int64(n)) > c.server.opts.MaxOpenBody {
-		return n, errBusy
+func (c *budgetReader) Read(p []byte) (int, error) {
+	n, err := c.src.Read(p)
+	c.counted += int64(n)
+	if c.server.openBodyBytes.Add(int64(n)) > c.server.opts.MaxOpenBody {
+		return n, errBodyBudget
 	}
 	return n, err
 }
 
-func (c *chargedReader) release() {
-	c.server.openBody.Add(-c.held)
-	c.held = 0
+func (c *budgetReader) release() {
+	c.server.openBodyBytes.Add(-c.counted)
+	c.counted = 0
 }
--- a/entry/api/decode.go
+++ b/entry/api/decode.go
@@ -11,15 +11,16 @@
 	"almondstand.dev/entry/engine"
 )
 
-// Limits of the text fields of a job, in bytes.
+// Maximum lengths of the text fields of a job, in bytes.
 const (
 	maxServiceName = 64
 	maxKind        = 64
 )
 
-// FieldError says which field of a body is wrong.
+// FieldError reports an invalid field of a request body.
 type FieldError struct {
-	// Path is like "tasks[3].run_time"; empty for the body as a whole.
+	// Path is the JSON path of the field, such as "tasks[3].run_time"; it is
+	// empty for the body as a whole.
 	Path    string
 	Problem string
 }
@@ -32,18 +33,18 @@
 	return e.Path + ": " + e.Problem
 }
 
-// jobRequest is a caller's job.
+// jobRequest is a decoded job.
 type jobRequest struct {
 	service    string
 	idempotent bool
 	tasks      []engine.Task
-	// misdeclared counts tasks whose declared size is not that of the payload.
+	// misdeclared counts tasks whose declared size differs from the payload size.
 	misdeclared int
 }
 
-// decodeJob reads a job strictly: a field that is unknown, given twice or of
-// the wrong type is an error with its path. Nesting beyond the known fields is
-// an error where it starts, so depth needs no bound of its own.
+// decodeJob decodes a job strictly: an unknown or duplicate field, or one of the
+// wrong type, is an error that includes its path. Nesting deeper than the known
+// fields fails at its first level, so no separate depth limit is needed.
 func decodeJob(body []byte) (*jobRequest, error) {
 	d := newDecoder(body)
 	var j jobRequest
@@ -130,7 +131,7 @@
 	return v, nil
 }
 
-// decodeCount reads the body of a mint: empty, or {"count": n}.
+// decodeCount decodes the body of POST /v1/submissions: empty, or {"count": n}.
 func decodeCount(body []byte) (int, error) {
 	count := 1
 	if len(bytes.TrimSpace(body)) == 0 {
@@ -155,7 +156,8 @@
 	return count, nil
 }
 
-// validName holds names to what is safe in a header, a metric and a log.
+// validName reports whether s has 1 to limit bytes, all of them safe in HTTP
+// headers, metric labels and logs.
 func validName(s string, limit int) bool {
 	if s == "" || len(s) > limit {
 		return false
@@ -171,7 +173,7 @@
 	return true
 }
 
-// decoder walks JSON and knows the path of where it is.
+// decoder reads JSON tokens and includes the path of a field in its errors.
 type decoder struct{ json *json.Decoder }
 
 func newDecoder(body []byte) *decoder {
@@ -246,8 +248,9 @@
 	return &FieldError{path, "must be " + want}
 }
 
-// isMalformed tells broken JSON from a value of the wrong type or range. The
-// text of the latter's error quotes the value, however long.
+// isMalformed reports whether err is a syntax error rather than a value of the
+// wrong type or range. The error text for the latter quotes the whole value, so
+// it is not passed on.
 func isMalformed(err error) bool {
 	var syntax *json.SyntaxError
 	return errors.As(err, &syntax) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)
@@ -267,11 +270,11 @@
 	return &FieldError{path, "malformed JSON: " + err.Error()}
 }
 
-const maxShownName = 64
+const maxQuotedName = 64
 
 func join(path, name string) string {
-	if len(name) > maxShownName {
-		name = name[:maxShownName] + "..."
+	if len(name) > maxQuotedName {
+		name = name[:maxQuotedName] + "..."
 	}
 	if path == "" {
 		return name
--- a/entry/api/events.go
+++ b/entry/api/events.go
@@ -8,9 +8,9 @@
 
 var (
 	eventFault = eventlog.Define(1100, "api.fault", slog.LevelError,
-		"A job ended in a fault of the program; its callers were told that it may have run.",
-		"Report it, with the stack in the record.")
+		"The code that ran a job panicked; its callers were answered that the job may have run.",
+		"Report this as a bug, with the stack trace from the log record.")
 	eventForwardFailed = eventlog.Define(1101, "api.forward_failed", slog.LevelWarn,
-		"The entry that owns a submission did not answer; the caller was told to ask again.",
-		"Look at the owner and at the network between the entries.")
+		"A request forwarded to the entry that owns a submission failed or timed out; the caller was answered that the job may have run, and to ask again unless the owner is gone.",
+		"Check the owner and the network between the two entries.")
 )
--- a/entry/api/failure.go
+++ b/entry/api/failure.go
@@ -12,11 +12,11 @@
 	"almondstand.dev/entry/task"
 )
 
-// Code is the stable name of a failure in an error body. A failed task's code
-// is a task.Code.
+// Code identifies a kind of failure in an error body and does not change between
+// releases. The code of a failed task is a task.Code.
 type Code string
 
-// Codes of failures that no task caused.
+// Codes of failures that are not caused by a task.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeDigestMismatch   Code = "digest_mismatch"
@@ -46,7 +46,7 @@
 	CodeInternal         Code = "internal"
 )
 
-// failure is why a request has no answer.
+// failure describes why a request failed.
 type failure struct {
 	status     int
 	code       Code
@@ -55,46 +55,49 @@
 	retryAfter time.Duration
 }
 
-// notRun is a failure of a request that started nothing.
-func notRun(status int, code Code, format string, args ...any) *failure {
+// notStarted returns the failure of a request that started no task.
+func notStarted(status int, code Code, format string, args ...any) *failure {
 	return &failure{status: status, code: code, message: fmt.Sprintf(format, args...), ran: task.RanNo}
 }
 
-// notNow is notRun, and says when to come back.
-func notNow(status int, code Code, retryAfter time.Duration, message string) *failure {
+// retryLater is like notStarted, and tells the caller when to retry.
+func retryLater(status int, code Code, retryAfter time.Duration, message string) *failure {
 	return &failure{status: status, code: code, message: message, ran: task.RanNo, retryAfter: retryAfter}
 }
 
-// unknown is a failure of a request whose job may run or have run.
-func unknown(status int, code Code, message string) *failure {
+// mayHaveRun returns the failure of a request whose job may be running or may
+// have run.
+func mayHaveRun(status int, code Code, message string) *failure {
 	return &failure{status: status, code: code, message: message, ran: task.RanUnknown}
 }
 
-// onID makes a failure fit a request under an id whose owner was not asked: an
-// earlier request under the same id may have run, so it can't say "no".
-func (f *failure) onID() *failure {
-	other := *f
-	other.ran = task.RanUnknown
-	return &other
+// withUnknownRan returns a copy of f for a request under an id whose owner was
+// not consulted: an earlier request under the same id may have run, so ran is
+// unknown rather than no.
+func (f *failure) withUnknownRan() *failure {
+	copied := *f
+	copied.ran = task.RanUnknown
+	return &copied
 }
 
-// fromState is the failure for an id that no job runs under.
-func fromState(state submission.State) *failure {
+// stateFailure returns the failure for an id without a running job or a kept
+// answer.
+func stateFailure(state submission.State) *failure {
 	switch state {
 	case submission.Evicted:
-		return unknown(http.StatusGone, CodeEvicted, "it was accepted; its answer is no longer kept, and it never runs again")
+		return mayHaveRun(http.StatusGone, CodeEvicted, "it was accepted; its answer is no longer kept, and it never runs again")
 	case submission.Expired:
-		return unknown(http.StatusGone, CodeExpired, "the id is too old to tell whether it was used; it never runs now")
+		return mayHaveRun(http.StatusGone, CodeExpired, "the id is too old to tell whether it was used; it never runs now")
 	case submission.Conflict:
-		return unknown(http.StatusConflict, CodeBodyDiffers, "the id was used for another body; this one was not run")
+		return mayHaveRun(http.StatusConflict, CodeBodyDiffers, "the id was used for another body; this one was not run")
 	case submission.Unused:
-		return notRun(http.StatusNotFound, CodeUnknown, "no job was submitted under this id")
+		return notStarted(http.StatusNotFound, CodeUnknown, "no job was submitted under this id")
 	}
-	return notRun(http.StatusNotFound, CodeUnknown, "no such submission id of this customer")
+	return notStarted(http.StatusNotFound, CodeUnknown, "no such submission id of this customer")
 }
 
-// fromRefusal translates the engine's refusal.
-func (s *Server) fromRefusal(err error) *failure {
+// rejectionFailure converts the engine's rejection of a job to a failure.
+func (s *Server) rejectionFailure(err error) *failure {
 	retryAfter := s.opts.RetryAfter
 	var r *engine.Refusal
 	if errors.As(err, &r) && r.RetryAfter > 0 {
@@ -104,15 +107,15 @@
 	case errors.Is(err, engine.ErrDraining):
 		return s.draining()
 	case errors.Is(err, scheduler.ErrBacklog):
-		return notNow(http.StatusTooManyRequests, CodeBacklog, retryAfter, "the backlog is too long for the answer time of the contract")
+		return retryLater(http.StatusTooManyRequests, CodeBacklog, retryAfter, "the backlog is too long for the answer time of the contract")
 	case errors.Is(err, scheduler.ErrNoEndpoint):
-		return notNow(http.StatusServiceUnavailable, CodeNoEndpoint, retryAfter, "no endpoint of the service is known now")
+		return retryLater(http.StatusServiceUnavailable, CodeNoEndpoint, retryAfter, "no endpoint of the service is known now")
 	case errors.Is(err, scheduler.ErrQueueFull):
-		return notNow(http.StatusServiceUnavailable, CodeQueueFull, retryAfter, "the queue of the service is full")
+		return retryLater(http.StatusServiceUnavailable, CodeQueueFull, retryAfter, "the queue of the service is full")
 	}
-	return notNow(http.StatusServiceUnavailable, CodeBusy, retryAfter, "the job was not taken")
+	return retryLater(http.StatusServiceUnavailable, CodeBusy, retryAfter, "the job was not taken")
 }
 
 func (s *Server) draining() *failure {
-	return notNow(http.StatusServiceUnavailable, CodeDraining, s.opts.RetryAfter, "this entry is shutting down; submit under a new id")
+	return retryLater(http.StatusServiceUnavailable, CodeDraining, s.opts.RetryAfter, "this entry is shutting down; submit under a new id")
 }
--- a/entry/api/forward.go
+++ b/entry/api/forward.go
@@ -13,19 +13,20 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// forwardMargin is how long beyond the contract's answer time the owner is
-// waited for: it answers by then, unless it is frozen.
+// forwardMargin is added to the contract's answer time to get the timeout of a
+// forwarded request. An owner answers within it unless its process is paused.
 const forwardMargin = 2 * time.Second
 
-// forward passes a request to the entry that owns the id. The error is ctx's.
+// forward sends a request to the entry that owns the id. It returns an error
+// only if ctx ends first.
 func (s *Server) forward(ctx context.Context, t target, method wirev1.ForwardMethod, body []byte) (submission.Answer, error) {
 	if f := s.ownerFailure(t.id); f != nil {
 		return f.answer(t.text), nil
 	}
 	s.metrics.forwarded.Inc(1)
-	bounded, cancel := context.WithTimeout(ctx, time.Duration(t.contract.AnswerTime)+forwardMargin)
+	forwardCtx, cancel := context.WithTimeout(ctx, time.Duration(t.contract.AnswerTime)+forwardMargin)
 	defer cancel()
-	response, err := s.opts.Peers.Forward(bounded, t.id.Entry, &wirev1.ForwardRequest{
+	response, err := s.opts.Peers.Forward(forwardCtx, t.id.Entry, &wirev1.ForwardRequest{
 		Method:        method,
 		Submission:    t.text,
 		Customer:      t.contract.Customer,
@@ -37,50 +38,53 @@
 	}
 	if err != nil {
 		eventForwardFailed.Log(ctx, s.opts.Logger, slog.String("owner", t.id.Entry), slog.String("error", err.Error()))
-		return s.afterLostForward(t.id).answer(t.text), nil
+		return s.forwardFailure(t.id).answer(t.text), nil
 	}
-	return fromForward(response), nil
+	return forwardedAnswer(response), nil
 }
 
-// ownerFailure answers for an owner that can't be asked; nil when it can.
+// ownerFailure returns the failure to answer if the owner cannot be called, and
+// nil if it is live.
 func (s *Server) ownerFailure(id submission.ID) *failure {
-	switch s.standing(id) {
+	switch s.ownerStatus(id) {
 	case member.Live:
 		return nil
 	case member.Gone:
-		return lost()
+		return ownerGone()
 	}
-	return s.ownerSilent()
+	return s.ownerUnresponsive()
 }
 
-func lost() *failure {
-	return unknown(http.StatusGone, CodeLost, "the entry that owned it is gone; it may have run: submit under a new id")
+func ownerGone() *failure {
+	return mayHaveRun(http.StatusGone, CodeLost, "the entry that owned it is gone; it may have run: submit under a new id")
 }
 
-// standing knows better than the peers about ids of this entry: they are of an
-// earlier incarnation, or the caller would not be here.
-func (s *Server) standing(id submission.ID) member.Standing {
+// ownerStatus returns the membership status of the owner of an id. An id that
+// carries this entry's name belongs to an earlier incarnation, which is gone:
+// the caller handles ids of the current incarnation itself.
+func (s *Server) ownerStatus(id submission.ID) member.Standing {
 	if id.Entry == s.opts.EntryID {
 		return member.Gone
 	}
 	return s.opts.Peers.Standing(id.Entry, id.Incarnation)
 }
 
-// afterLostForward asks again: the owner may have died while it was waited for.
-func (s *Server) afterLostForward(id submission.ID) *failure {
+// forwardFailure returns the failure after a forwarded call failed. It checks
+// the owner's status again, since the owner may have died during the call.
+func (s *Server) forwardFailure(id submission.ID) *failure {
 	if f := s.ownerFailure(id); f != nil {
 		return f
 	}
-	return s.ownerSilent()
+	return s.ownerUnresponsive()
 }
 
-func (s *Server) ownerSilent() *failure {
-	f := unknown(http.StatusServiceUnavailable, CodeOwnerSilent, "the entry that owns it does not answer; its job may run: ask again under the same id")
+func (s *Server) ownerUnresponsive() *failure {
+	f := mayHaveRun(http.StatusServiceUnavailable, CodeOwnerSilent, "the entry that owns it does not answer; its job may run: ask again under the same id")
 	f.retryAfter = s.opts.RetryAfter
 	return f
 }
 
-func fromForward(r *wirev1.ForwardResponse) submission.Answer {
+func forwardedAnswer(r *wirev1.ForwardResponse) submission.Answer {
 	a := submission.Answer{
 		Status:     int(r.GetStatus()),
 		Body:       r.GetBody(),
@@ -90,8 +94,8 @@
 	return a
 }
 
-// HandleForward serves a request that another entry passed on: this entry owns
-// the id. The other entry has authenticated the customer.
+// HandleForward serves a request that another entry forwarded because this entry
+// owns the id. The forwarding entry has authenticated the client.
 func (s *Server) HandleForward(ctx context.Context, r *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
 	a, err := s.ownerAnswer(ctx, r)
 	if err != nil {
@@ -108,21 +112,22 @@
 	arrived := s.now()
 	id, err := submission.Parse(r.GetSubmission())
 	if err != nil {
-		return fromState(submission.Unknown).answer(""), nil
+		return stateFailure(submission.Unknown).answer(""), nil
 	}
 	if !s.opts.Table.Owns(id) {
-		// Another incarnation was asked for: this one can't know what became of it.
-		return lost().answer(r.GetSubmission()), nil
+		// The id belongs to another incarnation, of whose jobs this one has no
+		// record.
+		return ownerGone().answer(r.GetSubmission()), nil
 	}
-	text, customer := r.GetSubmission(), r.GetCustomer()
+	text, client := r.GetSubmission(), r.GetCustomer()
 	switch r.GetMethod() {
 	case wirev1.ForwardMethod_FORWARD_METHOD_SUBMIT:
 		b := &body{bytes: r.GetBody(), digest: sha256.Sum256(r.GetBody())}
-		return s.submit(ctx, job{id: id, text: text, customer: customer, body: b, arrived: arrived})
+		return s.submit(ctx, job{id: id, text: text, client: client, body: b, arrived: arrived})
 	case wirev1.ForwardMethod_FORWARD_METHOD_FETCH:
-		return s.lookUp(id, text, customer), nil
+		return s.lookUp(id, text, client), nil
 	case wirev1.ForwardMethod_FORWARD_METHOD_CANCEL:
-		return s.cancel(ctx, id, text, customer)
+		return s.cancel(ctx, id, text, client)
 	}
 	return (&failure{status: http.StatusBadRequest, code: CodeBadRequest, message: "unknown method", ran: task.RanUnknown}).answer(text), nil
 }
--- a/entry/api/handlers.go
+++ b/entry/api/handlers.go
@@ -28,7 +28,7 @@
 	defer b.release()
 	count, err := decodeCount(b.bytes)
 	if err != nil {
-		s.writeFailure(w, "", notRun(http.StatusBadRequest, CodeBadRequest, "%s", err))
+		s.writeFailure(w, "", notStarted(http.StatusBadRequest, CodeBadRequest, "%s", err))
 		return
 	}
 	if f := s.checkServing(r.Context(), c); f != nil {
@@ -58,31 +58,32 @@
 	}
 	defer b.release()
 	id := s.opts.Table.Mint(c.Customer, 1)[0]
-	j := job{id: id, text: id.String(), customer: c.Customer, body: b, arrived: arrived}
+	j := job{id: id, text: id.String(), client: c.Customer, body: b, arrived: arrived}
 	a := s.submitOnce(r.Context(), j)
-	s.offerNext(w, c.Customer, id)
+	s.setNextID(w, c.Customer, id)
 	s.write(w, a)
 }
 
-// target is the submission that a request under an id names.
+// target is the submission named by the id in the request path, with the
+// contract of the caller.
 type target struct {
 	contract contract.Contract
 	id       submission.ID
 	text     string
 }
 
-// target authenticates a request under an id and parses the id. It writes the
-// failure itself and returns false.
+// target authenticates a request under an id and parses the id. On failure it
+// writes the response and returns false.
 func (s *Server) target(w http.ResponseWriter, r *http.Request) (target, bool) {
 	text := r.PathValue("id")
 	c, f := s.authenticate(w, r)
 	if f != nil {
-		s.writeFailure(w, "", f.onID())
+		s.writeFailure(w, "", f.withUnknownRan())
 		return target{}, false
 	}
 	id, err := submission.Parse(text)
 	if err != nil {
-		s.writeFailure(w, "", fromState(submission.Unknown))
+		s.writeFailure(w, "", stateFailure(submission.Unknown))
 		return target{}, false
 	}
 	return target{contract: c, id: id, text: text}, true
@@ -102,12 +103,12 @@
 	}
 	defer b.release()
 	a, err := s.putAnswer(r.Context(), t, b, job{
-		id: t.id, text: t.text, customer: t.contract.Customer, body: b, arrived: arrived,
+		id: t.id, text: t.text, client: t.contract.Customer, body: b, arrived: arrived,
 	})
 	if err != nil {
-		return // the caller has gone
+		return // the caller disconnected
 	}
-	s.offerNext(w, t.contract.Customer, t.id)
+	s.setNextID(w, t.contract.Customer, t.id)
 	s.write(w, a)
 }
 
@@ -118,13 +119,14 @@
 	return s.forward(ctx, t, wirev1.ForwardMethod_FORWARD_METHOD_SUBMIT, b.bytes)
 }
 
-// bodyFailure says "no" of a request whose body was not taken only where the
-// owner can see that nothing else was submitted under the id.
+// bodyFailure returns the failure for a request whose body was rejected. It says
+// that the job did not run only if this entry owns the id and nothing was
+// submitted under it; otherwise ran is unknown.
 func (s *Server) bodyFailure(t target, f *failure) *failure {
 	if s.opts.Table.Find(s.now(), t.id, t.contract.Customer).State == submission.Unused {
 		return f
 	}
-	return f.onID()
+	return f.withUnknownRan()
 }
 
 // fetch serves GET /v1/submissions/{id}.
@@ -152,7 +154,7 @@
 	}
 	a, err := s.cancel(r.Context(), t.id, t.text, t.contract.Customer)
 	if err != nil {
-		return // the caller has gone
+		return // the caller disconnected
 	}
 	s.write(w, a)
 }
@@ -160,22 +162,22 @@
 func (s *Server) relay(w http.ResponseWriter, r *http.Request, t target, method wirev1.ForwardMethod) {
 	a, err := s.forward(r.Context(), t, method, nil)
 	if err != nil {
-		return // the caller has gone
+		return // the caller disconnected
 	}
 	s.write(w, a)
 }
 
-func (s *Server) wrongMethod(allow string) http.HandlerFunc {
+func (s *Server) methodNotAllowed(allow string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Allow", allow)
-		f := notRun(http.StatusMethodNotAllowed, CodeMethod, "%s is not allowed here; use one of %s", r.Method, allow)
+		f := notStarted(http.StatusMethodNotAllowed, CodeMethod, "%s is not allowed here; use one of %s", r.Method, allow)
 		if r.PathValue("id") != "" {
-			f = f.onID()
+			f = f.withUnknownRan()
 		}
 		s.writeFailure(w, "", f)
 	}
 }
 
-func (s *Server) notFound(w http.ResponseWriter, _ *http.Request) {
-	s.writeFailure(w, "", notRun(http.StatusNotFound, CodeNotFound, "no such path"))
+func (s *Server) unknownPath(w http.ResponseWriter, _ *http.Request) {
+	s.writeFailure(w, "", notStarted(http.StatusNotFound, CodeNotFound, "no such path"))
 }
--- a/entry/api/httpserver.go
+++ b/entry/api/httpserver.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Limits of a callers' HTTP server. A caller that sends slowly or says nothing
-// is cut off, so that it can't hold a connection's memory for good.
+// Limits of the HTTP server for callers. Connections that send slowly or stay
+// idle are closed, so that they cannot hold memory indefinitely.
 const (
 	ReadHeaderTimeout = 5 * time.Second
 	ReadTimeout       = 15 * time.Second
 	IdleTimeout       = 75 * time.Second
 	MaxHeaderBytes    = 16 << 10
 
-	maxStreams  = 250
-	pingAfter   = 10 * time.Second
-	pingTimeout = 5 * time.Second
+	maxStreams      = 250
+	sendPingTimeout = 10 * time.Second
+	pingTimeout     = 5 * time.Second
 )
 
-// NewHTTPServer returns a server for callers: HTTP/1.1 and HTTP/2 without TLS.
+// NewHTTPServer returns an HTTP server for callers that accepts HTTP/1.1 and
+// unencrypted HTTP/2 (h2c).
 func NewHTTPServer(handler http.Handler, logger *slog.Logger) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -33,8 +34,9 @@
 		Protocols:         protocols,
 		HTTP2: &http.HTTP2Config{
 			MaxConcurrentStreams: maxStreams,
-			// A connection can go silent without closing; its calls would wait on.
-			SendPingTimeout: pingAfter,
+			// Detects a dead connection that was never closed, whose calls would
+			// otherwise keep waiting.
+			SendPingTimeout: sendPingTimeout,
 			PingTimeout:     pingTimeout,
 		},
 		ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug),
--- a/entry/api/metrics.go
+++ b/entry/api/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics holds the instruments of a server.
+// metrics holds the metrics of a server.
 type metrics struct {
 	joined      tally.Counter
 	forwarded   tally.Counter
@@ -15,7 +15,7 @@
 	byClass map[int]tally.Counter
 }
 
-// classes are those that this interface answers with.
+// classes are the status classes that this API responds with.
 var classes = []int{2, 4, 5}
 
 func newMetrics(scope tally.Scope) *metrics {
--- a/entry/api/owner.go
+++ b/entry/api/owner.go
@@ -17,24 +17,25 @@
 	"almondstand.dev/entry/task"
 )
 
-// job is one submission at its owner.
+// job is a submission at the entry that owns its id.
 type job struct {
-	id       submission.ID
-	text     string
-	customer string
-	body     *body
-	arrived  time.Time
+	id      submission.ID
+	text    string
+	client  string
+	body    *body
+	arrived time.Time
 }
 
-// submit runs a job under an id of this entry, or joins the one that runs. The
-// job outlives a caller that goes away: a repeat joins it. The error is ctx's.
+// submit runs a job under an id of this entry, or waits for the job already
+// running under it. The job continues if its caller disconnects, since a repeated
+// request can still wait for it. It returns an error only if ctx ends first.
 func (s *Server) submit(ctx context.Context, j job) (submission.Answer, error) {
 	jobCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	found := s.opts.Table.Begin(j.arrived, j.id, j.customer, j.body.digest, cancel)
+	found := s.opts.Table.Begin(j.arrived, j.id, j.client, j.body.digest, cancel)
 	switch found.State {
 	case submission.Begun:
-		return s.lead(jobCtx, j, found.Flight, true), nil
+		return s.runFlight(jobCtx, j, found.Flight, true), nil
 	case submission.Running:
 		s.metrics.joined.Inc(1)
 		return await(ctx, found.Flight)
@@ -42,20 +43,20 @@
 		s.metrics.joined.Inc(1)
 		return found.Answer, nil
 	}
-	return fromState(found.State).answer(j.text), nil
+	return stateFailure(found.State).answer(j.text), nil
 }
 
-// submitOnce runs a job under an id that its caller does not know before the
-// answer. Nobody can ask for it again, so it ends with ctx, and its answer is
-// not kept.
+// submitOnce runs a job under an id that its caller learns only from the answer.
+// No request can be repeated under that id, so the job is cancelled with ctx and
+// its answer is not kept.
 func (s *Server) submitOnce(ctx context.Context, j job) submission.Answer {
 	jobCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	found := s.opts.Table.Begin(j.arrived, j.id, j.customer, j.body.digest, cancel)
+	found := s.opts.Table.Begin(j.arrived, j.id, j.client, j.body.digest, cancel)
 	if found.State != submission.Begun {
-		return fromState(found.State).answer(j.text)
+		return stateFailure(found.State).answer(j.text)
 	}
-	return s.lead(jobCtx, j, found.Flight, false)
+	return s.runFlight(jobCtx, j, found.Flight, false)
 }
 
 func await(ctx context.Context, f *submission.Flight) (submission.Answer, error) {
@@ -67,98 +68,102 @@
 	}
 }
 
-// lead runs the job of a flight and ends the flight, whatever happens.
-func (s *Server) lead(ctx context.Context, j job, f *submission.Flight, keep bool) submission.Answer {
-	ended := false
+// runFlight runs the job of a flight and finishes the flight, also if the job
+// panics.
+func (s *Server) runFlight(ctx context.Context, j job, f *submission.Flight, keep bool) submission.Answer {
+	finished := false
 	defer func() {
-		// A panic on the way would leave every repeat waiting for good.
-		if !ended {
-			a := unknown(http.StatusInternalServerError, CodeInternal, "a fault of the entry; the job may have run").answer(j.text)
+		// Without this, a panic would leave repeated requests waiting forever.
+		if !finished {
+			a := mayHaveRun(http.StatusInternalServerError, CodeInternal, "a fault of the entry; the job may have run").answer(j.text)
 			s.opts.Table.Finish(s.now(), f, a, keep)
 			eventFault.Log(context.Background(), s.opts.Logger, slog.String("submission", j.text), slog.String("stack", string(debug.Stack())))
 		}
 	}()
 	a, kind := s.execute(ctx, j)
-	ended = true
+	finished = true
 	if a.Outcome == submission.Refused && s.opts.Table.Abort(f, a) {
 		s.record(j, kind)
 		return a
 	}
-	if a.Outcome == submission.Refused { // cancelled meanwhile: the id stays used
-		a, kind = cancelledAnswer(j.text), unrecorded
+	if a.Outcome == submission.Refused { // cancelled in the meantime: the id stays used
+		a, kind = cancelledAnswer(j.text), notRecorded
 	}
 	s.opts.Table.Finish(s.now(), f, a, keep)
 	s.record(j, kind)
 	return a
 }
 
-// unrecorded marks an end that is not the system's doing.
-const unrecorded burn.Kind = -1
+// notRecorded marks an outcome that the system is not responsible for, such as a
+// cancellation or an invalid request.
+const notRecorded burn.Kind = -1
 
 func (s *Server) record(j job, kind burn.Kind) {
-	if kind == unrecorded {
+	if kind == notRecorded {
 		return
 	}
 	now := s.now()
-	s.opts.Recorder.Record(now, burn.Observation{Customer: j.customer, Kind: kind, Latency: now.Sub(j.arrived)})
+	s.opts.Recorder.Record(now, burn.Observation{Customer: j.client, Kind: kind, Latency: now.Sub(j.arrived)})
 }
 
-// execute checks a job against its contract and runs it.
+// execute checks a job against its contract and the quota, and runs it.
 func (s *Server) execute(ctx context.Context, j job) (submission.Answer, burn.Kind) {
-	c, known := s.opts.Contracts.ByCustomer(j.customer)
+	c, known := s.opts.Contracts.ByCustomer(j.client)
 	if !known {
-		return notNow(http.StatusServiceUnavailable, CodeBusy, s.opts.RetryAfter, "the contract is not known here yet").answer(j.text), burn.RefusedWithin
+		return retryLater(http.StatusServiceUnavailable, CodeBusy, s.opts.RetryAfter, "the contract is not known here yet").answer(j.text), burn.RefusedWithin
 	}
 	if f := s.checkServing(ctx, c); f != nil {
-		return f.answer(j.text), refusedKind(f)
+		return f.answer(j.text), rejectionKind(f)
 	}
 	request, f := s.decode(c, j.body.bytes)
 	if f != nil {
-		return f.answer(j.text), unrecorded
+		return f.answer(j.text), notRecorded
 	}
-	taken, f := s.admit(c, request)
+	admitted, f := s.admit(c, request)
 	if f != nil {
 		return f.answer(j.text), burn.RefusedOver
 	}
-	answer, err := s.opts.Engine.Submit(ctx, newEngineJob(c, j, request, taken.Release))
+	answer, err := s.opts.Engine.Submit(ctx, newEngineJob(c, j, request, admitted.Release))
 	if err != nil {
-		taken.Undo()
-		return s.refused(j, err)
+		admitted.Undo()
+		return s.rejection(j, err)
 	}
 	a := s.jobAnswer(j.text, answer)
-	return a, endKind(a, s.now().Sub(j.arrived), time.Duration(c.AnswerTime))
+	return a, answerKind(a, s.now().Sub(j.arrived), time.Duration(c.AnswerTime))
 }
 
-func (s *Server) refused(j job, err error) (submission.Answer, burn.Kind) {
+func (s *Server) rejection(j job, err error) (submission.Answer, burn.Kind) {
 	if errors.Is(err, engine.ErrCancelled) {
-		return cancelledAnswer(j.text), unrecorded
+		return cancelledAnswer(j.text), notRecorded
 	}
-	return s.fromRefusal(err).answer(j.text), burn.RefusedWithin
+	return s.rejectionFailure(err).answer(j.text), burn.RefusedWithin
 }
 
-// checkServing refuses new work that this entry may not take now.
+// checkServing rejects new jobs under a retired contract and while this entry is
+// draining or isolated.
 func (s *Server) checkServing(ctx context.Context, c contract.Contract) *failure {
-	if f := checkActive(c); f != nil {
+	if f := checkContractActive(c); f != nil {
 		return f
 	}
 	if s.opts.Engine.Draining() {
 		return s.draining()
 	}
-	return s.checkGate(ctx)
+	return s.checkReady(ctx)
 }
 
-// checkGate refuses while this entry may have missed a change of configuration.
-func (s *Server) checkGate(ctx context.Context) *failure {
+// checkReady rejects requests while this entry may have missed a configuration
+// change.
+func (s *Server) checkReady(ctx context.Context) *failure {
 	if ok, retryAfter := s.opts.Gate.AwaitServe(ctx); !ok {
-		return notNow(http.StatusServiceUnavailable, CodeIsolated, max(retryAfter, time.Millisecond),
+		return retryLater(http.StatusServiceUnavailable, CodeIsolated, max(retryAfter, time.Millisecond),
 			"this entry hears neither the store nor another entry")
 	}
 	return nil
 }
 
-func refusedKind(f *failure) burn.Kind {
+func rejectionKind(f *failure) burn.Kind {
 	if f.retryAfter == 0 {
-		return unrecorded
+		return notRecorded
 	}
 	return burn.RefusedWithin
 }
@@ -166,28 +171,28 @@
 func (s *Server) decode(c contract.Contract, body []byte) (*jobRequest, *failure) {
 	request, err := decodeJob(body)
 	if err != nil {
-		return nil, notRun(http.StatusBadRequest, CodeBadRequest, "%s", err)
+		return nil, notStarted(http.StatusBadRequest, CodeBadRequest, "%s", err)
 	}
 	s.metrics.misdeclared.Inc(int64(request.misdeclared))
 	if slices.Contains(c.Services, request.service) {
 		return request, nil
 	}
 	if s.opts.Engine.Knows(request.service) {
-		return nil, notRun(http.StatusForbidden, CodeServiceForbidden, "the contract does not allow service %s", request.service)
+		return nil, notStarted(http.StatusForbidden, CodeServiceForbidden, "the contract does not allow service %s", request.service)
 	}
-	return nil, notRun(http.StatusNotFound, CodeServiceUnknown, "no service %s", request.service)
+	return nil, notStarted(http.StatusNotFound, CodeServiceUnknown, "no service %s", request.service)
 }
 
-func (s *Server) admit(c contract.Contract, request *jobRequest) (taken quota.Decision, f *failure) {
+func (s *Server) admit(c contract.Contract, request *jobRequest) (admitted quota.Decision, f *failure) {
 	d := s.opts.Quota.Admit(s.now(), c.Customer, len(request.tasks))
 	switch {
 	case d.OK:
 		return d, nil
 	case d.Permanent:
-		return d, notRun(http.StatusUnprocessableEntity, CodeJobTooLarge,
+		return d, notStarted(http.StatusUnprocessableEntity, CodeJobTooLarge,
 			"%d tasks are more than the contract's burst or tasks in flight", len(request.tasks))
 	}
-	return d, notNow(http.StatusTooManyRequests, CodeOverQuota, max(d.RetryAfter, time.Millisecond),
+	return d, retryLater(http.StatusTooManyRequests, CodeOverQuota, max(d.RetryAfter, time.Millisecond),
 		"more than the contract's rate or tasks in flight")
 }
 
@@ -205,10 +210,10 @@
 	}
 }
 
-func endKind(a submission.Answer, latency, answerTime time.Duration) burn.Kind {
+func answerKind(a submission.Answer, latency, answerTime time.Duration) burn.Kind {
 	switch {
 	case a.Outcome == submission.Cancelled:
-		return unrecorded
+		return notRecorded
 	case a.Outcome == submission.Refused:
 		return burn.RefusedWithin
 	case a.Outcome != submission.Complete:
@@ -219,16 +224,16 @@
 	return burn.OnTime
 }
 
-// lookUp answers a fetch at the owner.
-func (s *Server) lookUp(id submission.ID, text, customer string) submission.Answer {
-	found := s.opts.Table.Find(s.now(), id, customer)
+// lookUp answers a GET for a submission that this entry owns.
+func (s *Server) lookUp(id submission.ID, text, client string) submission.Answer {
+	found := s.opts.Table.Find(s.now(), id, client)
 	switch found.State {
 	case submission.Kept:
 		return found.Answer
 	case submission.Running:
 		return s.runningAnswer(text)
 	}
-	return fromState(found.State).answer(text)
+	return stateFailure(found.State).answer(text)
 }
 
 func (s *Server) runningAnswer(text string) submission.Answer {
@@ -237,22 +242,22 @@
 	return a
 }
 
-// cancel cancels a submission at the owner and tells how it ended.
-func (s *Server) cancel(ctx context.Context, id submission.ID, text, customer string) (submission.Answer, error) {
-	found := s.opts.Table.Cancel(s.now(), id, customer, cancelledAnswer(text))
+// cancel cancels a submission that this entry owns and returns its outcome.
+func (s *Server) cancel(ctx context.Context, id submission.ID, text, client string) (submission.Answer, error) {
+	found := s.opts.Table.Cancel(s.now(), id, client, cancelledAnswer(text))
 	switch found.State {
 	case submission.Kept:
-		return endedAnswer(text, found.Answer), nil
+		return outcomeAnswer(text, found.Answer), nil
 	case submission.Running:
 		a, err := await(ctx, found.Flight)
 		if err != nil {
 			return a, err
 		}
-		return endedAnswer(text, a), nil
+		return outcomeAnswer(text, a), nil
 	}
-	return fromState(found.State).answer(text), nil
+	return stateFailure(found.State).answer(text), nil
 }
 
-func endedAnswer(text string, a submission.Answer) submission.Answer {
+func outcomeAnswer(text string, a submission.Answer) submission.Answer {
 	return newAnswer(http.StatusOK, stateBody{Submission: text, Outcome: a.Outcome, Ran: a.Ran})
 }
--- a/entry/api/path_test.go
+++ b/entry/api/path_test.go
@@ -25,7 +25,7 @@
 	"almondstand.dev/entry/task"
 )
 
-// echoStarter completes each task with its payload after a short run.
+// echoStarter completes each task with its own payload after the given run time.
 type echoStarter struct{ run time.Duration }
 
 func (s echoStarter) Start(ctx context.Context, c task.Call) task.Outcome {
@@ -40,8 +40,8 @@
 	return task.Outcome{Ran: task.RanYes, Payload: c.Payload, Digest: digest[:], RunTime: s.run}
 }
 
-// newPath serves the interface over TCP with a real engine and scheduler.
-func newPath(t testing.TB, starter task.Starter, tune ...func(*Server, *http.Server)) (*httptest.Server, *engine.Engine) {
+// newTestServer serves the API over TCP with a real engine and scheduler.
+func newTestServer(t testing.TB, starter task.Starter, options ...func(*Server, *http.Server)) (*httptest.Server, *engine.Engine) {
 	f := newFakes()
 	f.decision.Release = func() {}
 	c := f.contracts["t-shop"]
@@ -57,8 +57,8 @@
 	s.opts.Engine = e
 	srv := httptest.NewUnstartedServer(nil)
 	srv.Config = NewHTTPServer(handler(s), slog.New(slog.DiscardHandler))
-	for _, change := range tune {
-		change(s, srv.Config)
+	for _, apply := range options {
+		apply(s, srv.Config)
 	}
 	srv.Start()
 	t.Cleanup(srv.Close)
@@ -77,40 +77,42 @@
 	return resp.StatusCode, resp.Header, b
 }
 
-func jobOf(tasks int, mark string) string {
-	one := `{"payload":"` + mark + `"}`
+func jobOf(tasks int, payload string) string {
+	one := `{"payload":"` + payload + `"}`
 	return `{"service":"teardown","tasks":[` + strings.Repeat(one+",", tasks-1) + one + `]}`
 }
 
-// TestCrossedAnswers: many callers at once, each repeating its submission, get
-// the whole answer to their own job and no other.
-func TestCrossedAnswers(t *testing.T) {
-	srv, _ := newPath(t, echoStarter{run: time.Millisecond})
-	var all sync.WaitGroup
+// TestConcurrentCallersGetTheirOwnAnswers: many concurrent callers, each
+// repeating its submission, get the complete answer to their own job and never
+// to another.
+func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
+	srv, _ := newTestServer(t, echoStarter{run: time.Millisecond})
+	var wg sync.WaitGroup
 	for i := range 40 {
-		mark := fmt.Sprintf("%04d", i) // four digits are valid base64
-		body := jobOf(1+i%7, mark)
-		_, _, minted := call(t, srv, "POST", "/v1/submissions", "")
+		payload := fmt.Sprintf("%04d", i) // four digits are valid base64
+		body := jobOf(1+i%7, payload)
+		_, _, mintResponse := call(t, srv, "POST", "/v1/submissions", "")
 		var ids mintedBody
-		assert.NilError(t, json.Unmarshal(minted, &ids))
+		assert.NilError(t, json.Unmarshal(mintResponse, &ids))
 		for range 3 {
-			all.Go(func() {
+			wg.Go(func() {
 				status, _, b := call(t, srv, "PUT", "/v1/submissions/"+ids.Submissions[0], body)
 				var answer completeBody
 				assert.Check(t, json.Unmarshal(b, &answer))
 				assert.Check(t, status == 200 && answer.Submission == ids.Submissions[0] && len(answer.Tasks) == 1+i%7, "%s", b)
-				assert.Check(t, strings.Count(string(b), `"payload":"`+mark+`"`) == 1+i%7, "%s", b)
+				assert.Check(t, strings.Count(string(b), `"payload":"`+payload+`"`) == 1+i%7, "%s", b)
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// TestCallerOfPostGoesAway: nobody can fetch the answer of a POST, so its job
-// is cancelled when its caller disconnects, and the entry becomes idle.
-func TestCallerOfPostGoesAway(t *testing.T) {
+// TestPostIsCancelledOnDisconnect: the answer to POST /v1/jobs cannot be fetched
+// later, so its job is cancelled when the caller disconnects and the entry
+// becomes idle.
+func TestPostIsCancelledOnDisconnect(t *testing.T) {
 	started := make(chan struct{})
-	srv, e := newPath(t, starterFunc(func(ctx context.Context, _ task.Call) task.Outcome {
+	srv, e := newTestServer(t, starterFunc(func(ctx context.Context, _ task.Call) task.Outcome {
 		close(started)
 		<-ctx.Done()
 		return task.Outcome{Code: task.CodeCancelled, Ran: task.RanYes}
@@ -122,7 +124,7 @@
 	assert.NilError(t, err)
 	<-started
 	assert.NilError(t, conn.Close())
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second) // well before the answer time
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second) // much shorter than the answer time
 	defer cancel()
 	assert.NilError(t, e.Drain(ctx))
 }
@@ -131,10 +133,10 @@
 
 func (f starterFunc) Start(ctx context.Context, c task.Call) task.Outcome { return f(ctx, c) }
 
-// TestDrainingClosesConnections: an entry that drains answers and asks the
-// caller to use another connection, since this one is about to be closed.
+// TestDrainingClosesConnections: a draining entry answers with Connection: close,
+// since it is about to close the connection.
 func TestDrainingClosesConnections(t *testing.T) {
-	srv, e := newPath(t, echoStarter{})
+	srv, e := newTestServer(t, echoStarter{})
 	assert.NilError(t, e.Drain(context.Background()))
 	req, err := http.NewRequest("POST", srv.URL+"/v1/jobs", strings.NewReader(jobOf(1, "AAAA")))
 	assert.NilError(t, err)
@@ -147,10 +149,11 @@
 	assert.Equal(t, resp.Header.Get(headerNext), "")
 }
 
-// TestRudeSenders: connections that send junk, too much, too slowly or nothing
-// each get a clear 4xx or are closed, and an honest caller is served meanwhile.
-func TestRudeSenders(t *testing.T) {
-	srv, _ := newPath(t, echoStarter{}, func(_ *Server, s *http.Server) {
+// TestMalformedAndSlowRequests: connections that send malformed, too large, slow
+// or no requests get a 4xx status or are closed, and a valid request is served
+// meanwhile.
+func TestMalformedAndSlowRequests(t *testing.T) {
+	srv, _ := newTestServer(t, echoStarter{}, func(_ *Server, s *http.Server) {
 		s.ReadHeaderTimeout = 200 * time.Millisecond
 		s.ReadTimeout = 300 * time.Millisecond
 	})
@@ -170,9 +173,9 @@
 		{"slow body", head + "Content-Length: 100\r\n\r\n{", "408"},
 		{"bad chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400"},
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, c := range cases {
-		all.Go(func() {
+		wg.Go(func() {
 			conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 			assert.Check(t, err)
 			defer func() { _ = conn.Close() }()
@@ -188,16 +191,16 @@
 	}
 	status, _, b := call(t, srv, "POST", "/v1/jobs", jobOf(1, "AAAA"))
 	assert.Equal(t, status, 200, string(b))
-	all.Wait()
+	wg.Wait()
 }
 
-// TestSlowReader: a caller asks for a large answer and reads none of it. It is
-// cut off after the write timeout; else its connection would hold the answer's
-// memory for good, and a shutdown would wait for it.
+// TestSlowReader: a caller requests a large answer and does not read it. Its
+// connection is closed after the write timeout; otherwise it would hold the
+// answer's memory indefinitely and block a shutdown.
 func TestSlowReader(t *testing.T) {
 	large := make([]byte, 32<<20)
 	digest := sha256.Sum256(large)
-	srv, _ := newPath(t, starterFunc(func(context.Context, task.Call) task.Outcome {
+	srv, _ := newTestServer(t, starterFunc(func(context.Context, task.Call) task.Outcome {
 		return task.Outcome{Ran: task.RanYes, Payload: large, Digest: digest[:]}
 	}), func(s *Server, _ *http.Server) { s.opts.WriteTimeout = 500 * time.Millisecond })
 	conn, err := net.Dial("tcp", srv.Listener.Addr().String())
@@ -206,19 +209,19 @@
 	body := jobOf(1, "AAAA")
 	_, err = fmt.Fprintf(conn, "POST /v1/jobs HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer t-shop\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	assert.NilError(t, err)
-	_, err = bufio.NewReaderSize(conn, 16).Peek(1) // the answer has begun
+	_, err = bufio.NewReaderSize(conn, 16).Peek(1) // the server has started to write the answer
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	assert.NilError(t, srv.Config.Shutdown(ctx))
 }
 
-// BenchmarkJobs measures the callers' interface, the engine and the scheduler
-// over TCP, with tasks that end at once.
+// BenchmarkJobs measures the callers' API, the engine and the scheduler over
+// TCP, with tasks that complete immediately.
 func BenchmarkJobs(b *testing.B) {
 	for _, tasks := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(tasks, "tasks"), func(b *testing.B) {
-			srv, _ := newPath(b, echoStarter{})
+			srv, _ := newTestServer(b, echoStarter{})
 			srv.Client().Transport.(*http.Transport).MaxIdleConnsPerHost = 64
 			body := jobOf(tasks, "AAAA")
 			b.ReportAllocs()
--- a/entry/api/server.go
+++ b/entry/api/server.go
@@ -1,5 +1,5 @@
-// Package api serves the callers' HTTP interface: submissions and their
-// answers. docs/API.md describes it.
+// Package api serves the callers' HTTP API: submissions and their answers. The
+// API is documented in docs/API.md.
 package api
 
 import (
@@ -20,46 +20,49 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Contracts finds a customer's contract.
+// Contracts looks up the contract of a client.
 type Contracts interface {
-	// ByToken finds the active or retired contract whose token digests contain
+	// ByToken returns the active or retired contract whose token digests contain
 	// the SHA-256 of the caller's token. It compares in constant time.
 	ByToken(digest [32]byte) (contract.Contract, bool)
-	ByCustomer(customer string) (contract.Contract, bool)
+	ByCustomer(client string) (contract.Contract, bool)
 }
 
-// Quota keeps the rate and the tasks in flight of each customer.
+// Quota enforces the rate and in-flight limits of each client.
 type Quota interface {
-	Admit(now time.Time, customer string, tasks int) quota.Decision
+	Admit(now time.Time, client string, tasks int) quota.Decision
 }
 
-// Peers reaches the other entries.
+// Peers reports the membership status of other entries and forwards requests to
+// them.
 type Peers interface {
 	Standing(entry string, incarnation uint64) member.Standing
 	Forward(ctx context.Context, entry string, req *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
 }
 
-// Gate says whether this entry may take new work. It may not when it may be the
-// only one that missed a change of configuration.
+// Gate reports whether this entry may accept new jobs. It may not while it could
+// be the only entry that missed a configuration change.
 type Gate interface {
-	// AwaitServe may take a moment when the answer is in doubt.
+	// AwaitServe may block briefly while this entry cannot tell whether it is
+	// isolated.
 	AwaitServe(ctx context.Context) (ok bool, retryAfter time.Duration)
 }
 
-// Recorder takes one observation for each job that ended. Jobs that their
-// caller cancelled and requests that were the caller's mistake are not recorded.
+// Recorder records one observation for each job that ended or was rejected.
+// Cancelled jobs and invalid requests are not recorded.
 type Recorder interface {
 	Record(now time.Time, o burn.Observation)
 }
 
-// Engine runs jobs. Its error is always an *engine.Refusal.
+// Engine runs jobs. The error of Submit is always an *engine.Refusal.
 type Engine interface {
 	Submit(ctx context.Context, j engine.Job) (*engine.Answer, error)
 	Knows(service string) bool
 	Draining() bool
 }
 
-// Options of a Server. All of the interfaces are required.
+// Options configures a Server. All fields of an interface type are required,
+// except Scope.
 type Options struct {
 	EntryID   string
 	Table     *submission.Table
@@ -70,13 +73,14 @@
 	Gate      Gate
 	Recorder  Recorder
 
-	// MaxBody bounds one request's body, MaxOpenBody those of all open requests
-	// together, in bytes.
+	// MaxBody limits the body of one request, MaxOpenBody the total size of the
+	// bodies of all open requests, both in bytes.
 	MaxBody     int64
 	MaxOpenBody int64
-	// WriteTimeout bounds the writing of one answer.
+	// WriteTimeout limits how long writing one answer may take.
 	WriteTimeout time.Duration
-	// RetryAfter is what a caller is told when nothing better is known.
+	// RetryAfter is the retry delay sent to a caller when no better estimate is
+	// available.
 	RetryAfter time.Duration
 
 	Logger *slog.Logger
@@ -92,7 +96,7 @@
 	DefaultWriteTimeout = 30 * time.Second
 	DefaultRetryAfter   = time.Second
 
-	// MaxTasks bounds the tasks of a job, MaxMint the ids minted by one call.
+	// MaxTasks limits the tasks of a job, MaxMint the ids created by one call.
 	MaxTasks = 100
 	MaxMint  = 100
 )
@@ -106,12 +110,12 @@
 	headerDigest       = "Content-Digest"
 )
 
-// Server serves callers, and repeats that other entries forward.
+// Server serves callers, and requests that other entries forward to it.
 type Server struct {
 	opts    Options
 	metrics *metrics
-	// openBody counts the bytes of the bodies of all open requests.
-	openBody atomic.Int64
+	// openBodyBytes is the total size of the bodies of all open requests.
+	openBodyBytes atomic.Int64
 }
 
 // New returns a server.
@@ -140,29 +144,29 @@
 	return &Server{opts: opts, metrics: newMetrics(opts.Scope)}
 }
 
-// Register adds the interface to a mux. Every path that no other pattern of
-// the mux takes gets an error body of this interface.
+// Register adds the API's handlers to mux. A path that no other pattern of mux
+// matches is answered with an error body of this API.
 func (s *Server) Register(mux *http.ServeMux) {
 	s.handle(mux, "POST /v1/submissions", s.mint)
 	s.handle(mux, "PUT /v1/submissions/{id}", s.put)
 	s.handle(mux, "GET /v1/submissions/{id}", s.fetch)
 	s.handle(mux, "DELETE /v1/submissions/{id}", s.remove)
 	s.handle(mux, "POST /v1/jobs", s.post)
-	s.handle(mux, "/v1/submissions", s.wrongMethod("POST"))
-	s.handle(mux, "/v1/submissions/{id}", s.wrongMethod("DELETE, GET, HEAD, PUT"))
-	s.handle(mux, "/v1/jobs", s.wrongMethod("POST"))
-	s.handle(mux, "/", s.notFound)
+	s.handle(mux, "/v1/submissions", s.methodNotAllowed("POST"))
+	s.handle(mux, "/v1/submissions/{id}", s.methodNotAllowed("DELETE, GET, HEAD, PUT"))
+	s.handle(mux, "/v1/jobs", s.methodNotAllowed("POST"))
+	s.handle(mux, "/", s.unknownPath)
 }
 
 func (s *Server) handle(mux *http.ServeMux, pattern string, h http.HandlerFunc) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headerEntry, s.opts.EntryID)
-		// The deadline of the answer before this one on the same connection would
-		// cut the "100 Continue" of this request.
+		// Clears the write deadline that the previous answer on the same connection
+		// set; it could abort the "100 Continue" of this request.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		h(w, r)
 	})
 }
 
-// now returns the time for decisions.
+// now returns the current time of the configured clock.
 func (s *Server) now() time.Time { return s.opts.Now() }
--- a/entry/api/write.go
+++ b/entry/api/write.go
@@ -9,8 +9,8 @@
 	"almondstand.dev/entry/submission"
 )
 
-// write sends an answer with its length and digest, so that the caller can tell
-// a whole body from a part.
+// write sends an answer with its length and digest, so that the caller can
+// detect a truncated body.
 func (s *Server) write(w http.ResponseWriter, a submission.Answer) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -21,11 +21,12 @@
 		setRetryAfter(h, a.RetryAfter)
 	}
 	if s.opts.Engine.Draining() {
-		// The connection is about to close: a request sent on it by then would be
-		// cut without an answer.
+		// The connection is about to be closed; a request sent on it before then
+		// would get no answer.
 		h.Set("Connection", "close")
 	}
-	// A reader that stops reading would hold the answer's memory for good.
+	// Without a deadline, a caller that stops reading would hold the answer's
+	// memory indefinitely.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.opts.WriteTimeout))
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
@@ -36,7 +37,8 @@
 	s.write(w, f.answer(id))
 }
 
-// setRetryAfter rounds up: a caller that comes too early is a wasted message.
+// setRetryAfter sets the retry headers, rounded up, since a request that is
+// retried too early is rejected again.
 func setRetryAfter(h http.Header, d time.Duration) {
 	h.Set(headerRetryAfter, strconv.FormatInt(roundUp(d, time.Second), 10))
 	h.Set(headerRetryAfterMs, strconv.FormatInt(roundUp(d, time.Millisecond), 10))
@@ -46,15 +48,15 @@
 	return int64((d + unit - 1) / unit)
 }
 
-// offerNext puts an id for the caller's next job into the header: the same one
-// when it was not spent. An entry that drains offers none, as its ids end with
-// it.
-func (s *Server) offerNext(w http.ResponseWriter, customer string, id submission.ID) {
+// setNextID sets the header with an id for the caller's next job: the same id if
+// it is still unused, otherwise a new one. A draining entry sets none, since its
+// ids become invalid when it stops.
+func (s *Server) setNextID(w http.ResponseWriter, client string, id submission.ID) {
 	if s.opts.Engine.Draining() {
 		return
 	}
-	if s.opts.Table.Find(s.now(), id, customer).State != submission.Unused {
-		id = s.opts.Table.Mint(customer, 1)[0]
+	if s.opts.Table.Find(s.now(), id, client).State != submission.Unused {
+		id = s.opts.Table.Mint(client, 1)[0]
 	}
 	w.Header().Set(headerNext, id.String())
 }
