--- a/entry/explain/cause.go
+++ b/entry/explain/cause.go
@@ -6,46 +6,47 @@
 	"strings"
 )
 
-// Names of the events that decide a story; docs/EVENTS.md has their meaning.
+// Names of the events from which the cause is derived. docs/EVENTS.md explains
+// them.
 const (
-	taken        = "job.taken"
-	ordered      = "job.task_ordered"
-	over         = "job.run_over"
-	wrong        = "job.run_wrong"
-	completed    = "job.completed"
-	notCompleted = "job.not_completed"
-	stopped      = "job.run_stopped"
-	badRequest   = "front.bad_request"
-	turnedAway   = "front.turned_away"
+	jobAccepted     = "job.taken"
+	taskOrdered     = "job.task_ordered"
+	runEnded        = "job.run_over"
+	runWrong        = "job.run_wrong"
+	jobCompleted    = "job.completed"
+	jobFailed       = "job.not_completed"
+	runStopped      = "job.run_stopped"
+	requestInvalid  = "front.bad_request"
+	requestRejected = "front.turned_away"
 )
 
-// cause says why a request ended as it did.
+// cause returns a sentence that explains the outcome of a request.
 func cause(lines []Line) string {
-	var ends []string
+	var outcomes []string
 	var last Line
 	for _, l := range lines {
 		if !l.About {
 			continue
 		}
 		switch l.Name {
-		case completed:
-			ends = append(ends, fmt.Sprintf("completed at %s after %s ms, of which %s ms waiting for the first start", l.Process, l.Fields["took_ms"], l.Fields["waited_ms"]))
-		case notCompleted:
-			ends = append(ends, why(l, lines))
-		case badRequest:
-			ends = append(ends, fmt.Sprintf("turned away at %s for what it says: %s", l.Process, l.Fields["error"]))
-		case turnedAway:
-			ends = append(ends, fmt.Sprintf("turned away at %s: %s; nothing has run", l.Process, l.Fields["why"]))
+		case jobCompleted:
+			outcomes = append(outcomes, fmt.Sprintf("completed at %s after %s ms, of which %s ms waiting for the first start", l.Process, l.Fields["took_ms"], l.Fields["waited_ms"]))
+		case jobFailed:
+			outcomes = append(outcomes, failureCause(l, lines))
+		case requestInvalid:
+			outcomes = append(outcomes, fmt.Sprintf("turned away at %s for what it says: %s", l.Process, l.Fields["error"]))
+		case requestRejected:
+			outcomes = append(outcomes, fmt.Sprintf("turned away at %s: %s; nothing has run", l.Process, l.Fields["why"]))
 		}
 		last = l
 	}
-	if len(ends) == 0 {
+	if len(outcomes) == 0 {
 		return fmt.Sprintf("no outcome was logged; the last word is %s at %s. Its entry may have ended before it: look for the end of its log", last.Name, last.Process)
 	}
-	return strings.Join(ends, "; then ") + trouble(lines)
+	return strings.Join(outcomes, "; then ") + problems(lines)
 }
 
-var reasons = map[string]string{
+var reasonTexts = map[string]string{
 	"no_room_in_time":   "no runner had room before the latest start that would have been of use; nothing has run",
 	"no_runner":         "no runner of its service was known at this entry; nothing has run",
 	"fits_no_runner":    "it asks for more than any runner has",
@@ -57,44 +58,44 @@
 	"guard_unreachable": "its caller's time was over while a guard with its tasks could not be reached",
 }
 
-func why(l Line, lines []Line) string {
-	text := reasons[l.Fields["why"]]
+func failureCause(l Line, lines []Line) string {
+	text := reasonTexts[l.Fields["why"]]
 	if text == "" {
 		text = l.Fields["why"]
 	}
 	text = fmt.Sprintf("%s at %s after %s ms: %s", l.Fields["outcome"], l.Process, l.Fields["took_ms"], text)
-	if open := openRuns(lines); open != "" {
-		text += "; not over then: " + open
+	if unfinished := unfinishedRuns(lines); unfinished != "" {
+		text += "; not over then: " + unfinished
 	}
 	return text
 }
 
-// openRuns lists the runs that were ordered and of which no end came before the
-// job's own.
-func openRuns(lines []Line) string {
-	open := map[string]string{}
+// unfinishedRuns counts, by guard, the runs that were ordered and for which no
+// end was logged before the end of the job.
+func unfinishedRuns(lines []Line) string {
+	unfinished := map[string]string{}
 	for _, l := range lines {
 		if !l.About {
 			continue
 		}
 		key := l.Fields["step"] + "/" + l.Fields["index"]
 		switch l.Name {
-		case ordered:
+		case taskOrdered:
 			for _, index := range strings.Split(strings.Trim(l.Fields["tasks"], "[]"), ",") {
-				open[l.Fields["step"]+"/"+index] = l.Fields["guard"]
+				unfinished[l.Fields["step"]+"/"+index] = l.Fields["guard"]
 			}
-		case over, wrong:
-			delete(open, key)
-		case notCompleted:
-			return byGuard(open)
+		case runEnded, runWrong:
+			delete(unfinished, key)
+		case jobFailed:
+			return countByGuard(unfinished)
 		}
 	}
 	return ""
 }
 
-func byGuard(open map[string]string) string {
+func countByGuard(unfinished map[string]string) string {
 	count := map[string]int{}
-	for _, guard := range open {
+	for _, guard := range unfinished {
 		count[guard]++
 	}
 	var parts []string
@@ -105,14 +106,14 @@
 	return strings.Join(parts, ", ")
 }
 
-// trouble counts what went wrong on the way.
-func trouble(lines []Line) string {
+// problems counts the problems logged while the request was processed.
+func problems(lines []Line) string {
 	count := map[string]int{}
 	for _, l := range lines {
 		switch {
-		case l.About && l.Name == wrong:
+		case l.About && l.Name == runWrong:
 			count[l.Fields["change"]+" at "+l.Fields["guard"]]++
-		case l.About && l.Name == stopped && l.Fields["why"] == "runs_too_long":
+		case l.About && l.Name == runStopped && l.Fields["why"] == "runs_too_long":
 			count["ran too long at "+l.Fields["guard"]]++
 		case !l.About && (l.Name == "session.guard_lost" || l.Name == "guard.look_failed"):
 			count[l.Name+" "+l.Fields["guard"]]++
--- a/entry/explain/explain.go
+++ b/entry/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells one request's story from the logs of several processes.
+// Package explain reconstructs what happened to one request from the logs of
+// several processes.
 package explain
 
 import (
@@ -13,48 +14,49 @@
 	"time"
 )
 
-// ErrUnknown means that no line names the request.
-var ErrUnknown = errors.New("explain: no line names this request")
+// ErrUnknown means that no log line contains the id of the request.
+var ErrUnknown = errors.New("explain: no log line contains this request id")
 
-// maxLine bounds a line that is read, bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// context is the time before a request's first line and after its last in
-// which lines about the guards that it met are told too.
-const context = 2 * time.Second
+// contextWindow is the time before the first and after the last line of a request
+// within which lines about the guards involved are included.
+const contextWindow = 2 * time.Second
 
-// Line is one event of the story.
+// Line is one logged event.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Process string    `json:"process"`
 	Event   int       `json:"event"`
 	Name    string    `json:"name"`
-	// About is true for a line that names the request, false for one that tells
-	// what a process that it met went through meanwhile.
+	// About is true for a line that contains the request's id, and false for a
+	// line about an involved process during the same period.
 	About  bool              `json:"about_request"`
 	Fields map[string]string `json:"fields"`
 }
 
-// Story of a request.
+// Story holds the log lines of a request in order of time, and the cause of its
+// outcome.
 type Story struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// Cause says in a sentence why it ended as it did.
+	// Cause is a sentence that explains the outcome.
 	Cause string `json:"cause"`
 }
 
-// Read tells a request's story from logs, one reader a file.
+// Read builds the Story of a request from logs, one reader for each file.
 func Read(request string, logs ...io.Reader) (Story, error) {
-	var all []Line
+	var allLines []Line
 	for _, log := range logs {
-		lines, err := scan(log)
+		lines, err := scanLines(log)
 		if err != nil {
 			return Story{}, err
 		}
-		all = append(all, lines...)
+		allLines = append(allLines, lines...)
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].Time.Before(all[j].Time) })
-	s := Story{Request: request, Lines: choose(request, all)}
+	sort.SliceStable(allLines, func(i, j int) bool { return allLines[i].Time.Before(allLines[j].Time) })
+	s := Story{Request: request, Lines: selectLines(request, allLines)}
 	if len(s.Lines) == 0 {
 		return Story{}, fmt.Errorf("%w: %s", ErrUnknown, request)
 	}
@@ -62,9 +64,9 @@
 	return s, nil
 }
 
-// scan reads the lines that are events. What stands before the JSON, as a
-// collector puts it there, and lines of other programs are passed over.
-func scan(r io.Reader) ([]Line, error) {
+// scanLines parses the lines that are events. It skips text before the JSON,
+// such as a prefix added by a log collector, and lines of other programs.
+func scanLines(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLine)
 	var lines []Line
@@ -78,7 +80,7 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, fmt.Errorf("explain: read: %w", err)
+		return nil, fmt.Errorf("explain: read log: %w", err)
 	}
 	return lines, nil
 }
@@ -102,8 +104,8 @@
 	return l, true
 }
 
-// process names the writer: guards write "guard" on each line, entries "entry",
-// and either may name the other.
+// process returns the id of the process that wrote the line. Guards log "guard"
+// on each line and entries log "entry"; either may also log the id of the other.
 func (l Line) process() string {
 	if strings.HasPrefix(l.Name, "guard.") {
 		return l.Fields["guard"]
@@ -114,43 +116,45 @@
 	return l.Fields["guard"]
 }
 
-// choose takes the lines about the request, and those without any request that
-// the processes it met wrote about themselves or each other meanwhile.
-func choose(request string, all []Line) []Line {
-	met := map[string]bool{}
+// selectLines returns the lines about the request, and those without a request id
+// that the involved processes logged about themselves or each other within the
+// context window.
+func selectLines(request string, allLines []Line) []Line {
+	involved := map[string]bool{}
 	var first, last time.Time
-	for _, l := range all {
+	for _, l := range allLines {
 		if l.Fields["job"] != request {
 			continue
 		}
-		met[l.Process] = true
-		met[l.Fields["guard"]] = true
+		involved[l.Process] = true
+		involved[l.Fields["guard"]] = true
 		if first.IsZero() {
 			first = l.Time
 		}
 		last = l.Time
 	}
 	var lines []Line
-	for _, l := range all {
+	for _, l := range allLines {
 		l.About = l.Fields["job"] == request
-		near := !first.IsZero() && l.Time.After(first.Add(-context)) && l.Time.Before(last.Add(context))
-		if l.About || near && l.Fields["job"] == "" && met[l.Process] && (l.Fields["guard"] == "" || met[l.Fields["guard"]]) {
+		inWindow := !first.IsZero() && l.Time.After(first.Add(-contextWindow)) && l.Time.Before(last.Add(contextWindow))
+		if l.About || inWindow && l.Fields["job"] == "" && involved[l.Process] && (l.Fields["guard"] == "" || involved[l.Fields["guard"]]) {
 			lines = append(lines, l)
 		}
 	}
 	return lines
 }
 
-// Print writes the story as a table.
+// Print writes the events as a table, with times relative to the first one, and
+// then the cause. Events of the request are marked with an asterisk.
 func (s Story) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	began := s.Lines[0].Time
+	start := s.Lines[0].Time
 	for _, l := range s.Lines {
 		mark := " "
 		if l.About {
 			mark = "*"
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%+.1f ms\t%s\t%d\t%s\t%s\n", mark, float64(l.Time.Sub(began).Microseconds())/1000, l.Process, l.Event, l.Name, l.fields())
+		_, _ = fmt.Fprintf(t, "%s\t%+.1f ms\t%s\t%d\t%s\t%s\n", mark, float64(l.Time.Sub(start).Microseconds())/1000, l.Process, l.Event, l.Name, l.fields())
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/entry/explain/explain_test.go
+++ b/entry/explain/explain_test.go
@@ -22,9 +22,9 @@
 {"time":"2026-01-01T00:00:01.500Z","level":"WARN","msg":"guard.look_failed","guard":"g9","event":2206,"error":"no answer"}
 `
 
-// A caller's request has ended without its answer. From its id alone the logs
-// of an entry and a guard give the order of what happened, what was open when
-// its time was over, and what its guard went through meanwhile.
+// A request ended without an answer. Given only its id, Read derives from the
+// logs of an entry and a guard the order of events, the runs unfinished at the
+// deadline, and the problems that the guard logged in the same period.
 func TestStory(t *testing.T) {
 	s, err := Read("a", strings.NewReader(guardLog), strings.NewReader(entryLog))
 	assert.NilError(t, err)
@@ -39,7 +39,7 @@
 	assert.Assert(t, strings.Contains(out.String(), "tasks=[0,1]"), out.String())
 }
 
-// An id that no line names is said to be unknown.
+// An id that appears in no log line is reported as ErrUnknown.
 func TestUnknownRequest(t *testing.T) {
 	_, err := Read("zzz", strings.NewReader(entryLog))
 	assert.Assert(t, errors.Is(err, ErrUnknown))
