--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -25,27 +25,28 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// Bounds of callers' connections.
+// Limits of callers' connections.
 const (
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 60 * time.Second
-	maxHeader     = 16 << 10
+	readHeaderTimeout = 3 * time.Second
+	idleTimeout       = 60 * time.Second
+	maxHeaderBytes    = 16 << 10
 )
 
-// drainTick paces the check whether every request is answered.
-const drainTick = 20 * time.Millisecond
+// drainPollInterval is how often drain checks whether every request has been
+// answered.
+const drainPollInterval = 20 * time.Millisecond
 
-// Options of an Entry.
+// Options configures an Entry.
 type Options struct {
-	// Path of the settings file, read again on Reload.
+	// Path is the settings file, which Reload reads again.
 	Path    string
 	Logger  *slog.Logger
 	Metrics *telemetry.Metrics
 }
 
-// Entry is one process behind the balancer.
+// Entry is one entry process behind the load balancer.
 type Entry struct {
-	opt      Options
+	opts     Options
 	settings atomic.Pointer[Settings]
 	config   *follower.Follower
 	members  *registry.Registry
@@ -54,22 +55,22 @@
 	lag      *lag.Meter
 	front    *front.Front
 	draining atomic.Bool
-	// reached is true once some runner could be reached; an entry without any
-	// would turn away what others can serve.
-	reached atomic.Bool
+	// runnerReached is true once at least one runner was reachable. Until then the
+	// entry is not ready: it would reject jobs that other entries can serve.
+	runnerReached atomic.Bool
 }
 
-// New returns an entry that does not listen yet.
+// New returns an entry. It listens once Run is called.
 func New(s Settings, o Options) *Entry {
-	e := &Entry{opt: o}
+	e := &Entry{opts: o}
 	e.settings.Store(&s)
 	client := store.New(s.Store.AddrPort, store.Metrics(o.Metrics.Scope))
 	incarnation := uint64(time.Now().UnixNano())
 	e.config = follower.New(client, o.Logger)
 	e.members = registry.New(registry.Options{
 		Entry:   s.ID,
-		Address: s.advertised().String(),
-		Seeds:   func() []string { return e.settings.Load().peers() },
+		Address: s.advertisedAddress().String(),
+		Seeds:   func() []string { return e.settings.Load().seedAddresses() },
 		Logger:  o.Logger,
 	}, client, e.config)
 	e.jobs = jobs.New(jobs.Options{
@@ -83,121 +84,122 @@
 	return e
 }
 
-// Reload reads the settings file again; only the seeds may change while the
-// entry runs. A file that can't be read changes nothing.
+// Reload reads the settings file again. Only the seeds may change while the entry
+// runs. If the file cannot be read, the current settings stay in force.
 func (e *Entry) Reload(ctx context.Context) {
-	s, err := Load(e.opt.Path)
+	s, err := Load(e.opts.Path)
 	if err != nil {
-		reloadFailed.Log(ctx, e.opt.Logger, slog.String("error", err.Error()))
+		reloadFailed.Log(ctx, e.opts.Logger, slog.String("error", err.Error()))
 		return
 	}
 	e.settings.Store(&s)
-	reloaded.Log(ctx, e.opt.Logger, slog.Int("seeds", len(s.Seeds)))
+	reloaded.Log(ctx, e.opts.Logger, slog.Int("seeds", len(s.Seeds)))
 }
 
-// fleet serves guards and other entries.
-type fleet struct {
+// fleetService implements the service that guards and other entries call.
+type fleetService struct {
 	*sessions.Server
 	members *registry.Registry
 }
 
-// Meet answers another entry.
-func (f fleet) Meet(ctx context.Context, req *connect.Request[wirev1.MeetRequest]) (*connect.Response[wirev1.MeetResponse], error) {
+// Meet answers a call from another entry.
+func (f fleetService) Meet(ctx context.Context, req *connect.Request[wirev1.MeetRequest]) (*connect.Response[wirev1.MeetResponse], error) {
 	return f.members.Meet(ctx, req)
 }
 
-// Run serves until the context ends, then answers what is open.
+// Run serves until ctx ends, then waits for open requests to be answered.
 func (e *Entry) Run(ctx context.Context) error {
 	s := *e.settings.Load()
-	started.Log(ctx, e.opt.Logger, slog.String("callers", s.Listen.Callers.String()), slog.String("guards", s.Listen.Guards.String()), slog.Int("seeds", len(s.Seeds)))
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	started.Log(ctx, e.opts.Logger, slog.String("callers", s.Listen.Callers.String()), slog.String("guards", s.Listen.Guards.String()), slog.Int("seeds", len(s.Seeds)))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group run.Group
-	actor := func(f func(context.Context) error) {
-		group.Add(func() error { return f(inner) }, func(error) { stop() })
+	addActor := func(f func(context.Context) error) {
+		group.Add(func() error { return f(runCtx) }, func(error) { stop() })
 	}
-	actor(e.config.Run)
-	actor(e.members.Run)
-	actor(e.jobs.Run)
-	actor(e.sessions.Run)
-	actor(e.gauges)
-	actor(e.lag.Run)
-	actor(func(c context.Context) error {
+	addActor(e.config.Run)
+	addActor(e.members.Run)
+	addActor(e.jobs.Run)
+	addActor(e.sessions.Run)
+	addActor(e.publishGauges)
+	addActor(e.lag.Run)
+	addActor(func(c context.Context) error {
 		mux := http.NewServeMux()
-		mux.Handle(fleetwire.NewHandler(fleet{e.sessions, e.members}))
+		mux.Handle(fleetwire.NewHandler(fleetService{e.sessions, e.members}))
 		return serve(c, s.Listen.Guards.String(), fleetwire.NewServer(mux))
 	})
-	actor(func(c context.Context) error {
-		return serve(c, s.Listen.Ready.String(), &http.Server{Handler: http.HandlerFunc(e.ready), ReadHeaderTimeout: headerTimeout})
+	addActor(func(c context.Context) error {
+		return serve(c, s.Listen.Ready.String(), &http.Server{Handler: http.HandlerFunc(e.ready), ReadHeaderTimeout: readHeaderTimeout})
 	})
-	actor(func(c context.Context) error {
+	addActor(func(c context.Context) error {
 		return serve(c, s.Listen.Callers.String(), &http.Server{
 			Handler:           e.front,
-			ReadHeaderTimeout: headerTimeout,
+			ReadHeaderTimeout: readHeaderTimeout,
 			IdleTimeout:       idleTimeout,
-			MaxHeaderBytes:    maxHeader,
+			MaxHeaderBytes:    maxHeaderBytes,
 		})
 	})
 	if s.Listen.Metrics.IsValid() {
 		mux := http.NewServeMux()
-		telemetry.Handle(mux, e.opt.Metrics, &telemetry.Ready{})
-		actor(func(c context.Context) error {
-			return serve(c, s.Listen.Metrics.String(), &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout})
+		telemetry.Handle(mux, e.opts.Metrics, &telemetry.Ready{})
+		addActor(func(c context.Context) error {
+			return serve(c, s.Listen.Metrics.String(), &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout})
 		})
 	}
-	actor(func(c context.Context) error { return e.drain(ctx, c) })
+	addActor(func(c context.Context) error { return e.drain(ctx, c) })
 	err := group.Run()
-	stopped.Log(ctx, e.opt.Logger)
+	stopped.Log(ctx, e.opts.Logger)
 	return err
 }
 
-// ready answers the balancer.
+// ready serves the load balancer's readiness check.
 func (e *Entry) ready(w http.ResponseWriter, _ *http.Request) {
-	if e.draining.Load() || e.config.Table() == nil || !e.reaches() {
+	if e.draining.Load() || e.config.Table() == nil || !e.hasReachableRunner() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-func (e *Entry) reaches() bool {
-	if e.reached.Load() {
+func (e *Entry) hasReachableRunner() bool {
+	if e.runnerReached.Load() {
 		return true
 	}
 	if e.jobs.Reachable() == 0 {
 		return false
 	}
-	e.reached.Store(true)
+	e.runnerReached.Store(true)
 	return true
 }
 
-// drain waits for the end of the outer context. Then the balancer is told
-// first; work that still comes is taken until it has noticed, and after that
-// refused; and every open request is answered before the process ends.
-func (e *Entry) drain(outer, inner context.Context) error {
+// drain waits until shutdownCtx ends. It then reports the entry as not ready,
+// still accepts requests until the load balancer has noticed, rejects them after
+// that, and waits until every open request is answered or the grace period has
+// almost passed.
+func (e *Entry) drain(shutdownCtx, runCtx context.Context) error {
 	select {
-	case <-outer.Done():
-	case <-inner.Done():
+	case <-shutdownCtx.Done():
+	case <-runCtx.Done():
 		return nil
 	}
-	began := time.Now()
+	start := time.Now()
 	bounds := e.settings.Load().Bounds
-	draining.Log(inner, e.opt.Logger, slog.Int("open", e.front.Open()))
+	draining.Log(runCtx, e.opts.Logger, slog.Int("open", e.front.Open()))
 	e.draining.Store(true)
 	e.front.Closing()
 	time.Sleep(bounds.BalancerNotice.Std())
 	e.front.Close()
-	limit := bounds.Grace.Std() - drainReserve
-	for e.front.Open() > 0 && time.Since(began) < limit {
-		time.Sleep(drainTick)
+	limit := bounds.Grace.Std() - exitReserve
+	for e.front.Open() > 0 && time.Since(start) < limit {
+		time.Sleep(drainPollInterval)
 	}
 	if n := e.front.Open(); n > 0 {
-		drainCut.Log(inner, e.opt.Logger, slog.Int("open", n))
+		drainTimedOut.Log(runCtx, e.opts.Logger, slog.Int("open", n))
 	}
 	return nil
 }
 
-// serve serves until the context ends. Open connections are closed only then.
+// serve serves HTTP on address until ctx ends, and then closes all connections.
 func serve(ctx context.Context, address string, server *http.Server) error {
 	listener, err := fleetwire.Listen(ctx, address)
 	if err != nil {
--- a/entry/edge/gauges.go
+++ b/entry/edge/gauges.go
@@ -9,26 +9,27 @@
 	"almondstand.dev/dispatch/planner"
 )
 
-// gaugeEvery paces the gauges; they are scraped every 5 s.
-const gaugeEvery = 2 * time.Second
+// gaugeInterval is how often the gauges are updated; they are scraped every 5 s.
+const gaugeInterval = 2 * time.Second
 
-// gauges publishes what the entry believes, until the context ends.
-func (e *Entry) gauges(ctx context.Context) error {
-	scope := e.opt.Metrics.Scope
+// publishGauges updates the gauges with the entry's view of its configuration, jobs
+// and runners until ctx ends.
+func (e *Entry) publishGauges(ctx context.Context) error {
+	scope := e.opts.Metrics.Scope
 	version := scope.Gauge("config_version")
 	age := scope.Gauge("config_age_seconds")
 	oldest := scope.Gauge("queue_oldest_seconds")
-	states := map[planner.State]tally.Gauge{}
+	endpointsByState := map[planner.State]tally.Gauge{}
 	for _, state := range planner.States() {
-		states[state] = scope.Tagged(map[string]string{"state": string(state)}).Gauge("endpoints")
+		endpointsByState[state] = scope.Tagged(map[string]string{"state": string(state)}).Gauge("endpoints")
 	}
 	waiting := scope.Gauge("jobs_waiting")
 	running := scope.Gauge("jobs_running")
-	lines := scope.Gauge("log_lines_left_out")
+	droppedLines := scope.Gauge("log_lines_left_out")
 	suspects := scope.Gauge("crash_suspects")
-	attributed := scope.Tagged(map[string]string{"cause": "task"}).Gauge("runner_crashes")
-	common := scope.Tagged(map[string]string{"cause": "common"}).Gauge("runner_crashes")
-	tick := time.NewTicker(gaugeEvery)
+	taskCrashes := scope.Tagged(map[string]string{"cause": "task"}).Gauge("runner_crashes")
+	commonCauseCrashes := scope.Tagged(map[string]string{"cause": "common"}).Gauge("runner_crashes")
+	tick := time.NewTicker(gaugeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -41,7 +42,7 @@
 		}
 		age.Update(e.config.Age().Seconds())
 		for state, n := range e.jobs.Endpoints() {
-			states[state].Update(float64(n))
+			endpointsByState[state].Update(float64(n))
 		}
 		count := e.jobs.Count("")
 		waiting.Update(float64(count.Waiting))
@@ -49,8 +50,8 @@
 		running.Update(float64(count.Running))
 		crashes := e.jobs.Crashes()
 		suspects.Update(float64(crashes.Suspects))
-		attributed.Update(float64(crashes.Attributed))
-		common.Update(float64(crashes.Common))
-		lines.Update(float64(e.opt.Metrics.LinesLeftOut()))
+		taskCrashes.Update(float64(crashes.Attributed))
+		commonCauseCrashes.Update(float64(crashes.Common))
+		droppedLines.Update(float64(e.opts.Metrics.LinesLeftOut()))
 	}
 }
--- a/entry/edge/settings.go
+++ b/entry/edge/settings.go
@@ -1,4 +1,4 @@
-// Package edge runs an entry whose guards are known by their runners' capacity,
+// Package edge runs an entry whose guards report the capacity of their runners,
 // on the operators' platform.
 package edge
 
@@ -9,19 +9,20 @@
 	"almondstand.dev/settings"
 )
 
-// File is a settings file of such an entry.
+// File is the content of a settings file of such an entry.
 type File struct {
 	Capacity Settings `json:"capacity"`
 }
 
-// Settings of an entry. See docs/SETTINGS.md.
+// Settings holds the settings of an entry, documented in docs/SETTINGS.md.
 type Settings struct {
-	// ID names the entry; no two entries share one.
+	// ID identifies the entry and is unique among entries.
 	ID string `json:"id" validate:"required,max=128"`
 	// Zone is the data centre of this host.
 	Zone   string `json:"zone" validate:"required,max=128"`
 	Listen Listen `json:"listen"`
-	// Seeds are hosts of entries; only their IPs count. They may be stale.
+	// Seeds are addresses of hosts that run entries. Only the IP is used, and they
+	// may be out of date.
 	Seeds []settings.Address `json:"seeds" validate:"max=64"`
 	// Store is the platform's metadata store.
 	Store  settings.Address `json:"store" validate:"required"`
@@ -31,39 +32,42 @@
 
 // Listen holds the addresses the entry listens on.
 type Listen struct {
-	// Callers serves jobs.
+	// Callers is where callers submit jobs.
 	Callers settings.Address `json:"callers" validate:"required"`
-	// Ready answers the balancer's checks.
+	// Ready is where the load balancer checks readiness.
 	Ready settings.Address `json:"ready" validate:"required"`
-	// Guards serves guards and other entries; every entry uses the same port.
+	// Guards is where guards and other entries connect; every entry uses the same
+	// port.
 	Guards settings.Address `json:"guards" validate:"required"`
-	// Advertise is the address told to guards and other entries; left out, it is
-	// that of guards.
+	// Advertise is the address that guards and other entries connect to, if it
+	// differs from Guards.
 	Advertise settings.Address `json:"advertise"`
-	// Metrics serves metrics and health; left out, none are served.
+	// Metrics is where metrics and health checks are served; they are not served
+	// if it is empty.
 	Metrics settings.Address `json:"metrics"`
 }
 
-// Bounds that the platform sets.
+// Bounds holds time limits set by the platform.
 type Bounds struct {
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace settings.Duration `json:"grace"`
-	// BalancerNotice is how long the balancer may still send new connections
-	// after this entry has said that it is not ready.
+	// BalancerNotice is how long the load balancer may still send new
+	// connections after this entry reports not ready.
 	BalancerNotice settings.Duration `json:"balancer_notice"`
 }
 
-// Log holds how to log.
+// Log configures logging.
 type Log struct {
 	Level string `json:"level" validate:"oneof=debug info warn error"`
 }
 
-// Default returns the settings that a file may leave out.
+// Default returns the values of settings that a file omits.
 func Default() File {
 	return File{Capacity: Settings{
 		Bounds: Bounds{
 			Grace: settings.Duration(6 * time.Second),
-			// Two checks, a second apart, and a connection under way.
+			// Covers two readiness checks one second apart, and a connection that
+			// the balancer opens just before it notices.
 			BalancerNotice: settings.Duration(2300 * time.Millisecond),
 		},
 		Log: Log{Level: "info"},
@@ -77,8 +81,9 @@
 	return f.Capacity, err
 }
 
-// drainReserve of the grace is left for the end of the process.
-const drainReserve = 700 * time.Millisecond
+// exitReserve is the part of the grace period that is left for the process to
+// exit after the drain.
+const exitReserve = 700 * time.Millisecond
 
 // Check implements settings.Checker.
 func (f *File) Check() settings.Errors {
@@ -88,26 +93,27 @@
 		settings.Listener{Path: "capacity.listen.ready", Address: s.Listen.Ready},
 		settings.Listener{Path: "capacity.listen.guards", Address: s.Listen.Guards},
 	)
-	if s.Bounds.Grace.Std() < s.Bounds.BalancerNotice.Std()+drainReserve {
+	if s.Bounds.Grace.Std() < s.Bounds.BalancerNotice.Std()+exitReserve {
 		out = append(out, settings.Error{Path: "capacity.bounds.grace", Read: s.Bounds.Grace.Std().String(),
-			Allowed: "capacity.bounds.balancer_notice and " + drainReserve.String() + " more"})
+			Allowed: "capacity.bounds.balancer_notice and " + exitReserve.String() + " more"})
 	}
 	return out
 }
 
-// advertised returns the address told to guards and other entries.
-func (s Settings) advertised() settings.Address {
+// advertisedAddress returns the address that guards and other entries connect to.
+func (s Settings) advertisedAddress() settings.Address {
 	if s.Listen.Advertise.IsValid() {
 		return s.Listen.Advertise
 	}
 	return s.Listen.Guards
 }
 
-// peers returns the addresses at which the seeds serve other entries.
-func (s Settings) peers() []string {
-	var all []string
+// seedAddresses returns the addresses at which the seeds accept connections from
+// other entries: the IP of each seed with the port of Listen.Guards.
+func (s Settings) seedAddresses() []string {
+	var addresses []string
 	for _, seed := range s.Seeds {
-		all = append(all, netip.AddrPortFrom(seed.Addr(), s.Listen.Guards.Port()).String())
+		addresses = append(addresses, netip.AddrPortFrom(seed.Addr(), s.Listen.Guards.Port()).String())
 	}
-	return all
+	return addresses
 }
