--- a/entry/node/adapt.go
+++ b/entry/node/adapt.go
@@ -15,23 +15,25 @@
 	forwardResponse = wirev1.ForwardResponse
 )
 
-// lateStarter is bound late, since the engine and the fleet need each other.
-// Its Starter is set before the engine gets its first endpoint.
-type lateStarter struct{ task.Starter }
+// deferredStarter is given its Starter after the engine is created, since the
+// engine and the fleet depend on each other. The Starter is set before the engine
+// learns of its first endpoint.
+type deferredStarter struct{ task.Starter }
 
-// applyContract puts a contract's limits in force.
+// applyContract applies the limits of a contract to the quota table.
 func (n *Node) applyContract(c contract.Contract) {
 	n.quota.SetContracts(time.Now(), c)
 }
 
-// handleForward is called by peers only after New, when the interface is there.
+// handleForward handles a request forwarded by a peer. Peers call it only after
+// New has returned, when n.api is set.
 func (n *Node) handleForward(ctx context.Context, r *forwardRequest) (*forwardResponse, error) {
 	return n.api.HandleForward(ctx, r)
 }
 
-func addresses(all []settings.Address) []string {
-	out := make([]string, 0, len(all))
-	for _, a := range all {
+func addresses(list []settings.Address) []string {
+	out := make([]string, 0, len(list))
+	for _, a := range list {
 		out = append(out, a.String())
 	}
 	return out
--- a/entry/node/listen.go
+++ b/entry/node/listen.go
@@ -9,51 +9,52 @@
 	"almondstand.dev/telemetry"
 )
 
-// listeners are the node's three sockets.
+// listeners holds the listening sockets of a node.
 type listeners struct {
 	callers   net.Listener
 	internal  net.Listener
 	operators net.Listener
 }
 
-// open opens all three or none.
+// open opens all sockets. If one fails, it closes those already open.
 func (l *listeners) open(s ListenSettings) error {
-	targets := []*net.Listener{&l.callers, &l.internal, &l.operators}
-	for i, one := range s.all() {
-		opened, err := net.Listen("tcp", one.Address.String())
+	sockets := []*net.Listener{&l.callers, &l.internal, &l.operators}
+	for i, listener := range s.all() {
+		socket, err := net.Listen("tcp", listener.Address.String())
 		if err != nil {
 			l.close()
 			return err
 		}
-		*targets[i] = opened
+		*sockets[i] = socket
 	}
 	return nil
 }
 
 func (l *listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.internal, l.operators} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.callers, l.internal, l.operators} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
 
-// Limits of the internal and the operators' servers.
+// Limits of the HTTP servers for other processes and for operators.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 16 << 10
 	maxStreams        = 1000
-	// pingAfter is long because each guard keeps a connection that is idle between
-	// its announcements: hundreds of them cost more pings than announcements. Nobody
-	// waits for this end's ping: whoever calls pings too, sooner.
-	pingAfter   = 30 * time.Second
-	pingTimeout = 2 * time.Second
+	// sendPingTimeout is long because each guard keeps a connection that is idle
+	// between its announcements: with hundreds of guards, shorter pings would cost
+	// more messages than the announcements. No call depends on the server's ping,
+	// since clients send pings too, and sooner.
+	sendPingTimeout = 30 * time.Second
+	pingTimeout     = 2 * time.Second
 )
 
-// newServer returns a server for the system's own processes and for operators.
-// A connection can go silent for good without an error at either end; the
-// HTTP/2 ping finds that and ends its calls.
+// newServer returns an HTTP server for guards, other entries and operators. A
+// connection can fail without an error at either end; the HTTP/2 ping detects that
+// and ends the calls on it.
 func newServer(h http.Handler, logger *slog.Logger) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -67,7 +68,7 @@
 		ConnContext:       telemetry.ConnContext,
 		HTTP2: &http.HTTP2Config{
 			MaxConcurrentStreams: maxStreams,
-			SendPingTimeout:      pingAfter,
+			SendPingTimeout:      sendPingTimeout,
 			PingTimeout:          pingTimeout,
 		},
 		ErrorLog: slog.NewLogLogger(logger.Handler(), slog.LevelDebug),
--- a/entry/node/node.go
+++ b/entry/node/node.go
@@ -27,18 +27,18 @@
 	"almondstand.dev/telemetry/stall"
 )
 
-// ErrStart means that the entry could not start; the wrapped error says why.
-var ErrStart = errors.New("entry can't start")
+// ErrStart means that the entry could not start. It wraps the cause.
+var ErrStart = errors.New("entry could not start")
 
-// Options of a Node besides its settings.
+// Options configures a Node, in addition to its settings.
 type Options struct {
 	Logger *slog.Logger
-	// NewDecider replaces the product's decisions for one service, so that
-	// variants can be compared; nil for the product's own.
+	// NewDecider returns the scheduling policy of a service, so that benchmarks
+	// can compare policies; nil selects the default policy.
 	NewDecider func(Settings) scheduler.Decider
 }
 
-// Node is one entry: its parts and its listeners.
+// Node is one entry: its components and its listeners.
 type Node struct {
 	settings    Settings
 	logger      *slog.Logger
@@ -62,15 +62,15 @@
 	api       *api.Server
 	operator  *operator.Server
 
-	listen listeners
+	listeners listeners
 
-	// drainBy is when the drain is to have ended.
-	drainBy time.Time
-	// cut is true when the end of the servers cut a request.
-	cut bool
+	// drainDeadline is when the drain must have ended.
+	drainDeadline time.Time
+	// requestsAborted is true if the servers were closed while requests were open.
+	requestsAborted bool
 }
 
-// New returns an entry that listens already; Run serves.
+// New returns an entry with open listeners. It serves once Run is called.
 func New(s Settings, o Options) (*Node, error) {
 	now := time.Now()
 	n := &Node{
@@ -82,18 +82,18 @@
 		recorder:    burn.NewRecorder(now),
 	}
 	n.control = telemetry.NewControl(n.metrics.Scope)
-	if err := n.listen.open(s.Listen); err != nil {
+	if err := n.listeners.open(s.Listen); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrStart, err)
 	}
-	if err := n.build(o); err != nil {
-		n.listen.close()
+	if err := n.buildParts(o); err != nil {
+		n.listeners.close()
 		return nil, fmt.Errorf("%w: %w", ErrStart, err)
 	}
 	return n, nil
 }
 
-// build makes the parts, those first that others need.
-func (n *Node) build(o Options) error {
+// buildParts creates the components, each after those it depends on.
+func (n *Node) buildParts(o Options) error {
 	if err := n.buildStore(); err != nil {
 		return err
 	}
@@ -138,11 +138,11 @@
 }
 
 func (n *Node) self() member.Info {
-	internal := n.listen.internal.Addr().String()
+	internal := n.listeners.internal.Addr().String()
 	if a := n.settings.Advertise.Internal; a.IsValid() {
 		internal = a.String()
 	}
-	operators := n.listen.operators.Addr().String()
+	operators := n.listeners.operators.Addr().String()
 	if a := n.settings.Advertise.Operators; a.IsValid() {
 		operators = a.String()
 	}
@@ -177,14 +177,14 @@
 }
 
 func (n *Node) buildDispatch(o Options) {
-	decider := o.NewDecider
-	if decider == nil {
-		decider = newDecider
+	newServicePolicy := o.NewDecider
+	if newServicePolicy == nil {
+		newServicePolicy = newPolicy
 	}
-	starter := &lateStarter{}
+	starter := &deferredStarter{}
 	n.engine = engine.New(engine.Options{
 		Starter:    starter,
-		NewDecider: func(string) scheduler.Decider { return decider(n.settings) },
+		NewDecider: func(string) scheduler.Decider { return newServicePolicy(n.settings) },
 		Logger:     n.logger,
 		Scope:      n.metrics.Scope,
 		Now:        time.Now,
@@ -216,7 +216,8 @@
 	starter.Starter = n.fleet
 }
 
-// spareSlots turns the setting, where zero means none, into the fleet's option.
+// spareSlots converts the setting to the fleet's option: zero means none in the
+// setting, and the default in the option.
 func spareSlots(s Settings) int {
 	if s.Fleet.SpareSlots == 0 {
 		return fleet.NoSpareSlots
@@ -224,12 +225,12 @@
 	return s.Fleet.SpareSlots
 }
 
-// newDecider returns the decisions that the product ships.
-func newDecider(s Settings) scheduler.Decider {
+// newPolicy returns the default scheduling policy.
+func newPolicy(s Settings) scheduler.Decider {
 	return scheduler.New(SchedulerOptions(s), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// SchedulerOptions returns the decisions' options that follow from settings.
+// SchedulerOptions returns the options of the default scheduling policy for s.
 func SchedulerOptions(s Settings) scheduler.Options {
 	return scheduler.Options{
 		Zone:  s.Zone,
@@ -305,18 +306,19 @@
 	return err
 }
 
-// Addresses are where a node listens.
+// Addresses holds the addresses a node listens on.
 type Addresses struct {
 	Callers   net.Addr
 	Internal  net.Addr
 	Operators net.Addr
 }
 
-// Addresses returns where the node listens, also when the kernel chose the ports.
+// Addresses returns the addresses the node listens on, with the actual port where
+// port 0 was configured.
 func (n *Node) Addresses() Addresses {
 	return Addresses{
-		Callers:   n.listen.callers.Addr(),
-		Internal:  n.listen.internal.Addr(),
-		Operators: n.listen.operators.Addr(),
+		Callers:   n.listeners.callers.Addr(),
+		Internal:  n.listeners.internal.Addr(),
+		Operators: n.listeners.operators.Addr(),
 	}
 }
--- a/entry/node/run.go
+++ b/entry/node/run.go
@@ -18,25 +18,26 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// ErrCut means that the shutdown's limit passed before every job had ended and
-// every answer was written.
-var ErrCut = errors.New("shutdown cut short")
+// ErrCut means that the shutdown timed out before every job had ended and every
+// answer was written.
+var ErrCut = errors.New("shutdown timed out with open requests")
 
 const (
-	// shareCheck is how often the number of live entries is told to the fleet.
-	shareCheck = 500 * time.Millisecond
-	// readyCheck is how often the readiness follows the gate.
-	readyCheck = 100 * time.Millisecond
-	// closeLimit is what the servers have at least to end in, also when no drain
-	// came before or drain_limit has passed: answers may be on their way out.
-	closeLimit = 3 * time.Second
-	// leaveLimit bounds the farewell to the peers.
-	leaveLimit = 8 * time.Second
+	// liveEntriesInterval is how often the fleet is updated with the live entries.
+	liveEntriesInterval = 500 * time.Millisecond
+	// readinessInterval is how often the readiness is updated.
+	readinessInterval = 100 * time.Millisecond
+	// minCloseTimeout is the minimum time the servers get to shut down, even
+	// without a drain or after drain_limit, since answers may still be being
+	// written.
+	minCloseTimeout = 3 * time.Second
+	// leaveTimeout limits the announcement to the peers that this entry leaves.
+	leaveTimeout = 8 * time.Second
 )
 
-// Run serves until ctx ends, then shuts down gracefully: readiness turns false
-// first, new work is still taken while the balancer learns of it, then refused,
-// and open jobs are finished.
+// Run serves until ctx ends, then shuts down gracefully: it first reports not
+// ready and still accepts jobs until the load balancer has noticed, then rejects
+// new jobs and completes the open ones.
 func (n *Node) Run(ctx context.Context) error {
 	var g run.Group
 	n.addLoops(&g)
@@ -51,7 +52,7 @@
 	})
 	n.logStarted(ctx)
 	err := g.Run()
-	if err == nil && n.cut {
+	if err == nil && n.requestsAborted {
 		err = ErrCut
 	}
 	n.store.Close()
@@ -59,8 +60,8 @@
 	return n.logStopped(err)
 }
 
-// addLoops adds the parts that run by themselves. Each is stopped when the
-// first actor returns, which in a graceful shutdown is the drain.
+// addLoops adds the components that run in the background. They are stopped when
+// the first actor returns, which in a graceful shutdown is the drain.
 func (n *Node) addLoops(g *run.Group) {
 	n.addLoop(g, "stalls", n.stalls.Run)
 	n.addLoop(g, "registrar", n.registrar.Run)
@@ -69,7 +70,7 @@
 	n.addLoop(g, "fleet", n.fleet.Run)
 	n.addLoop(g, "engine", n.engine.Run)
 	n.addLoop(g, "process metrics", telemetry.NewProcess(n.metrics.Scope).Run)
-	n.addLoop(g, "shares", n.followShares)
+	n.addLoop(g, "shares", n.syncLiveEntries)
 }
 
 func (n *Node) addLoop(g *run.Group, name string, loop func(context.Context) error) {
@@ -85,9 +86,10 @@
 	})
 }
 
-// followShares tells the fleet which entries share the bare endpoints.
-func (n *Node) followShares(ctx context.Context) error {
-	tick := time.NewTicker(shareCheck)
+// syncLiveEntries keeps the fleet up to date on the live entries, among which the
+// slots of bare endpoints are shared.
+func (n *Node) syncLiveEntries(ctx context.Context) error {
+	tick := time.NewTicker(liveEntriesInterval)
 	defer tick.Stop()
 	for {
 		n.fleet.SetEntries(n.members.Live())
@@ -105,23 +107,24 @@
 		newServer(n.internalHandler(), n.logger),
 		newServer(n.operator.Handler(), n.logger),
 	}
-	listeners := []net.Listener{n.listen.callers, n.listen.internal, n.listen.operators}
+	listeners := []net.Listener{n.listeners.callers, n.listeners.internal, n.listeners.operators}
 	var once sync.Once
 	for i, s := range servers {
 		g.Add(func() error { return serve(s, listeners[i]) }, func(err error) {
-			once.Do(func() { n.cut = !finish(servers, n.finishBy(err)) })
+			once.Do(func() { n.requestsAborted = !shutdownServers(servers, n.closeDeadline(err)) })
 		})
 	}
 }
 
-// finishBy returns until when the servers may end, by the error that ended the
-// group: what is left of drain_limit after a drain.
-func (n *Node) finishBy(err error) time.Time {
-	soon := time.Now().Add(closeLimit)
-	if err == nil && n.drainBy.After(soon) {
-		return n.drainBy
+// closeDeadline returns the deadline for shutting down the servers, given the
+// error that ended the group: the end of drain_limit after a drain, but at least
+// minCloseTimeout from now.
+func (n *Node) closeDeadline(err error) time.Time {
+	earliest := time.Now().Add(minCloseTimeout)
+	if err == nil && n.drainDeadline.After(earliest) {
+		return n.drainDeadline
 	}
-	return soon
+	return earliest
 }
 
 func serve(s *http.Server, l net.Listener) error {
@@ -132,26 +135,27 @@
 	return err
 }
 
-// finish ends the servers and waits for the answers being written and for the
-// requests that were passed on to other entries: no job is open here for them, so
-// nothing but this waits for them, and their callers would see them cut. All at
-// once: one after another, the time that one takes would be added to the others'.
-// It returns false when some were still open by the given time and were cut.
-func finish(servers []*http.Server, by time.Time) bool {
-	ctx, stop := context.WithDeadline(context.Background(), by)
+// shutdownServers shuts the servers down and waits for answers being written and
+// for requests forwarded to other entries. The drain does not wait for forwarded
+// requests, since they have no job at this entry, so closing the servers at once
+// would abort them. The servers are shut down concurrently, so that the waiting
+// times do not add up. It returns false if requests were still open at the deadline
+// and were aborted.
+func shutdownServers(servers []*http.Server, deadline time.Time) bool {
+	ctx, stop := context.WithDeadline(context.Background(), deadline)
 	defer stop()
-	var all sync.WaitGroup
-	var cut atomic.Bool
+	var wg sync.WaitGroup
+	var requestsAborted atomic.Bool
 	for _, s := range servers {
-		all.Go(func() {
+		wg.Go(func() {
 			if s.Shutdown(ctx) != nil {
-				cut.Store(true)
+				requestsAborted.Store(true)
 				_ = s.Close()
 			}
 		})
 	}
-	all.Wait()
-	return !cut.Load()
+	wg.Wait()
+	return !requestsAborted.Load()
 }
 
 func (n *Node) callersHandler() http.Handler {
@@ -164,34 +168,36 @@
 func (n *Node) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	path, announce := n.fleet.Handler()
-	mux.Handle(path, n.counted(kindAnnounce, announce))
+	mux.Handle(path, n.countTraffic(kindAnnounce, announce))
 	mux.Handle(n.peers.Handler())
-	mux.Handle("POST /v1/announce", n.counted(kindAnnounceBare, n.fleet.BareHandler()))
+	mux.Handle("POST /v1/announce", n.countTraffic(kindAnnounceBare, n.fleet.BareHandler()))
 	return mux
 }
 
-// Kinds of control traffic that this package counts; the exchange counts itself.
+// Kinds of control traffic counted by this package. Package peer counts the
+// traffic of its gossip rounds itself.
 const (
 	kindAnnounce     = "announce"
 	kindAnnounceBare = "announce_bare"
 	kindStore        = "store"
 )
 
-func (n *Node) counted(kind string, h http.Handler) http.Handler {
+func (n *Node) countTraffic(kind string, h http.Handler) http.Handler {
 	return n.control.Handler(h, func(*http.Request) string { return kind })
 }
 
-// serveThenDrain keeps the readiness up to date until stopped ends. It drains
-// only when asked to from outside: when another part failed there is no time.
-func (n *Node) serveThenDrain(stopped, asked context.Context) error {
-	tick := time.NewTicker(readyCheck)
+// serveThenDrain keeps the readiness up to date until stopped ends. It drains only
+// if shutdownCtx has ended, which means that a shutdown was requested; after the
+// failure of another component there is no time to drain.
+func (n *Node) serveThenDrain(stopped, shutdownCtx context.Context) error {
+	tick := time.NewTicker(readinessInterval)
 	defer tick.Stop()
 	for {
 		serve, _ := n.peers.MayServe(time.Now())
 		n.ready.Set(serve)
 		select {
 		case <-stopped.Done():
-			if asked.Err() == nil {
+			if shutdownCtx.Err() == nil {
 				return nil
 			}
 			return n.drain()
@@ -200,23 +206,23 @@
 	}
 }
 
-// drain ends this entry without cutting a request.
+// drain shuts this entry down without aborting requests.
 func (n *Node) drain() error {
-	// Read only once this function has returned.
-	n.drainBy = time.Now().Add(n.settings.DrainLimit.Std())
-	ctx, stop := context.WithDeadline(context.Background(), n.drainBy)
+	// Other goroutines read drainDeadline only after this function has returned.
+	n.drainDeadline = time.Now().Add(n.settings.DrainLimit.Std())
+	ctx, stop := context.WithDeadline(context.Background(), n.drainDeadline)
 	defer stop()
 	eventDraining.Log(ctx, n.logger, slog.Duration("limit", n.settings.DrainLimit.Std()))
 	n.ready.Set(false)
 	n.peers.Drain()
-	// The balancer sends new work until its next check has seen /readyz.
+	// The load balancer sends new requests until its next check of /readyz.
 	uptime.Sleep(ctx, n.settings.DrainNotice.Std())
 	if err := n.engine.Drain(ctx); err != nil {
 		return ErrCut
 	}
-	farewell, stopFarewell := context.WithTimeout(context.Background(), leaveLimit)
-	defer stopFarewell()
-	if err := n.peers.Leave(farewell); err != nil {
+	leaveCtx, stopLeave := context.WithTimeout(context.Background(), leaveTimeout)
+	defer stopLeave()
+	if err := n.peers.Leave(leaveCtx); err != nil {
 		eventLeaveFailed.Log(ctx, n.logger, slog.String("error", err.Error()))
 	}
 	return nil
--- a/entry/node/settings.go
+++ b/entry/node/settings.go
@@ -1,5 +1,5 @@
-// Package node wires one entry process from its settings: the parts, the three
-// listeners, and the run group that starts and stops them in order.
+// Package node assembles one entry process from its settings: the components, the
+// three listeners, and the run group that starts and stops them in order.
 package node
 
 import (
@@ -13,10 +13,10 @@
 	"almondstand.dev/settings"
 )
 
-// Settings is an entry's settings file.
+// Settings is the content of an entry's settings file.
 type Settings struct {
-	// ID names this entry among its peers; a replacement host may take over the
-	// id of the one it replaces.
+	// ID identifies this entry among its peers. A replacement host may reuse the
+	// id of the host it replaces.
 	ID string `json:"id" validate:"required,max=64"`
 	// Zone is the data centre this entry runs in.
 	Zone      string            `json:"zone" validate:"required,max=64"`
@@ -29,96 +29,106 @@
 	Fleet     FleetSettings     `json:"fleet,omitempty"`
 	Operators OperatorSettings  `json:"operators"`
 	Log       LogSettings       `json:"log,omitempty"`
-	// DrainLimit bounds a graceful shutdown; default 30s.
+	// DrainLimit is the timeout of a graceful shutdown; default 30s.
 	DrainLimit settings.Duration `json:"drain_limit,omitempty"`
-	// DrainNotice is how long an entry that drains still takes new work while
-	// the balancer learns of /readyz; default 3s.
+	// DrainNotice is how long a draining entry still accepts new jobs, until the
+	// load balancer has seen that /readyz reports not ready; default 3s.
 	DrainNotice settings.Duration `json:"drain_notice,omitempty"`
 }
 
-// ListenSettings names the addresses this entry binds.
+// ListenSettings holds the addresses this entry listens on.
 type ListenSettings struct {
 	Callers   settings.Address `json:"callers"`
 	Internal  settings.Address `json:"internal"`
 	Operators settings.Address `json:"operators"`
 }
 
-// AdvertiseSettings names the addresses others use, when they differ.
+// AdvertiseSettings holds the addresses at which other processes reach this
+// entry, if they differ from those it listens on.
 type AdvertiseSettings struct {
 	Internal settings.Address `json:"internal,omitempty"`
-	// Operators is where reports ask this entry.
+	// Operators is the address at which the report commands query this entry.
 	Operators settings.Address `json:"operators,omitempty"`
 }
 
-// PlatformSettings says where the platform's key-value service is.
+// PlatformSettings configures the connection to the platform's key-value store.
 type PlatformSettings struct {
 	Addresses []settings.Address `json:"addresses" validate:"required,min=1"`
-	// Timeout bounds one call; default 2s.
+	// Timeout is the timeout of one call; default 2s.
 	Timeout settings.Duration `json:"timeout,omitempty"`
-	// LeaseTTL is how long this entry counts as live without renewal; default 10s.
+	// LeaseTTL is how long this entry is considered live without renewing its
+	// lease; default 10s.
 	LeaseTTL settings.Duration `json:"lease_ttl,omitempty"`
 }
 
-// PeerSettings tunes the exchange between entries.
+// PeerSettings configures the communication between entries.
 type PeerSettings struct {
-	// Seeds are internal addresses to ask for contracts while the store is down,
-	// usually the balancer's.
+	// Seeds are internal addresses to fetch contracts from while the store is
+	// down, usually that of the load balancer.
 	Seeds []settings.Address `json:"seeds,omitempty"`
-	// Secret is shared by the system's processes.
+	// Secret authenticates guards and entries to each other; all of them share
+	// it.
 	Secret string `json:"secret,omitempty"`
-	// Interval is the pause between exchanges with one peer; default 1s.
+	// Interval is the time between gossip rounds with one peer; default 1s.
 	Interval settings.Duration `json:"interval,omitempty"`
-	// Isolation is how long an entry that hears neither the store nor a peer
-	// goes on taking work; default 5s.
+	// Isolation is how long an entry without contact to the store or any peer
+	// still accepts jobs; default 5s.
 	Isolation settings.Duration `json:"isolation,omitempty"`
 }
 
-// CallerSettings bounds what one caller may send.
+// CallerSettings holds limits on requests of callers and on kept answers.
 type CallerSettings struct {
-	// MaxBody bounds a request's body, bytes; default 8 MiB.
+	// MaxBody is the maximum size of a request body in bytes; default 8 MiB.
 	MaxBody int64 `json:"max_body,omitempty" validate:"gte=0"`
-	// KeepAnswers is how long an answer is kept for a repeat; default 60s.
+	// KeepAnswers is how long an answer is kept for repeated requests; default
+	// 60s.
 	KeepAnswers settings.Duration `json:"keep_answers,omitempty"`
-	// KeepBytes bounds all kept answers, bytes; default 128 MiB.
+	// KeepBytes is the maximum total size of kept answers in bytes; default
+	// 128 MiB.
 	KeepBytes int64 `json:"keep_bytes,omitempty" validate:"gte=0"`
 }
 
-// DispatchSettings tunes the decisions.
+// DispatchSettings configures scheduling and admission.
 type DispatchSettings struct {
-	// Floor is the number of own starts always allowed on each guard, 1 to 64;
-	// default 1. With none a new entry starves while others keep the guards full.
+	// Floor is the number of tasks that this entry may always have in flight on
+	// each guard, 1 to 64; default 1. With 0, a new entry would starve while other
+	// entries keep the guards full.
 	Floor int `json:"floor" validate:"gte=1,lte=64"`
-	// MaxWaiting bounds the tasks that wait for one service; default 100000.
+	// MaxWaiting is the maximum number of queued tasks of one service; default
+	// 100000.
 	MaxWaiting int `json:"max_waiting,omitempty" validate:"gte=0"`
-	// MaxBytes bounds the payloads held for one service; default 256 MiB.
+	// MaxBytes is the maximum total size of the payloads held for one service, in
+	// bytes; default 256 MiB.
 	MaxBytes int64 `json:"max_bytes,omitempty" validate:"gte=0"`
 }
 
-// FleetSettings tunes the sessions with endpoints.
+// FleetSettings configures the sessions with endpoints.
 type FleetSettings struct {
-	// AnnounceEvery is the shortest pause between a guard's announcements;
-	// default 3s. It stretches as the fleet grows.
+	// AnnounceEvery is the minimum interval between the announcements of a guard;
+	// default 3s. The interval grows with the number of guards.
 	AnnounceEvery settings.Duration `json:"announce_every,omitempty"`
-	// AttachLimit is the number of entries each guard attaches to when there are
-	// more; default 8.
+	// AttachLimit is the maximum number of entries that every guard connects to;
+	// with more entries, each guard connects to half as many. The default is 8.
 	AttachLimit int `json:"attach_limit,omitempty" validate:"gte=0"`
-	// PingBytes is what the pings of idle guards may cost together, bytes a second;
-	// default 1024. Idle guards beyond what it keeps are greeted anew by the first
-	// start that is sent to them.
+	// PingBytes is the budget for pinging idle guards, in bytes per second over
+	// all of them; default 1024. The connections of idle guards beyond this budget
+	// are not kept alive; the first start sent to such a guard repeats the
+	// handshake.
 	PingBytes int `json:"ping_bytes,omitempty" validate:"gte=0"`
-	// SpareSlots are left free of the slots of a runner without a guard where an
-	// entry uses more than its own part of them; default 2. More make fewer starts
-	// that a runner refuses; as many as the runner has keep each entry to its part.
+	// SpareSlots is the number of slots of a runner without a guard that an entry
+	// leaves free when it uses more than its own share of the slots; default 2. A
+	// higher value lets the runner refuse fewer starts; a value equal to the
+	// runner's slots limits each entry to its share.
 	SpareSlots int `json:"spare_slots,omitempty" validate:"gte=0"`
 }
 
-// OperatorSettings guards the operators' interface.
+// OperatorSettings configures access to the operators' API.
 type OperatorSettings struct {
 	// TokenDigest is the SHA-256, in hex, of the operators' bearer token.
 	TokenDigest string `json:"token_digest" validate:"required,len=64,hexadecimal"`
 }
 
-// LogSettings says what is logged and how.
+// LogSettings configures logging.
 type LogSettings struct {
 	// Level is debug, info, warn or error; default info.
 	Level string `json:"level,omitempty" validate:"omitempty,oneof=debug info warn error"`
@@ -126,7 +136,7 @@
 	Format string `json:"format,omitempty" validate:"omitempty,oneof=json text"`
 }
 
-// Default returns the settings that a file may leave out.
+// Default returns the values of settings that a file omits.
 func Default() Settings {
 	return Settings{
 		Platform: PlatformSettings{
@@ -166,7 +176,8 @@
 	return s, err
 }
 
-// idPattern keeps ids fit for keys of the store and for submissions' ids.
+// idPattern restricts ids to characters that are safe in store keys and in
+// submission ids.
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,63}$`)
 
 // Check implements settings.Checker.
@@ -198,16 +209,16 @@
 	}
 }
 
-// Bounds of the durations: below them a node would spend its control budget,
-// above them a failure would go unnoticed for too long.
+// Limits of the configurable durations. Shorter ones would exceed the budget for
+// control traffic; longer ones would delay the detection of failures too much.
 const (
-	minSpan = 10 * time.Millisecond
-	maxSpan = time.Hour
+	minDuration = 10 * time.Millisecond
+	maxDuration = time.Hour
 )
 
 func (s *Settings) checkDurations() settings.Errors {
 	var out settings.Errors
-	spans := map[string]settings.Duration{
+	durations := map[string]settings.Duration{
 		"platform.timeout":     s.Platform.Timeout,
 		"platform.lease_ttl":   s.Platform.LeaseTTL,
 		"peers.interval":       s.Peers.Interval,
@@ -216,24 +227,24 @@
 		"fleet.announce_every": s.Fleet.AnnounceEvery,
 		"drain_limit":          s.DrainLimit,
 	}
-	for path, d := range spans {
-		if d.Std() < minSpan || d.Std() > maxSpan {
-			out = append(out, settings.Error{Path: path, Read: d.Std().String(), Allowed: minSpan.String() + " to " + maxSpan.String()})
+	for path, d := range durations {
+		if d.Std() < minDuration || d.Std() > maxDuration {
+			out = append(out, settings.Error{Path: path, Read: d.Std().String(), Allowed: minDuration.String() + " to " + maxDuration.String()})
 		}
 	}
-	// An entry whose lease lapsed may be held to be gone; it must have stopped
-	// taking work by then, also when it hears nobody.
+	// Peers may treat an entry whose lease has expired as gone. An isolated entry
+	// must have stopped accepting jobs before that.
 	if limit := s.Platform.LeaseTTL.Std() / 2; s.Peers.Isolation.Std() > limit {
 		out = append(out, settings.Error{Path: "peers.isolation", Read: s.Peers.Isolation.Std().String(), Allowed: "at most half of platform.lease_ttl, " + limit.String()})
 	}
-	if d := s.DrainNotice.Std(); d < 0 || d > maxSpan {
-		out = append(out, settings.Error{Path: "drain_notice", Read: d.String(), Allowed: "0s to " + maxSpan.String()})
+	if d := s.DrainNotice.Std(); d < 0 || d > maxDuration {
+		out = append(out, settings.Error{Path: "drain_notice", Read: d.String(), Allowed: "0s to " + maxDuration.String()})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Path < out[j].Path })
 	return out
 }
 
-// Example returns settings that a new deployment starts from.
+// Example returns example settings for a new deployment.
 func Example() Settings {
 	s := Default()
 	s.ID = "entry-zagreb-1"
--- a/entry/node/settings_test.go
+++ b/entry/node/settings_test.go
@@ -43,9 +43,10 @@
 	}
 }
 
-// Without a floor an entry with nothing open learns of a free slot by pings alone,
-// and starts nothing while others keep the guards full.
-func TestFloorOfNoneIsRefused(t *testing.T) {
+// TestZeroFloorIsRejected: with a floor of 0, an entry without open tasks would
+// learn of free slots only from pings, and would start nothing while other entries
+// keep the guards full.
+func TestZeroFloorIsRejected(t *testing.T) {
 	s := valid()
 	err := settings.Decode([]byte(`{"dispatch":{"floor":0}}`), &s)
 	assert.ErrorContains(t, err, "dispatch.floor")
