--- a/entry/command/command.go
+++ b/entry/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the command line of almondstand: one file for each verb.
+// Package command implements the command line of almondstand, with one file for
+// each subcommand.
 package command
 
 import (
@@ -14,18 +15,18 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-// Entry is what the command line needs to know of the entry process.
+// Entry holds the functions of the entry process that the command line calls.
 type Entry struct {
 	// Run serves until ctx ends, then drains.
 	Run func(ctx context.Context, settingsPath string) error
 	// Check reads and checks a settings file.
 	Check func(settingsPath string) error
-	// Example returns settings that a new deployment starts from.
+	// Example returns example settings for a new deployment.
 	Example func() any
 }
 
-// Names of environment variables. Tokens are never flags: every user of a host
-// can read the arguments of its processes.
+// Names of environment variables. Tokens cannot be given as flags, since every
+// user of a host can read the arguments of its processes.
 const (
 	envOperators     = "ALMOND_OPERATORS"
 	envOperatorToken = "ALMOND_OPERATOR_TOKEN"
@@ -36,21 +37,22 @@
 // Exit statuses.
 const (
 	exitOK = 0
-	// exitError: a mistake in the call, or nobody answered.
+	// exitError: the command line is invalid, or no entry answered.
 	exitError = 1
-	// exitFailed: the job failed and ran, in whole or in part.
+	// exitFailed: the job failed after at least one of its tasks had run.
 	exitFailed = 2
-	// exitNotRun: the job was refused and no task of it ran.
+	// exitNotRun: the job was rejected and none of its tasks ran.
 	exitNotRun = 3
-	// exitUnknown: whether the job ran is not known.
+	// exitUnknown: it is unknown whether the job ran.
 	exitUnknown = 4
 	// exitConflict: another version of the contract is in force.
 	exitConflict = 5
-	// exitNotEverywhere: accepted, but not yet seen in force on every live entry.
-	exitNotEverywhere = 6
+	// exitNotPropagated: the change was accepted, but was not yet seen in force
+	// on every live entry.
+	exitNotPropagated = 6
 )
 
-// statusError carries an exit status.
+// statusError is an error that determines the exit status.
 type statusError struct {
 	status int
 	err    error
@@ -59,8 +61,8 @@
 func (e *statusError) Error() string { return e.err.Error() }
 func (e *statusError) Unwrap() error { return e.err }
 
-// Execute runs the command line and returns the exit status. An error is
-// written as one line.
+// Execute runs the command line and returns the exit status. It writes an error
+// as a single line to errOut.
 func Execute(ctx context.Context, entry Entry, args []string, out, errOut io.Writer) int {
 	root := New(entry)
 	root.SetArgs(args)
@@ -70,7 +72,7 @@
 	if err == nil {
 		return exitOK
 	}
-	_, _ = fmt.Fprintln(errOut, "almondstand:", oneLine(err))
+	_, _ = fmt.Fprintln(errOut, "almondstand:", singleLine(err))
 	var s *statusError
 	if errors.As(err, &s) {
 		return s.status
@@ -78,7 +80,7 @@
 	return exitError
 }
 
-func oneLine(err error) string {
+func singleLine(err error) string {
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
 
@@ -88,8 +90,8 @@
 		Use:   "almondstand",
 		Short: "Dispatch sub-second tasks under contracts",
 		Long: "Dispatch sub-second tasks under contracts.\n\n" +
-			"Operators' verbs ask entries at --operators or $" + envOperators + ", with the token in $" + envOperatorToken + ".\n" +
-			"submit asks entries at --callers or $" + envCallers + ", with the token in $" + envToken + ".",
+			"Operators' commands call entries at --operators or $" + envOperators + ", with the token in $" + envOperatorToken + ".\n" +
+			"submit calls entries at --callers or $" + envCallers + ", with the token in $" + envToken + ".",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -106,15 +108,15 @@
 	return root
 }
 
-// operators holds the flags of verbs that ask the operators' interface.
-type operators struct{ addresses []string }
+// operatorFlags holds the flags of commands that call the operators' API.
+type operatorFlags struct{ addresses []string }
 
-func (o *operators) addFlags(cmd *cobra.Command) {
+func (o *operatorFlags) addFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringSliceVar(&o.addresses, "operators", nil,
 		"operators' addresses of entries, IP:port, tried in order (default $"+envOperators+")")
 }
 
-func (o *operators) client() (*client.Client, error) {
+func (o *operatorFlags) client() (*client.Client, error) {
 	addresses, err := addresses(o.addresses, "--operators", envOperators)
 	if err != nil {
 		return nil, err
--- a/entry/command/command_test.go
+++ b/entry/command/command_test.go
@@ -35,7 +35,7 @@
 
 const token = "open-sesame"
 
-// store is what the fake entries share.
+// store holds the state shared by the fake entries.
 type store struct {
 	mu       sync.Mutex
 	revision int64
@@ -43,37 +43,38 @@
 	live     []*wirev1.EntryInfo
 }
 
-// fakeEntry serves the operators' interface over a store; a lagging one sees no
-// contract.
+// fakeEntry serves the operators' API from a store. If lacksContracts is set, it
+// returns no contract.
 type fakeEntry struct {
-	id      string
-	store   *store
-	lagging bool
-	// late is how many times a contract is asked for before it is seen; silent,
-	// when set, holds answers back until it is closed.
-	late   int
-	silent chan struct{}
+	id             string
+	store          *store
+	lacksContracts bool
+	// missesBefore is the number of queries for a contract answered without it
+	// before it is returned. blockUntil, when set, delays answers until it is
+	// closed.
+	missesBefore int
+	blockUntil   chan struct{}
 }
 
 func (f *fakeEntry) All() []contract.Contract {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	var all []contract.Contract
+	var list []contract.Contract
 	for _, v := range f.store.versions {
-		all = append(all, v.Contract)
+		list = append(list, v.Contract)
 	}
-	return all
+	return list
 }
 
-func (f *fakeEntry) History(customer string) []contracts.Version {
-	if f.silent != nil {
-		<-f.silent
+func (f *fakeEntry) History(client string) []contracts.Version {
+	if f.blockUntil != nil {
+		<-f.blockUntil
 	}
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	v, found := f.store.versions[customer]
-	f.late--
-	if !found || f.lagging || f.late >= 0 {
+	v, found := f.store.versions[client]
+	f.missesBefore--
+	if !found || f.lacksContracts || f.missesBefore >= 0 {
 		return nil
 	}
 	return []contracts.Version{v}
@@ -94,9 +95,9 @@
 	return contracts.Written{Revision: f.store.revision}, nil
 }
 
-func (f *fakeEntry) Retire(ctx context.Context, customer string, e contracts.Expect) (contracts.Written, error) {
+func (f *fakeEntry) Retire(ctx context.Context, client string, e contracts.Expect) (contracts.Written, error) {
 	f.store.mu.Lock()
-	c := f.store.versions[customer].Contract
+	c := f.store.versions[client].Contract
 	f.store.mu.Unlock()
 	c.State = contract.Retired
 	return f.Apply(ctx, c, e)
@@ -105,7 +106,7 @@
 func (f *fakeEntry) Self() *wirev1.EntryInfo   { return &wirev1.EntryInfo{Id: f.id} }
 func (f *fakeEntry) Live() []*wirev1.EntryInfo { return f.store.live }
 func (f *fakeEntry) Endpoints() []fleet.Status { return nil }
-func (f *fakeEntry) start(t *testing.T) *operator.Server {
+func (f *fakeEntry) newServer(t *testing.T) *operator.Server {
 	t.Helper()
 	digest := sha256.Sum256([]byte(token))
 	recorder := burn.NewRecorder(time.Now())
@@ -118,14 +119,15 @@
 	return s
 }
 
-// cluster starts entries that share a store and points the command line at them.
-func cluster(t *testing.T, entries ...*fakeEntry) *store {
+// startCluster starts entries that share a store, and sets the environment so that
+// the command line calls them.
+func startCluster(t *testing.T, entries ...*fakeEntry) *store {
 	t.Helper()
 	s := &store{versions: map[string]contracts.Version{}}
 	var addresses []string
 	for _, e := range entries {
 		e.store = s
-		server := httptest.NewServer(e.start(t).Handler())
+		server := httptest.NewServer(e.newServer(t).Handler())
 		t.Cleanup(server.Close)
 		addresses = append(addresses, server.Listener.Addr().String())
 		s.live = append(s.live, &wirev1.EntryInfo{Id: e.id, Operators: server.Listener.Addr().String()})
@@ -135,13 +137,13 @@
 	return s
 }
 
-// outcome is how one call of the command line ended.
-type outcome struct {
+// commandResult is the result of one run of the command line.
+type commandResult struct {
 	status   int
 	out, err string
 }
 
-func almondstand(t *testing.T, args ...string) outcome {
+func runCommand(t *testing.T, args ...string) commandResult {
 	t.Helper()
 	entry := command.Entry{
 		Run:     func(context.Context, string) error { return nil },
@@ -150,10 +152,10 @@
 	}
 	var out, errOut bytes.Buffer
 	status := command.Execute(t.Context(), entry, args, &out, &errOut)
-	return outcome{status, out.String(), errOut.String()}
+	return commandResult{status, out.String(), errOut.String()}
 }
 
-func declare(t *testing.T, rate float64) string {
+func writeContract(t *testing.T, rate float64) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "acme.json")
 	text := fmt.Sprintf(`{"customer":"acme","rate":%g,"burst":10,"in_flight":10,"answer_time":"1s","services":["teardown"]}`, rate)
@@ -161,110 +163,111 @@
 	return path
 }
 
-func TestApplyTellsRevisionAndConflict(t *testing.T) {
-	s := cluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2"})
-	path := declare(t, 10)
-	got := almondstand(t, "contract", "apply", path, "--wait")
+func TestApplyReportsRevisionAndConflict(t *testing.T) {
+	s := startCluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2"})
+	path := writeContract(t, 10)
+	got := runCommand(t, "contract", "apply", path, "--wait")
 	assert.Equal(t, got.status, 0, got.err)
 	assert.Assert(t, strings.HasPrefix(got.out, "acme: accepted at revision 1\nin force on 2 of 2 live entries"), got.out)
-	got = almondstand(t, "contract", "apply", path)
+	got = runCommand(t, "contract", "apply", path)
 	assert.Equal(t, got.out, "acme: unchanged at revision 1\n")
-	got = almondstand(t, "contract", "apply", declare(t, 20), "--revision", "7")
+	got = runCommand(t, "contract", "apply", writeContract(t, 20), "--revision", "7")
 	assert.Equal(t, got.status, 5)
 	assert.Assert(t, strings.Contains(got.err, "revision 1") && strings.Contains(got.err, "--revision 1"), got.err)
 	assert.Equal(t, strings.Count(got.err, "\n"), 1)
-	got = almondstand(t, "contract", "apply", declare(t, 20), "--force")
+	got = runCommand(t, "contract", "apply", writeContract(t, 20), "--force")
 	assert.Equal(t, got.status, 0, got.err)
 	assert.Equal(t, s.versions["acme"].Contract.Rate, 20.0)
 }
 
-// The change is accepted, but one of two entries doesn't have it yet. The
-// operator learns which, and that nothing needs to be repeated.
+// A change is accepted, but one of two entries does not have it yet. The error
+// names the entry and the exit status says that the change need not be repeated.
 func TestWaitNamesTheLaggingEntry(t *testing.T) {
-	cluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2", lagging: true})
-	got := almondstand(t, "contract", "apply", declare(t, 10), "--wait=300ms")
+	startCluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2", lacksContracts: true})
+	got := runCommand(t, "contract", "apply", writeContract(t, 10), "--wait=300ms")
 	assert.Equal(t, got.status, 6, got.err)
 	assert.Assert(t, strings.Contains(got.err, "in force on 1 of 2 live entries") && strings.Contains(got.err, "not seen on: e2"), got.err)
 }
 
-// One entry is frozen and never answers; another gets the change only after it was
-// asked for the first time. The operator is told of the frozen one alone: waiting
-// for its answer must not keep the command from asking the other again.
-func TestWaitAsksOthersWhileOneIsSilent(t *testing.T) {
-	silent := make(chan struct{})
-	cluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2", late: 1}, &fakeEntry{id: "e3", silent: silent})
-	t.Cleanup(func() { close(silent) })
-	got := almondstand(t, "contract", "apply", declare(t, 10), "--wait=1s", "--force")
+// One entry never answers; another has the change only after the first query. Only
+// the unresponsive entry is reported: waiting for it must not keep the command from
+// querying the other one again.
+func TestWaitQueriesOthersWhileOneIsUnresponsive(t *testing.T) {
+	blockUntil := make(chan struct{})
+	startCluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2", missesBefore: 1}, &fakeEntry{id: "e3", blockUntil: blockUntil})
+	t.Cleanup(func() { close(blockUntil) })
+	got := runCommand(t, "contract", "apply", writeContract(t, 10), "--wait=1s", "--force")
 	assert.Equal(t, got.status, 6, got.err)
 	assert.Assert(t, strings.Contains(got.err, "in force on 2 of 3 live entries"), got.err)
 	assert.Assert(t, strings.Contains(got.err, "not seen on: e3."), got.err)
 }
 
 func TestApplyChecksAllFilesFirst(t *testing.T) {
-	s := cluster(t, &fakeEntry{id: "e1"})
+	s := startCluster(t, &fakeEntry{id: "e1"})
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	assert.NilError(t, os.WriteFile(bad, []byte(`{"customer":"bad","rate":-1}`), 0o600))
-	got := almondstand(t, "contract", "apply", declare(t, 10), bad)
+	got := runCommand(t, "contract", "apply", writeContract(t, 10), bad)
 	assert.Equal(t, got.status, 1)
 	assert.Assert(t, strings.Contains(got.err, "bad.json") && strings.Contains(got.err, "rate: read -1"), got.err)
 	assert.Equal(t, len(s.versions), 0)
 }
 
 func TestReadAndRetire(t *testing.T) {
-	cluster(t, &fakeEntry{id: "e1"})
-	assert.Equal(t, almondstand(t, "contract", "apply", declare(t, 10)).status, 0)
-	got := almondstand(t, "contract", "get", "acme")
+	startCluster(t, &fakeEntry{id: "e1"})
+	assert.Equal(t, runCommand(t, "contract", "apply", writeContract(t, 10)).status, 0)
+	got := runCommand(t, "contract", "get", "acme")
 	_, err := contract.Decode([]byte(got.out))
 	assert.NilError(t, err, "get prints what apply takes")
-	assert.Assert(t, strings.Contains(almondstand(t, "contract", "list").out, "acme"))
-	got = almondstand(t, "contract", "retire", "acme")
+	assert.Assert(t, strings.Contains(runCommand(t, "contract", "list").out, "acme"))
+	got = runCommand(t, "contract", "retire", "acme")
 	assert.Equal(t, got.out, "acme: retired at revision 2\n")
-	assert.Assert(t, strings.Contains(almondstand(t, "contract", "history", "acme").out, "retired"))
-	assert.Equal(t, almondstand(t, "contract", "get", "nobody").status, 1)
+	assert.Assert(t, strings.Contains(runCommand(t, "contract", "history", "acme").out, "retired"))
+	assert.Equal(t, runCommand(t, "contract", "get", "nobody").status, 1)
 }
 
-// The first address is a host that was replaced; the next one answers.
-func TestNextAddressIsAsked(t *testing.T) {
-	cluster(t, &fakeEntry{id: "e1"})
+// The first address belongs to a host that was replaced; the next one answers.
+func TestNextAddressIsTried(t *testing.T) {
+	startCluster(t, &fakeEntry{id: "e1"})
 	t.Setenv("ALMOND_OPERATORS", "127.0.0.1:1,"+os.Getenv("ALMOND_OPERATORS"))
-	assert.Equal(t, almondstand(t, "contract", "list").status, 0)
+	assert.Equal(t, runCommand(t, "contract", "list").status, 0)
 	t.Setenv("ALMOND_OPERATORS", "127.0.0.1:1")
-	got := almondstand(t, "contract", "list")
+	got := runCommand(t, "contract", "list")
 	assert.Equal(t, got.status, 1)
 	assert.Assert(t, strings.Contains(got.err, "no entry answers"), got.err)
 }
 
 func TestReportsNameMissingEntries(t *testing.T) {
-	s := cluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2"})
+	s := startCluster(t, &fakeEntry{id: "e1"}, &fakeEntry{id: "e2"})
 	s.live = append(s.live, &wirev1.EntryInfo{Id: "e3", Operators: "127.0.0.1:1"})
-	got := almondstand(t, "report", "burn", "--output", "json")
+	got := runCommand(t, "report", "burn", "--output", "json")
 	assert.Equal(t, got.status, 0, got.err)
 	var report burn.Report
 	assert.NilError(t, json.Unmarshal([]byte(got.out), &report))
 	assert.DeepEqual(t, report.Entries, []string{"e1", "e2"})
 	assert.DeepEqual(t, report.Missing, []string{"e3"})
 	assert.Equal(t, report.Rows[0].Answers, uint64(2))
-	assert.Assert(t, strings.Contains(almondstand(t, "report", "burn", "-o", "html").out, "<svg"))
-	got = almondstand(t, "report", "control")
+	assert.Assert(t, strings.Contains(runCommand(t, "report", "burn", "-o", "html").out, "<svg"))
+	got = runCommand(t, "report", "control")
 	assert.Assert(t, strings.Contains(got.out, "e2") && strings.Contains(got.out, "no answer"), got.out)
-	assert.Equal(t, almondstand(t, "report", "burn", "-o", "xml").status, 1)
+	assert.Equal(t, runCommand(t, "report", "burn", "-o", "xml").status, 1)
 }
 
 func TestErrorsAreOneLineWithAdvice(t *testing.T) {
-	got := almondstand(t, "settings", "check", "x.json")
+	got := runCommand(t, "settings", "check", "x.json")
 	assert.Equal(t, got.status, 1)
 	assert.Equal(t, got.err, "almondstand: x.json: zone: missing; allowed: a value\n")
 	t.Setenv("ALMOND_OPERATORS", "")
-	got = almondstand(t, "contract", "list")
+	got = runCommand(t, "contract", "list")
 	assert.Assert(t, strings.Contains(got.err, "give --operators IP:port or set ALMOND_OPERATORS"), got.err)
-	cluster(t, &fakeEntry{id: "e1"})
+	startCluster(t, &fakeEntry{id: "e1"})
 	t.Setenv("ALMOND_OPERATOR_TOKEN", "wrong")
-	got = almondstand(t, "contract", "list")
+	got = runCommand(t, "contract", "list")
 	assert.Assert(t, strings.Contains(got.err, "check ALMOND_OPERATOR_TOKEN"), got.err)
 }
 
-// callers serves one answer for every PUT and keeps the last job.
-func callers(t *testing.T, status int, body string) *[]byte {
+// startCallerServer starts a server of the callers' API that returns the same
+// answer for every PUT, and returns a pointer to the last job it received.
+func startCallerServer(t *testing.T, status int, body string) *[]byte {
 	t.Helper()
 	var job []byte
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -282,51 +285,51 @@
 	return &job
 }
 
-func jobFile(t *testing.T, text string) string {
+func writeJobFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "job.json")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func TestSubmitPrintsOneResultATask(t *testing.T) {
+func TestSubmitPrintsOneResultPerTask(t *testing.T) {
 	sum := sha256.Sum256([]byte("ok"))
-	job := callers(t, http.StatusOK, fmt.Sprintf(`{"submission":"id1","outcome":"complete","tasks":[{"payload":%q,"length":2,"digest":%q,"run_time":"51ms"}]}`,
+	job := startCallerServer(t, http.StatusOK, fmt.Sprintf(`{"submission":"id1","outcome":"complete","tasks":[{"payload":%q,"length":2,"digest":%q,"run_time":"51ms"}]}`,
 		base64.StdEncoding.EncodeToString([]byte("ok")), hex.EncodeToString(sum[:])))
-	path := jobFile(t, `{"service":"teardown","tasks":[{"kind":"lookup","text":"part 7","run_time":"200ms"}]}`)
-	got := almondstand(t, "submit", path)
+	path := writeJobFile(t, `{"service":"teardown","tasks":[{"kind":"lookup","text":"part 7","run_time":"200ms"}]}`)
+	got := runCommand(t, "submit", path)
 	assert.Equal(t, got.status, 0, got.err)
 	assert.Assert(t, strings.Contains(got.out, "51ms") && strings.Contains(got.out, "ok"), got.out)
 	assert.Equal(t, string(*job), `{"service":"teardown","tasks":[{"kind":"lookup","payload":"cGFydCA3","run_time":"200ms"}]}`)
-	got = almondstand(t, "submit", path, "-o", "json")
+	got = runCommand(t, "submit", path, "-o", "json")
 	assert.Assert(t, strings.HasPrefix(got.out, `{"index":0,"payload":"b2s="`), got.out)
 }
 
-func TestSubmitExitStatusTellsTheOutcome(t *testing.T) {
-	path := jobFile(t, `{"service":"teardown","tasks":[{"text":"x"}]}`)
+func TestSubmitExitStatusReflectsTheOutcome(t *testing.T) {
+	path := writeJobFile(t, `{"service":"teardown","tasks":[{"text":"x"}]}`)
 	for ran, want := range map[string]int{"yes": 2, "no": 3, "unknown": 4} {
-		callers(t, http.StatusBadGateway, fmt.Sprintf(`{"submission":"id1","error":{"code":"c","message":"m","ran":%q},"tasks":[{"ran":%q,"code":"c"}]}`, ran, ran))
-		got := almondstand(t, "submit", path)
+		startCallerServer(t, http.StatusBadGateway, fmt.Sprintf(`{"submission":"id1","error":{"code":"c","message":"m","ran":%q},"tasks":[{"ran":%q,"code":"c"}]}`, ran, ran))
+		got := runCommand(t, "submit", path)
 		assert.Equal(t, got.status, want, got.err)
 		assert.Assert(t, strings.Contains(got.err, "ran: "+ran), got.err)
 	}
-	got := almondstand(t, "submit", jobFile(t, `{"service":"teardown","tasks":[{"txt":"x"}]}`))
+	got := runCommand(t, "submit", writeJobFile(t, `{"service":"teardown","tasks":[{"txt":"x"}]}`))
 	assert.Equal(t, got.status, 1)
 	assert.Assert(t, strings.Contains(got.err, "tasks[0].txt"), got.err)
-	got = almondstand(t, "submit", jobFile(t, `{"service":"teardown","tasks":[{"text":"x","payload":"eA=="}]}`))
+	got = runCommand(t, "submit", writeJobFile(t, `{"service":"teardown","tasks":[{"text":"x","payload":"eA=="}]}`))
 	assert.Assert(t, strings.Contains(got.err, "tasks[0].text"), got.err)
 }
 
 func TestEventsListsTheCatalogue(t *testing.T) {
-	assert.Equal(t, almondstand(t, "events", "-o", "markdown").out, eventlog.Render(eventlog.Catalogue()))
-	assert.Assert(t, strings.Contains(almondstand(t, "events").out, "operator.change_accepted"))
-	assert.Assert(t, strings.HasPrefix(almondstand(t, "version").out, "almondstand "))
-	assert.Assert(t, strings.Contains(almondstand(t, "completion", "bash").out, "almondstand"))
+	assert.Equal(t, runCommand(t, "events", "-o", "markdown").out, eventlog.Render(eventlog.Catalogue()))
+	assert.Assert(t, strings.Contains(runCommand(t, "events").out, "operator.change_accepted"))
+	assert.Assert(t, strings.HasPrefix(runCommand(t, "version").out, "almondstand "))
+	assert.Assert(t, strings.Contains(runCommand(t, "completion", "bash").out, "almondstand"))
 }
 
-func TestExampleJobIsTaken(t *testing.T) {
-	job := callers(t, http.StatusBadGateway, `{"error":{"code":"c","message":"m","ran":"no"}}`)
-	got := almondstand(t, "submit", "../../examples/job.json")
+func TestExampleJobIsAccepted(t *testing.T) {
+	job := startCallerServer(t, http.StatusBadGateway, `{"error":{"code":"c","message":"m","ran":"no"}}`)
+	got := runCommand(t, "submit", "../../examples/job.json")
 	assert.Equal(t, got.status, 3, got.err)
 	assert.Assert(t, bytes.Contains(*job, []byte(`"kind":"torque-card"`)))
 }
--- a/entry/command/contract.go
+++ b/entry/command/contract.go
@@ -15,7 +15,7 @@
 
 func contractCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "contract", Short: "Write, read and retire customers' contracts"}
-	o := &operators{}
+	o := &operatorFlags{}
 	o.addFlags(cmd)
 	cmd.AddCommand(
 		applyCommand(o),
@@ -27,30 +27,30 @@
 	return cmd
 }
 
-// advise adds to a failure what the operator can do about it.
-func advise(customer string, err error) error {
+// withAdvice adds to an error what the operator can do about it.
+func withAdvice(clientID string, err error) error {
 	var f *client.Failure
 	if !errors.As(err, &f) {
 		return err
 	}
 	switch f.Code() {
 	case operator.CodeConflict:
-		return &statusError{exitConflict, conflictAdvice(customer, f)}
+		return &statusError{exitConflict, conflictError(clientID, f)}
 	case operator.CodeUnauthenticated:
 		return fmt.Errorf("%w: check %s", err, envOperatorToken)
 	}
 	return err
 }
 
-func conflictAdvice(customer string, f *client.Failure) error {
+func conflictError(clientID string, f *client.Failure) error {
 	if f.Winner == nil {
-		return fmt.Errorf("%s: conflict: there is no contract to replace: apply without --revision", customer)
+		return fmt.Errorf("%s: conflict: there is no contract to replace: apply without --revision", clientID)
 	}
-	return fmt.Errorf("%s: conflict: revision %d, written %s, is in force: look at `almondstand contract get %s`, merge, and apply with --revision %d",
-		customer, f.Winner.Revision, f.Winner.WrittenAt.Format(time.RFC3339), customer, f.Winner.Revision)
+	return fmt.Errorf("%s: conflict: revision %d, written %s, is in force: read it with `almondstand contract get %s`, merge, and apply with --revision %d",
+		clientID, f.Winner.Revision, f.Winner.WrittenAt.Format(time.RFC3339), clientID, f.Winner.Revision)
 }
 
-var versionHead = []string{"CUSTOMER", "STATE", "REVISION", "WRITTEN", "RATE", "BURST", "IN FLIGHT", "URGENCY", "ANSWER TIME", "RUN LIMIT", "OBJECTIVE"}
+var versionHeader = []string{"CUSTOMER", "STATE", "REVISION", "WRITTEN", "RATE", "BURST", "IN FLIGHT", "URGENCY", "ANSWER TIME", "RUN LIMIT", "OBJECTIVE"}
 
 func versionRow(v contracts.Version) []string {
 	c := v.Contract
@@ -62,7 +62,7 @@
 }
 
 func versionTable(versions []contracts.Version) [][]string {
-	rows := [][]string{versionHead}
+	rows := [][]string{versionHeader}
 	for _, v := range versions {
 		rows = append(rows, versionRow(v))
 	}
--- a/entry/command/contract_apply.go
+++ b/entry/command/contract_apply.go
@@ -21,16 +21,17 @@
 )
 
 const (
-	// defaultWait is how long --wait waits.
-	defaultWait = 10 * time.Second
-	// waitPause is the pause between two questions to the entries.
-	waitPause = 200 * time.Millisecond
-	// waitRound bounds one round of questions, and waitRounds says how many there
-	// are at least: an entry that is frozen answers nothing, and those asked with
-	// it would be reported by what they said at first.
-	waitRound  = time.Second
-	waitRounds = 4
-	stdinName  = "-"
+	// defaultWaitTimeout is the timeout of --wait without a value.
+	defaultWaitTimeout = 10 * time.Second
+	// waitInterval is the pause between two rounds of queries to the entries.
+	waitInterval = 200 * time.Millisecond
+	// roundTimeout limits one round of queries, and minRounds is the minimum
+	// number of rounds. Without them, an unresponsive entry would take the whole
+	// wait for the first round, and the other entries would be reported by their
+	// first answer.
+	roundTimeout = time.Second
+	minRounds    = 4
+	stdinName    = "-"
 )
 
 // applyFlags are the flags of contract apply.
@@ -40,13 +41,13 @@
 	wait     time.Duration
 }
 
-func applyCommand(o *operators) *cobra.Command {
+func applyCommand(o *operatorFlags) *cobra.Command {
 	var flags applyFlags
 	cmd := &cobra.Command{
 		Use:   "apply FILE|DIRECTORY|- ...",
-		Short: "Put declared contracts in force",
-		Long: "Put declared contracts in force: one contract a file, every *.json of a directory, - for stdin.\n" +
-			"Each replaces the version in force when the command reads it; another operator's change in\n" +
+		Short: "Put contracts from files in force",
+		Long: "Put contracts from files in force: one contract per file, every *.json of a directory, - for stdin.\n" +
+			"Each replaces the version in force when the command reads it; a change by another operator in\n" +
 			"between is a conflict (exit status 5). All files are checked before the first is applied.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -55,7 +56,7 @@
 				return err
 			}
 			if len(declared) > 1 && cmd.Flags().Changed("revision") {
-				return errors.New("--revision goes with one contract only")
+				return errors.New("--revision can be used with one contract only")
 			}
 			c, err := o.client()
 			if err != nil {
@@ -65,17 +66,18 @@
 		},
 	}
 	f := cmd.Flags()
-	f.Int64Var(&flags.revision, "revision", -1, "replace this version only; 0: there must be none yet")
-	f.BoolVar(&flags.force, "force", false, "replace whatever is in force")
-	f.DurationVar(&flags.wait, "wait", 0, "tell on how many live entries it is in force, for at most this long")
-	f.Lookup("wait").NoOptDefVal = defaultWait.String()
+	f.Int64Var(&flags.revision, "revision", -1, "replace only this version; 0: only if there is no contract yet")
+	f.BoolVar(&flags.force, "force", false, "replace any version in force")
+	f.DurationVar(&flags.wait, "wait", 0, "wait until it is in force on every live entry, for at most this long")
+	f.Lookup("wait").NoOptDefVal = defaultWaitTimeout.String()
 	cmd.MarkFlagsMutuallyExclusive("revision", "force")
 	return cmd
 }
 
-// readDeclared reads and checks every contract named by the arguments.
+// readDeclared reads and validates the contracts in the files, directories or
+// stdin named by the arguments.
 func readDeclared(stdin io.Reader, args []string) ([]contract.Contract, error) {
-	paths, err := expand(args)
+	paths, err := expandPaths(args)
 	if err != nil {
 		return nil, err
 	}
@@ -86,8 +88,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		if first, twice := seen[c.Customer]; twice {
-			return nil, fmt.Errorf("%s and %s both declare customer %s: keep one", first, path, c.Customer)
+		if otherPath, duplicate := seen[c.Customer]; duplicate {
+			return nil, fmt.Errorf("%s and %s both declare customer %s: keep one", otherPath, path, c.Customer)
 		}
 		seen[c.Customer] = path
 		declared = append(declared, c)
@@ -95,7 +97,7 @@
 	return declared, nil
 }
 
-func expand(args []string) ([]string, error) {
+func expandPaths(args []string) ([]string, error) {
 	var paths []string
 	for _, arg := range args {
 		info, err := os.Stat(arg)
@@ -103,12 +105,12 @@
 			paths = append(paths, arg)
 			continue
 		}
-		found, err := filepath.Glob(filepath.Join(arg, "*.json"))
-		if err != nil || len(found) == 0 {
+		matches, err := filepath.Glob(filepath.Join(arg, "*.json"))
+		if err != nil || len(matches) == 0 {
 			return nil, fmt.Errorf("%s: no *.json in this directory", arg)
 		}
-		slices.Sort(found)
-		paths = append(paths, found...)
+		slices.Sort(matches)
+		paths = append(paths, matches...)
 	}
 	return paths, nil
 }
@@ -130,13 +132,13 @@
 func applyAll(cmd *cobra.Command, c *client.Client, declared []contract.Contract, flags applyFlags) error {
 	revisions := map[string]int64{}
 	for _, k := range declared {
-		expect, err := expectation(cmd.Context(), c, k.Customer, flags)
+		expect, err := expectedVersion(cmd.Context(), c, k.Customer, flags)
 		if err != nil {
-			return advise(k.Customer, err)
+			return withAdvice(k.Customer, err)
 		}
 		changed, err := c.Apply(cmd.Context(), k, expect)
 		if err != nil {
-			return advise(k.Customer, fmt.Errorf("%s: %w", k.Customer, err))
+			return withAdvice(k.Customer, fmt.Errorf("%s: %w", k.Customer, err))
 		}
 		revisions[k.Customer] = changed.Revision
 		if _, err := fmt.Fprintln(cmd.OutOrStdout(), changeLine(changed)); err != nil {
@@ -149,15 +151,15 @@
 	return waitInForce(cmd, c, revisions, flags.wait)
 }
 
-// expectation names the version to be replaced.
-func expectation(ctx context.Context, c *client.Client, customer string, flags applyFlags) (contracts.Expect, error) {
+// expectedVersion returns the version that the change must replace.
+func expectedVersion(ctx context.Context, c *client.Client, clientID string, flags applyFlags) (contracts.Expect, error) {
 	switch {
 	case flags.force:
 		return contracts.Expect{AnyRevision: true}, nil
 	case flags.revision >= 0:
 		return contracts.Expect{Revision: flags.revision}, nil
 	}
-	v, err := c.Contract(ctx, customer)
+	v, err := c.Contract(ctx, clientID)
 	if client.IsCode(err, operator.CodeNotFound) {
 		return contracts.Expect{}, nil
 	}
@@ -174,45 +176,47 @@
 	return fmt.Sprintf("%s: accepted at revision %d", c.Customer, c.Revision)
 }
 
-// waitInForce asks every live entry until all have the revisions in force.
+// waitInForce queries every live entry until all have the revisions in force, or
+// the limit has passed.
 func waitInForce(cmd *cobra.Command, c *client.Client, revisions map[string]int64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), limit)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	live, lagging := 0, []string(nil)
-	each := min(waitRound, limit/waitRounds)
+	timeout := min(roundTimeout, limit/minRounds)
 	for {
-		l, missing, err := round(ctx, c, revisions, each)
+		liveNow, laggingNow, err := checkOnce(ctx, c, revisions, timeout)
 		if err == nil {
-			live, lagging = l, missing
+			live, lagging = liveNow, laggingNow
 		}
 		if err == nil && len(lagging) == 0 {
 			_, err := fmt.Fprintf(cmd.OutOrStdout(), "in force on %d of %d live entries after %s\n",
-				live, live, time.Since(began).Round(time.Millisecond))
+				live, live, time.Since(start).Round(time.Millisecond))
 			return err
 		}
-		// A round cut short by the end would report entries that it hardly asked.
-		if !uptime.Sleep(ctx, waitPause) || time.Since(began)+each > limit {
+		// Starts no round that the limit would cut short, since it would report
+		// entries as lagging that had no time to answer.
+		if !uptime.Sleep(ctx, waitInterval) || time.Since(start)+timeout > limit {
 			break
 		}
 	}
-	return &statusError{exitNotEverywhere, fmt.Errorf(
-		"accepted, and in force on %d of %d live entries after %s; not seen on: %s. It goes on spreading; look again with `almondstand contract get`",
+	return &statusError{exitNotPropagated, fmt.Errorf(
+		"accepted, and in force on %d of %d live entries after %s; not seen on: %s. The change continues to propagate; check again with `almondstand contract get`",
 		live-len(lagging), live, limit, strings.Join(lagging, ", "))}
 }
 
-// round asks once, for at most the limit.
-func round(ctx context.Context, c *client.Client, revisions map[string]int64, limit time.Duration) (live int, lagging []string, err error) {
+// checkOnce queries every live entry once, with limit as the timeout.
+func checkOnce(ctx context.Context, c *client.Client, revisions map[string]int64, limit time.Duration) (live int, lagging []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return lag(ctx, c, revisions)
+	return findLagging(ctx, c, revisions)
 }
 
-// lag counts the live entries and names those that lack a revision or gave no
-// answer.
-func lag(ctx context.Context, c *client.Client, revisions map[string]int64) (live int, lagging []string, err error) {
+// findLagging returns the number of live entries, and the ids of those that lack
+// a revision or did not answer.
+func findLagging(ctx context.Context, c *client.Client, revisions map[string]int64) (live int, lagging []string, err error) {
 	answers, err := client.Everywhere(ctx, c, func(ctx context.Context, c *client.Client) (bool, error) {
-		return inForce(ctx, c, revisions)
+		return hasRevisions(ctx, c, revisions)
 	})
 	if err != nil {
 		return 0, nil, err
@@ -225,9 +229,9 @@
 	return len(answers), lagging, nil
 }
 
-func inForce(ctx context.Context, c *client.Client, revisions map[string]int64) (bool, error) {
-	for customer, revision := range revisions {
-		v, err := c.Contract(ctx, customer)
+func hasRevisions(ctx context.Context, c *client.Client, revisions map[string]int64) (bool, error) {
+	for clientID, revision := range revisions {
+		v, err := c.Contract(ctx, clientID)
 		if client.IsCode(err, operator.CodeNotFound) {
 			return false, nil
 		}
--- a/entry/command/contract_read.go
+++ b/entry/command/contract_read.go
@@ -11,68 +11,69 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-func getCommand(o *operators) *cobra.Command {
+func getCommand(o *operatorFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "get CUSTOMER",
-		Short: "Print a customer's contract in force, in the form that apply takes",
+		Short: "Print a customer's contract in force, in the format that apply reads",
 		Args:  cobra.ExactArgs(1),
 	}
-	out := addOutput(cmd, formJSON, formTable)
-	cmd.RunE = show(o, out, askContract, printContract)
+	out := addOutputFlag(cmd, formatJSON, formatTable)
+	cmd.RunE = runQuery(o, out, fetchContract, printContract)
 	return cmd
 }
 
-func askContract(ctx context.Context, c *client.Client, args []string) (contracts.Version, error) {
+func fetchContract(ctx context.Context, c *client.Client, args []string) (contracts.Version, error) {
 	v, err := c.Contract(ctx, args[0])
-	return v, advise(args[0], err)
+	return v, withAdvice(args[0], err)
 }
 
-func printContract(w io.Writer, form string, v contracts.Version) error {
-	if form == formTable {
+func printContract(w io.Writer, format string, v contracts.Version) error {
+	if format == formatTable {
 		return writeTable(w, versionTable([]contracts.Version{v}))
 	}
-	// The change id belongs to the write, not to the declaration.
+	// The change id identifies a write and is not part of the contract that apply
+	// reads.
 	v.Contract.Change = ""
 	return writeJSON(w, v.Contract)
 }
 
-func listCommand(o *operators) *cobra.Command {
+func listCommand(o *operatorFlags) *cobra.Command {
 	cmd := &cobra.Command{Use: "list", Short: "List the contracts in force", Args: cobra.NoArgs}
-	out := addOutput(cmd, formTable, formJSON)
-	cmd.RunE = show(o, out, askContracts, printContracts)
+	out := addOutputFlag(cmd, formatTable, formatJSON)
+	cmd.RunE = runQuery(o, out, fetchContracts, printContracts)
 	return cmd
 }
 
-func askContracts(ctx context.Context, c *client.Client, _ []string) (operator.ContractList, error) {
+func fetchContracts(ctx context.Context, c *client.Client, _ []string) (operator.ContractList, error) {
 	list, err := c.Contracts(ctx)
-	return list, advise("", err)
+	return list, withAdvice("", err)
 }
 
-func printContracts(w io.Writer, form string, list operator.ContractList) error {
-	if form == formJSON {
+func printContracts(w io.Writer, format string, list operator.ContractList) error {
+	if format == formatJSON {
 		return writeJSON(w, list)
 	}
 	return writeTable(w, versionTable(list.Contracts))
 }
 
-func historyCommand(o *operators) *cobra.Command {
+func historyCommand(o *operatorFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "history CUSTOMER",
-		Short: "List the kept versions of a customer's contract, the one in force first",
+		Short: "List the stored versions of a customer's contract, the one in force first",
 		Args:  cobra.ExactArgs(1),
 	}
-	out := addOutput(cmd, formTable, formJSON)
-	cmd.RunE = show(o, out, askHistory, printHistory)
+	out := addOutputFlag(cmd, formatTable, formatJSON)
+	cmd.RunE = runQuery(o, out, fetchHistory, printHistory)
 	return cmd
 }
 
-func askHistory(ctx context.Context, c *client.Client, args []string) (operator.History, error) {
+func fetchHistory(ctx context.Context, c *client.Client, args []string) (operator.History, error) {
 	h, err := c.History(ctx, args[0])
-	return h, advise(args[0], err)
+	return h, withAdvice(args[0], err)
 }
 
-func printHistory(w io.Writer, form string, h operator.History) error {
-	if form == formJSON {
+func printHistory(w io.Writer, format string, h operator.History) error {
+	if format == formatJSON {
 		return writeJSON(w, h)
 	}
 	return writeTable(w, versionTable(h.Versions))
--- a/entry/command/contract_retire.go
+++ b/entry/command/contract_retire.go
@@ -8,11 +8,11 @@
 	"almondstand.dev/entry/contracts"
 )
 
-func retireCommand(o *operators) *cobra.Command {
+func retireCommand(o *operatorFlags) *cobra.Command {
 	var revision int64
 	cmd := &cobra.Command{
 		Use:   "retire CUSTOMER",
-		Short: "End a customer's contract; work accepted before is finished",
+		Short: "Retire a customer's contract; jobs accepted before are completed",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := o.client()
@@ -25,7 +25,7 @@
 			}
 			changed, err := c.Retire(cmd.Context(), args[0], expect)
 			if err != nil {
-				return advise(args[0], err)
+				return withAdvice(args[0], err)
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: retired at revision %d\n", args[0], changed.Revision)
 			return err
--- a/entry/command/entry.go
+++ b/entry/command/entry.go
@@ -8,7 +8,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:   "entry",
-		Short: "Run an entry until SIGTERM or SIGINT, then drain and end",
+		Short: "Run an entry until SIGTERM or SIGINT, then drain and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return entry.Run(cmd.Context(), path)
--- a/entry/command/explain.go
+++ b/entry/command/explain.go
@@ -15,28 +15,28 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "explain ID [FILE...]",
-		Short: "Tell a request's story and why it ended so, from the logs of entries and guards",
-		Long: "Tell a request's story and why it ended so, from the logs of entries and guards: files, or standard input when none is named. " +
-			"Lines about the request are marked with a star; the others tell what the processes it met went through. Exit status 1 where no line names the id.",
+		Short: "Show what happened to a request and why, from the logs of entries and guards",
+		Long: "Show what happened to a request and why, from the logs of entries and guards: the given files, or standard input. " +
+			"Events of the request are marked with an asterisk; the others are events of the processes involved. The exit status is 1 if no line contains the id.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			story, err := readStory(cmd.InOrStdin(), args[0], args[1:])
+			timeline, err := readTimeline(cmd.InOrStdin(), args[0], args[1:])
 			if err != nil {
 				return err
 			}
 			if !asJSON {
-				return story.Print(cmd.OutOrStdout())
+				return timeline.Print(cmd.OutOrStdout())
 			}
 			e := json.NewEncoder(cmd.OutOrStdout())
 			e.SetIndent("", "  ")
-			return e.Encode(story)
+			return e.Encode(timeline)
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON in place of a table")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON instead of a table")
 	return cmd
 }
 
-func readStory(in io.Reader, id string, paths []string) (explain.Story, error) {
+func readTimeline(in io.Reader, id string, paths []string) (explain.Story, error) {
 	if len(paths) == 0 {
 		return explain.Read(id, in)
 	}
--- a/entry/command/job.go
+++ b/entry/command/job.go
@@ -10,7 +10,7 @@
 	"almondstand.dev/settings"
 )
 
-// jobFile is a job as the file holds it.
+// jobFile is the format of a job file.
 type jobFile struct {
 	Service    string     `json:"service" validate:"required"`
 	Idempotent bool       `json:"idempotent"`
@@ -20,13 +20,13 @@
 type taskFile struct {
 	Kind    string `json:"kind"`
 	Payload string `json:"payload" validate:"omitempty,base64"`
-	// Text is the payload as it stands.
+	// Text is the payload as plain text, in place of Payload.
 	Text    string            `json:"text" validate:"excluded_with=Payload"`
 	Size    int64             `json:"size" validate:"min=0"`
 	RunTime settings.Duration `json:"run_time" validate:"min=0"`
 }
 
-// wireJob is a job as entries take it.
+// wireJob is the request body that the callers' API accepts.
 type wireJob struct {
 	Service    string     `json:"service"`
 	Idempotent bool       `json:"idempotent,omitempty"`
@@ -40,7 +40,7 @@
 	RunTime string `json:"run_time,omitempty"`
 }
 
-// readJob reads a job and renders it for the entries.
+// readJob reads a job file and encodes it as a request body for the callers' API.
 func readJob(stdin io.Reader, path string) ([]byte, error) {
 	var raw []byte
 	var err error
@@ -58,7 +58,7 @@
 	}
 	out := wireJob{Service: job.Service, Idempotent: job.Idempotent}
 	for i, t := range job.Tasks {
-		w, err := t.wire()
+		w, err := t.toWire()
 		if err != nil {
 			return nil, fmt.Errorf("tasks[%d].payload: %w", i, err)
 		}
@@ -67,7 +67,7 @@
 	return json.Marshal(out)
 }
 
-func (t taskFile) wire() (wireTask, error) {
+func (t taskFile) toWire() (wireTask, error) {
 	w := wireTask{Kind: t.Kind, Payload: []byte(t.Text), Size: t.Size}
 	if t.RunTime > 0 {
 		w.RunTime = t.RunTime.Std().String()
--- a/entry/command/output.go
+++ b/entry/command/output.go
@@ -14,40 +14,41 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-// Forms of output.
+// Output formats.
 const (
-	formTable    = "table"
-	formJSON     = "json"
-	formHTML     = "html"
-	formMarkdown = "markdown"
+	formatTable    = "table"
+	formatJSON     = "json"
+	formatHTML     = "html"
+	formatMarkdown = "markdown"
 )
 
-// output is the --output flag of a verb.
-type output struct {
-	form    string
+// outputFlag is the --output flag of a command.
+type outputFlag struct {
+	format  string
 	allowed []string
 }
 
-func addOutput(cmd *cobra.Command, allowed ...string) *output {
-	o := &output{allowed: allowed}
-	cmd.Flags().StringVarP(&o.form, "output", "o", allowed[0], "one of "+strings.Join(allowed, ", "))
+func addOutputFlag(cmd *cobra.Command, allowed ...string) *outputFlag {
+	o := &outputFlag{allowed: allowed}
+	cmd.Flags().StringVarP(&o.format, "output", "o", allowed[0], "one of "+strings.Join(allowed, ", "))
 	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(allowed, cobra.ShellCompDirectiveNoFileComp))
 	return o
 }
 
-func (o *output) check() error {
-	if slices.Contains(o.allowed, o.form) {
+func (o *outputFlag) check() error {
+	if slices.Contains(o.allowed, o.format) {
 		return nil
 	}
-	return fmt.Errorf("--output %s: write one of %s", o.form, strings.Join(o.allowed, ", "))
+	return fmt.Errorf("--output %s: write one of %s", o.format, strings.Join(o.allowed, ", "))
 }
 
-// show returns the run of a verb that asks the entries for one thing and prints
-// it in the chosen form. ask gets the verb's arguments.
-func show[T any](
-	o *operators, out *output,
-	ask func(ctx context.Context, c *client.Client, args []string) (T, error),
-	print func(w io.Writer, form string, v T) error,
+// runQuery returns the RunE function of a command that fetches a value from the
+// entries and prints it in the chosen format. fetch receives the command's
+// arguments.
+func runQuery[T any](
+	o *operatorFlags, out *outputFlag,
+	fetch func(ctx context.Context, c *client.Client, args []string) (T, error),
+	print func(w io.Writer, format string, v T) error,
 ) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := out.check(); err != nil {
@@ -57,11 +58,11 @@
 		if err != nil {
 			return err
 		}
-		v, err := ask(cmd.Context(), c, args)
+		v, err := fetch(cmd.Context(), c, args)
 		if err != nil {
 			return err
 		}
-		return print(cmd.OutOrStdout(), out.form, v)
+		return print(cmd.OutOrStdout(), out.format, v)
 	}
 }
 
@@ -71,7 +72,7 @@
 	return e.Encode(v)
 }
 
-// writeTable writes aligned columns; the first row is the head.
+// writeTable writes rows in aligned columns; the first row is the header.
 func writeTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
--- a/entry/command/progress.go
+++ b/entry/command/progress.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// progressAfter keeps the line off short jobs.
-	progressAfter = time.Second
-	progressEvery = 200 * time.Millisecond
-	eraseLine     = "\r\x1b[K"
+	// progressDelay is how long a job must run before progress is shown.
+	progressDelay    = time.Second
+	progressInterval = 200 * time.Millisecond
+	eraseLine        = "\r\x1b[K"
 )
 
-// progress shows on a terminal that a long job is still waited for.
+// progress shows on a terminal that the command still waits for a job.
 type progress struct {
-	w     io.Writer
-	began time.Time
-	done  chan struct{}
-	ended sync.WaitGroup
+	w         io.Writer
+	startTime time.Time
+	done      chan struct{}
+	wg        sync.WaitGroup
 
-	mu     sync.Mutex
-	reason string
+	mu         sync.Mutex
+	waitReason string
 }
 
-// newProgress returns a progress that stays silent unless w is a terminal.
+// newProgress returns a progress that prints only if w is a terminal and quiet is
+// false.
 func newProgress(w io.Writer, quiet bool) *progress {
 	p := &progress{done: make(chan struct{})}
 	if f, ok := w.(*os.File); ok && !quiet && isTerminal(f) {
@@ -40,27 +41,27 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func (p *progress) waiting(reason string, pause time.Duration) {
+func (p *progress) setWaiting(waitReason string, pause time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reason = fmt.Sprintf("%s; asking again in %s", reason, pause.Round(time.Millisecond))
+	p.waitReason = fmt.Sprintf("%s; retrying in %s", waitReason, pause.Round(time.Millisecond))
 }
 
 func (p *progress) start() {
 	if p.w == nil {
 		return
 	}
-	p.began = time.Now()
-	p.ended.Go(p.show)
+	p.startTime = time.Now()
+	p.wg.Go(p.run)
 }
 
-func (p *progress) show() {
-	ticker := time.NewTicker(progressEvery)
+func (p *progress) run() {
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			p.line()
+			p.printLine()
 		case <-p.done:
 			_, _ = io.WriteString(p.w, eraseLine)
 			return
@@ -68,17 +69,17 @@
 	}
 }
 
-func (p *progress) line() {
-	elapsed := time.Since(p.began)
-	if elapsed < progressAfter {
+func (p *progress) printLine() {
+	elapsed := time.Since(p.startTime)
+	if elapsed < progressDelay {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, _ = fmt.Fprintf(p.w, "%swaiting %s %s", eraseLine, elapsed.Round(100*time.Millisecond), p.reason)
+	_, _ = fmt.Fprintf(p.w, "%swaiting %s %s", eraseLine, elapsed.Round(100*time.Millisecond), p.waitReason)
 }
 
 func (p *progress) stop() {
 	close(p.done)
-	p.ended.Wait()
+	p.wg.Wait()
 }
--- a/entry/command/report.go
+++ b/entry/command/report.go
@@ -5,8 +5,8 @@
 )
 
 func reportCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "report", Short: "Report over every live entry"}
-	o := &operators{}
+	cmd := &cobra.Command{Use: "report", Short: "Report on all live entries"}
+	o := &operatorFlags{}
 	o.addFlags(cmd)
 	cmd.AddCommand(burnCommand(o), controlCommand(o))
 	return cmd
--- a/entry/command/report_burn.go
+++ b/entry/command/report_burn.go
@@ -10,36 +10,36 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-func burnCommand(o *operators) *cobra.Command {
+func burnCommand(o *operatorFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "burn",
 		Short: "Report how fast each customer's error budget is spent",
 		Args:  cobra.NoArgs,
 	}
-	out := addOutput(cmd, formTable, formJSON, formHTML)
-	ask := func(ctx context.Context, c *client.Client, _ []string) (burn.Report, error) {
-		return askBurn(ctx, c, out.form == formHTML)
+	out := addOutputFlag(cmd, formatTable, formatJSON, formatHTML)
+	fetch := func(ctx context.Context, c *client.Client, _ []string) (burn.Report, error) {
+		return fetchBurn(ctx, c, out.format == formatHTML)
 	}
-	cmd.RunE = show(o, out, ask, printBurn)
+	cmd.RunE = runQuery(o, out, fetch, printBurn)
 	return cmd
 }
 
-func printBurn(w io.Writer, form string, report burn.Report) error {
-	switch form {
-	case formJSON:
+func printBurn(w io.Writer, format string, report burn.Report) error {
+	switch format {
+	case formatJSON:
 		return writeJSON(w, report)
-	case formHTML:
+	case formatHTML:
 		return report.WritePage(w)
 	}
 	return report.WriteTable(w)
 }
 
-func askBurn(ctx context.Context, c *client.Client, withSeries bool) (burn.Report, error) {
+func fetchBurn(ctx context.Context, c *client.Client, withSeries bool) (burn.Report, error) {
 	answers, err := client.Everywhere(ctx, c, func(ctx context.Context, c *client.Client) (burn.Snapshot, error) {
 		return c.Burn(ctx, withSeries)
 	})
 	if err != nil {
-		return burn.Report{}, advise("", err)
+		return burn.Report{}, withAdvice("", err)
 	}
 	var counted []burn.Snapshot
 	for _, a := range answers {
--- a/entry/command/report_control.go
+++ b/entry/command/report_control.go
@@ -14,37 +14,37 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-func controlCommand(o *operators) *cobra.Command {
+func controlCommand(o *operatorFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "control",
-		Short: "Report processor time, memory and control traffic of each entry",
+		Short: "Report CPU time, memory and control traffic of each entry",
 		Args:  cobra.NoArgs,
 	}
-	out := addOutput(cmd, formTable, formJSON)
-	cmd.RunE = show(o, out, askControl, printControl)
+	out := addOutputFlag(cmd, formatTable, formatJSON)
+	cmd.RunE = runQuery(o, out, fetchControl, printControl)
 	return cmd
 }
 
-func printControl(w io.Writer, form string, report controlSummary) error {
-	if form == formJSON {
+func printControl(w io.Writer, format string, report controlSummary) error {
+	if format == formatJSON {
 		return writeJSON(w, report)
 	}
 	return writeTable(w, report.rows())
 }
 
-// controlSummary is the report over all entries.
+// controlSummary is the control report of all entries.
 type controlSummary struct {
 	Entries []operator.Control `json:"entries"`
-	// Missing names live entries that gave no answer.
+	// Missing lists the live entries that did not answer.
 	Missing []string `json:"missing,omitempty"`
 }
 
-func askControl(ctx context.Context, c *client.Client, _ []string) (controlSummary, error) {
+func fetchControl(ctx context.Context, c *client.Client, _ []string) (controlSummary, error) {
 	answers, err := client.Everywhere(ctx, c, func(ctx context.Context, c *client.Client) (operator.Control, error) {
 		return c.Control(ctx)
 	})
 	if err != nil {
-		return controlSummary{}, advise("", err)
+		return controlSummary{}, withAdvice("", err)
 	}
 	summary := controlSummary{Missing: client.Missing(answers)}
 	for _, a := range answers {
@@ -56,8 +56,8 @@
 	return summary, nil
 }
 
-// rows renders means since each entry's start: one row for the process, then
-// one for each kind of traffic.
+// rows returns the table of averages since the start of each entry: one row for
+// the process, then one for each kind of traffic.
 func (s controlSummary) rows() [][]string {
 	rows := [][]string{{"ENTRY", "KIND", "UPTIME", "CPU %", "RSS MB", "GOROUTINES", "CALLS/s", "SENT B/s", "RECEIVED B/s"}}
 	for _, e := range s.Entries {
--- a/entry/command/result.go
+++ b/entry/command/result.go
@@ -12,14 +12,14 @@
 	"almondstand.dev/entry/caller"
 )
 
-// taskLine is the JSON form of one result.
+// taskLine is the JSON representation of one task result.
 type taskLine struct {
 	Index int `json:"index"`
 	caller.Task
 }
 
-func printResult(w io.Writer, r caller.Result, form string) error {
-	if form == formJSON {
+func printResult(w io.Writer, r caller.Result, format string) error {
+	if format == formatJSON {
 		e := json.NewEncoder(w)
 		for i, t := range r.Tasks {
 			if err := e.Encode(taskLine{Index: i, Task: t}); err != nil {
@@ -44,23 +44,24 @@
 	}
 	rows := [][]string{{"TASK", "RUN TIME", "BYTES", "ANSWER"}}
 	for i, t := range r.Tasks {
-		rows = append(rows, []string{strconv.Itoa(i), t.RunTime, strconv.Itoa(t.Length), shown(t.Payload)})
+		rows = append(rows, []string{strconv.Itoa(i), t.RunTime, strconv.Itoa(t.Length), displayText(t.Payload)})
 	}
 	return rows
 }
 
-// maxShown bounds an answer in the table, in characters.
-const maxShown = 60
+// maxDisplayed is the maximum length of an answer in the table, in characters.
+const maxDisplayed = 60
 
-// shown renders a payload for a terminal, which control characters could upset.
-func shown(payload []byte) string {
+// displayText returns a payload as printable text, or in base64 if it contains
+// control characters, which could corrupt the terminal.
+func displayText(payload []byte) string {
 	text := string(payload)
 	printable := utf8.Valid(payload) && strings.IndexFunc(text, func(r rune) bool { return !unicode.IsPrint(r) }) < 0
 	if !printable {
 		text = base64.StdEncoding.EncodeToString(payload)
 	}
-	if runes := []rune(text); len(runes) > maxShown {
-		return string(runes[:maxShown]) + "..."
+	if runes := []rune(text); len(runes) > maxDisplayed {
+		return string(runes[:maxDisplayed]) + "..."
 	}
 	return text
 }
--- a/entry/command/settings.go
+++ b/entry/command/settings.go
@@ -10,7 +10,7 @@
 	cmd := &cobra.Command{Use: "settings", Short: "Check an entry's settings file or print an example"}
 	check := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file; every fault is listed",
+		Short: "Check a settings file and list every error",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := entry.Check(args[0]); err != nil {
--- a/entry/command/submit.go
+++ b/entry/command/submit.go
@@ -12,13 +12,13 @@
 	"almondstand.dev/entry/caller"
 )
 
-// defaultSubmitLimit is how long submit stays with a job.
-const defaultSubmitLimit = time.Minute
+// defaultSubmitTimeout is how long submit waits for a job by default.
+const defaultSubmitTimeout = time.Minute
 
 // submitFlags are the flags of submit.
 type submitFlags struct {
 	callers []string
-	limit   time.Duration
+	timeout time.Duration
 	quiet   bool
 }
 
@@ -26,28 +26,28 @@
 	var flags submitFlags
 	cmd := &cobra.Command{
 		Use:   "submit FILE|-",
-		Short: "Submit a job from a file or stdin and print one result a task",
-		Long: "Submit a job and stay with it under one id until its final answer; lost answers are asked for again.\n" +
-			"The file is a job as in docs/API.md; a task may have \"text\" in place of the base64 \"payload\".\n\n" +
-			"Exit status: 0 complete, 1 mistake in the call, 2 failed and ran, 3 refused and not run,\n" +
-			"4 not known whether it ran.",
+		Short: "Submit a job from a file or stdin and print one result per task",
+		Long: "Submit a job under one id and wait for its final answer, repeating the request if an answer is lost.\n" +
+			"The file is a job as described in docs/API.md; a task may have \"text\" instead of the base64 \"payload\".\n\n" +
+			"Exit status: 0 complete, 1 invalid command line or file, 2 failed and ran, 3 rejected and not run,\n" +
+			"4 unknown whether it ran.",
 		Args: cobra.ExactArgs(1),
 	}
-	out := addOutput(cmd, formTable, formJSON)
+	out := addOutputFlag(cmd, formatTable, formatJSON)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if err := out.check(); err != nil {
 			return err
 		}
-		return submit(cmd, args[0], flags, out.form)
+		return submit(cmd, args[0], flags, out.format)
 	}
 	f := cmd.Flags()
 	f.StringSliceVar(&flags.callers, "callers", nil, "callers' addresses of entries, IP:port (default $"+envCallers+")")
-	f.DurationVar(&flags.limit, "limit", defaultSubmitLimit, "give up after this long")
-	f.BoolVar(&flags.quiet, "quiet", false, "show no progress on a terminal")
+	f.DurationVar(&flags.timeout, "limit", defaultSubmitTimeout, "give up after this long")
+	f.BoolVar(&flags.quiet, "quiet", false, "do not show progress on a terminal")
 	return cmd
 }
 
-func submit(cmd *cobra.Command, path string, flags submitFlags, form string) error {
+func submit(cmd *cobra.Command, path string, flags submitFlags, format string) error {
 	body, err := readJob(cmd.InOrStdin(), path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -61,8 +61,8 @@
 		return err
 	}
 	p := newProgress(cmd.ErrOrStderr(), flags.quiet)
-	client := caller.New(caller.Options{Addresses: addresses, Token: token, OnWait: p.waiting})
-	ctx, cancel := context.WithTimeout(cmd.Context(), flags.limit)
+	client := caller.New(caller.Options{Addresses: addresses, Token: token, OnWait: p.setWaiting})
+	ctx, cancel := context.WithTimeout(cmd.Context(), flags.timeout)
 	defer cancel()
 	p.start()
 	result, err := client.Submit(ctx, body)
@@ -70,31 +70,32 @@
 	if err != nil && !errors.Is(err, caller.ErrGaveUp) {
 		return &statusError{exitUnknown, err}
 	}
-	return finish(cmd.OutOrStdout(), result, err, flags.limit, form)
+	return reportResult(cmd.OutOrStdout(), result, err, flags.timeout, format)
 }
 
-// finish prints the result and turns it into the exit status.
-func finish(w io.Writer, r caller.Result, gaveUp error, limit time.Duration, form string) error {
-	if gaveUp != nil {
-		return &statusError{ranStatus(r.Ran), fmt.Errorf("submission %s: %w (%s), ran: %s: %s", orNone(r.Submission), gaveUp, limit, r.Ran, r.Message)}
+// reportResult prints the result and returns an error with the exit status if the
+// job is not complete.
+func reportResult(w io.Writer, r caller.Result, giveUpErr error, timeout time.Duration, format string) error {
+	if giveUpErr != nil {
+		return &statusError{exitStatus(r.Ran), fmt.Errorf("submission %s: %w (%s), ran: %s: %s", idOrPlaceholder(r.Submission), giveUpErr, timeout, r.Ran, r.Message)}
 	}
-	if err := printResult(w, r, form); err != nil {
+	if err := printResult(w, r, format); err != nil {
 		return err
 	}
 	if r.Complete {
 		return nil
 	}
-	return &statusError{ranStatus(r.Ran), fmt.Errorf("submission %s: %s (%s), ran: %s", orNone(r.Submission), r.Message, r.Code, r.Ran)}
+	return &statusError{exitStatus(r.Ran), fmt.Errorf("submission %s: %s (%s), ran: %s", idOrPlaceholder(r.Submission), r.Message, r.Code, r.Ran)}
 }
 
-func orNone(id string) string {
+func idOrPlaceholder(id string) string {
 	if id == "" {
 		return "without id"
 	}
 	return id
 }
 
-func ranStatus(ran caller.Ran) int {
+func exitStatus(ran caller.Ran) int {
 	switch ran {
 	case caller.RanNo:
 		return exitNotRun
--- a/entry/command/version.go
+++ b/entry/command/version.go
@@ -11,7 +11,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Print the version and what it was built with",
+		Short: "Print the version and the Go version it was built with",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), "almondstand", version())
