--- a/entry/burn/burn.go
+++ b/entry/burn/burn.go
@@ -1,96 +1,102 @@
-// Package burn measures how fast each customer's error budget is spent. An
-// entry records how its jobs ended; snapshots of several entries are merged
-// into one report, as a table, JSON or a page of plots.
+// Package burn computes the burn rate of each client's error budget. Each entry
+// records how its jobs ended; snapshots of several entries are merged into one
+// report, written as a table, JSON or an HTML page with plots.
 //
-// An answer is bad when it was late, failed, or refused though the customer
-// kept to its contract. What a customer asks above its contract is counted but
-// is neither good nor bad. The error budget is the share of bad answers that
-// the contract's objective allows; the burn rate is the share of bad answers in
-// a window divided by that budget, so 1 spends it exactly.
+// An answer is bad if it is late or failed, or if the job was rejected although the
+// client was within its contract. Jobs rejected because the client exceeded its
+// contract are counted, but are neither good nor bad. The error budget is the ratio
+// of bad answers that the contract's objective allows. The burn rate is the ratio of
+// bad answers in a window divided by the error budget: at 1 the budget is spent
+// exactly.
 //
-// Windows come in pairs: the long one shows that it matters, the short one that
-// it still goes on (Google, The Site Reliability Workbook, chapter 5).
+// Alerts use pairs of windows: the long window shows that the problem is
+// significant, the short one that it persists (Google, The Site Reliability
+// Workbook, chapter 5).
 //
-// Nothing is kept outside memory: a restarted entry begins anew, and the budget
-// is that of the longest window.
+// Counts are kept in memory only: they start from zero when an entry restarts, and
+// the budget is that of the longest window.
 package burn
 
 import "time"
 
-// Kind is how a job ended.
+// Kind classifies how a job ended.
 type Kind int
 
-// Kinds of ends.
+// Values of Kind.
 const (
 	OnTime Kind = iota
 	Late
 	Failed
-	// RefusedWithin: refused although the customer kept to its contract.
+	// RefusedWithin: rejected although the client was within its contract.
 	RefusedWithin
-	// RefusedOver: refused because the customer asked for more than its contract.
+	// RefusedOver: rejected because the client exceeded its contract.
 	RefusedOver
-	kinds
+	kindCount
 )
 
-// Observation is the end of one job.
+// Observation records how one job ended.
 type Observation struct {
 	Customer string
 	Kind     Kind
 	Latency  time.Duration
 }
 
-// Pair is a short and a long window that are judged together.
+// Pair is a short and a long window that are evaluated together.
 type Pair struct {
 	Name        string
 	Short, Long time.Duration
-	// Threshold is the burn rate at which an operator acts, when both windows
-	// are at or above it.
+	// Threshold is the burn rate at which the pair alerts, if both windows are at
+	// or above it.
 	Threshold float64
 }
 
-// Pairs are the windows of the report: one for a fast burn, one for a slow.
+// Pairs are the window pairs of the report, one for a fast and one for a slow
+// burn.
 var Pairs = [...]Pair{
 	{Name: "fast", Short: 5 * time.Minute, Long: time.Hour, Threshold: 14.4},
 	{Name: "slow", Short: 30 * time.Minute, Long: 6 * time.Hour, Threshold: 6},
 }
 
 const (
-	// bucketWidth is the resolution of a window.
+	// bucketWidth is the resolution of the windows.
 	bucketWidth = 30 * time.Second
-	// Horizon is the longest window, over which the budget is counted.
+	// Horizon is the longest window, over which the error budget is computed.
 	Horizon = 6 * time.Hour
-	// ringSize has one bucket more than the horizon, for the one being filled.
+	// ringSize is the number of buckets in the horizon, and one for the bucket
+	// being filled.
 	ringSize = int(Horizon/bucketWidth) + 1
-	// pointWidth is the resolution of the plots.
+	// pointWidth is the time covered by one point of a plot.
 	pointWidth = 5 * time.Minute
-	points     = int(Horizon / pointWidth)
+	pointCount = int(Horizon / pointWidth)
 )
 
-// Counts counts ends by kind. Its JSON is a list in the order of the kinds.
-type Counts [kinds]uint64
+// Counts holds the number of jobs of each kind. It is encoded in JSON as an array
+// in the order of the kinds.
+type Counts [kindCount]uint64
 
-// Add adds the counts of another entry or time.
+// Add adds the counts of another entry or period.
 func (c *Counts) Add(other Counts) {
 	for i := range c {
 		c[i] += other[i]
 	}
 }
 
-// Answers counts all but what was asked above the contract.
+// Answers returns the number of all jobs except those rejected because the client
+// exceeded its contract.
 func (c Counts) Answers() uint64 {
 	return c[OnTime] + c.Bad()
 }
 
-// Bad counts what spends the error budget.
+// Bad returns the number of jobs that spend the error budget.
 func (c Counts) Bad() uint64 {
 	return c[Late] + c[Failed] + c[RefusedWithin]
 }
 
-// Share returns the part of the answers that ended as the kind; 0 without any.
+// Share returns the fraction of answers that are of kind k; 0 without answers.
 func (c Counts) Share(k Kind) float64 { return ratio(c[k], c.Answers()) }
 
-// BurnRate returns how many times faster than allowed the budget is spent.
-// An objective that is not known (0) gives 0.
+// BurnRate returns the ratio of bad answers divided by the error budget. It returns
+// 0 for an unknown objective (0).
 func (c Counts) BurnRate(objective float64) float64 {
 	if objective <= 0 || objective >= 1 {
 		return 0
--- a/entry/burn/burn_test.go
+++ b/entry/burn/burn_test.go
@@ -20,8 +20,8 @@
 
 const bucket = 30 * time.Second
 
-// A fixed seed makes every run check the same cases; the flag -rapid.seed given
-// on the command line comes later and wins.
+// TestMain sets a fixed seed, so that every run checks the same cases. The flag
+// -rapid.seed on the command line overrides it, since flags are parsed later.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
@@ -49,48 +49,49 @@
 		r := burn.NewRecorder(start)
 		r.Record(start, burn.Observation{Customer: "a", Latency: d})
 		got := r.Snapshot(start, "e", nil, false).Customers[0].Latency.Quantile(0.99)
-		// A bound is up to a factor of the root of two above the latency.
+		// A bound exceeds the latency by a factor of at most the square root of 2.
 		assert.Assert(t, got >= d-time.Microsecond && float64(got) <= 1.4143*float64(d), "%s for %s", got, d)
 	})
 }
 
-// seen is one observation of the oracle.
-type seen struct {
+// recordedObservation is an observation and when it was recorded.
+type recordedObservation struct {
 	at time.Duration
 	o  burn.Observation
 }
 
-// oracle sums what was seen in a window, by the definition of a window: whole
-// buckets, the one being filled included.
-func oracle(all []seen, customer string, now, window time.Duration) burn.Counts {
+// oracle counts the observations in a window by definition: a window consists of
+// whole buckets and includes the one being filled.
+func oracle(observations []recordedObservation, client string, now, window time.Duration) burn.Counts {
 	var sum burn.Counts
 	last := now / bucket
 	first := last - window/bucket + 1
-	for _, s := range all {
-		if e := s.at / bucket; s.o.Customer == customer && e >= first && e <= last {
+	for _, s := range observations {
+		if e := s.at / bucket; s.o.Customer == client && e >= first && e <= last {
 			sum[s.o.Kind]++
 		}
 	}
 	return sum
 }
 
-// Observations spread over a day at two entries: the windows of the merged
-// snapshots equal sums over a plain list, whatever pauses lie between.
+// TestWindowsAgainstOracle records observations at two entries over up to a day or
+// more: the windows of the merged snapshots equal the sums over a plain list, whatever
+// the gaps between observations.
 func TestWindowsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		recorders := []*burn.Recorder{burn.NewRecorder(start), burn.NewRecorder(start)}
-		var all []seen
+		var observations []recordedObservation
 		var now time.Duration
-		pauses := []time.Duration{0, time.Second, 29 * time.Second, bucket, 5 * time.Minute, time.Hour, 6 * time.Hour, 7 * time.Hour}
+		gaps := []time.Duration{0, time.Second, 29 * time.Second, bucket, 5 * time.Minute, time.Hour, 6 * time.Hour, 7 * time.Hour}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += rapid.SampledFrom(pauses).Draw(t, "pause")
+			now += rapid.SampledFrom(gaps).Draw(t, "pause")
 			o := burn.Observation{
 				Customer: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"),
 				Kind:     burn.Kind(rapid.IntRange(0, 4).Draw(t, "kind")),
 				Latency:  time.Millisecond,
 			}
 			recorders[rapid.IntRange(0, 1).Draw(t, "entry")].Record(start.Add(now), o)
-			all = append(all, seen{now, o})
+			observations = append(observations, recordedObservation{now, o})
 		}
 		target := []burn.Target{{Customer: "a", Objective: 0.9}, {Customer: "b", Objective: 0.9}}
 		merged, err := burn.Merge(
@@ -100,23 +101,23 @@
 		assert.Equal(t, len(merged.Customers), 2)
 		for _, c := range merged.Customers {
 			for i, p := range burn.Pairs {
-				assert.Equal(t, c.Windows[2*i], oracle(all, c.Name, now, p.Short), "%s short", p.Name)
-				assert.Equal(t, c.Windows[2*i+1], oracle(all, c.Name, now, p.Long), "%s long", p.Name)
+				assert.Equal(t, c.Windows[2*i], oracle(observations, c.Name, now, p.Short), "%s short", p.Name)
+				assert.Equal(t, c.Windows[2*i+1], oracle(observations, c.Name, now, p.Long), "%s long", p.Name)
 			}
-			var points burn.Counts
+			var total burn.Counts
 			for _, point := range c.Series {
-				points.Add(point)
+				total.Add(point)
 			}
-			assert.Equal(t, points, oracle(all, c.Name, now, burn.Horizon))
+			assert.Equal(t, total, oracle(observations, c.Name, now, burn.Horizon))
 		}
 	})
 }
 
-func TestMergeTakesTheNewestContract(t *testing.T) {
+func TestMergeUsesTheNewestContract(t *testing.T) {
 	r := burn.NewRecorder(start)
-	old := r.Snapshot(start, "e1", []burn.Target{{Customer: "a", Objective: 0.9, Revision: 3}}, false)
-	young := r.Snapshot(start, "e2", []burn.Target{{Customer: "a", Objective: 0.99, Revision: 4}}, false)
-	for _, order := range [][]burn.Snapshot{{old, young}, {young, old}} {
+	older := r.Snapshot(start, "e1", []burn.Target{{Customer: "a", Objective: 0.9, Revision: 3}}, false)
+	newer := r.Snapshot(start, "e2", []burn.Target{{Customer: "a", Objective: 0.99, Revision: 4}}, false)
+	for _, order := range [][]burn.Snapshot{{older, newer}, {newer, older}} {
 		merged, err := burn.Merge(order...)
 		assert.NilError(t, err)
 		assert.Equal(t, merged.Customers[0].Objective, 0.99)
@@ -129,9 +130,9 @@
 func report(t *testing.T) burn.Report {
 	t.Helper()
 	r := burn.NewRecorder(start)
-	record := func(customer string, kind burn.Kind, n int) {
+	record := func(client string, kind burn.Kind, n int) {
 		for range n {
-			r.Record(start, burn.Observation{Customer: customer, Kind: kind, Latency: 40 * time.Millisecond})
+			r.Record(start, burn.Observation{Customer: client, Kind: kind, Latency: 40 * time.Millisecond})
 		}
 	}
 	record("broken", burn.Failed, 1)
@@ -144,19 +145,19 @@
 	}, true)
 	raw, err := json.Marshal(s)
 	assert.NilError(t, err)
-	var back burn.Snapshot
-	assert.NilError(t, json.Unmarshal(raw, &back))
-	return burn.NewReport(back, []string{"e2"})
+	var decoded burn.Snapshot
+	assert.NilError(t, json.Unmarshal(raw, &decoded))
+	return burn.NewReport(decoded, []string{"e2"})
 }
 
-func TestReportPutsTheWorstFirst(t *testing.T) {
+func TestReportListsLeastBudgetFirst(t *testing.T) {
 	rep := report(t)
 	assert.Equal(t, rep.Rows[0].Customer, "broken")
-	burning := rep.Rows[1]
-	assert.Equal(t, burning.Customer, "burning")
-	assert.Assert(t, burning.Alert())
-	assert.Assert(t, abs(burning.BudgetLeft-(-19)) < 1e-9)
-	assert.Assert(t, abs(burning.Burn[0].Short-20) < 1e-9)
+	overspent := rep.Rows[1]
+	assert.Equal(t, overspent.Customer, "burning")
+	assert.Assert(t, overspent.Alert())
+	assert.Assert(t, abs(overspent.BudgetLeft-(-19)) < 1e-9)
+	assert.Assert(t, abs(overspent.Burn[0].Short-20) < 1e-9)
 	for _, row := range rep.Rows[2:] {
 		assert.Assert(t, !row.Alert())
 		assert.Equal(t, row.BudgetLeft, 1.0)
@@ -174,21 +175,21 @@
 	assert.NilError(t, rep.WritePage(&page))
 	text := page.String()
 	assert.Assert(t, strings.Contains(text, "calm&lt;b&gt;") && !strings.Contains(text, "calm<b>"))
-	assert.Assert(t, !strings.Contains(text, "http") && !strings.Contains(text, "<script"), "the page loads nothing")
+	assert.Assert(t, !strings.Contains(text, "http") && !strings.Contains(text, "<script"), "the page must be self-contained")
 	assert.Equal(t, strings.Count(text, "<svg"), 8)
 }
 
 func TestConcurrentRecording(t *testing.T) {
 	r := burn.NewRecorder(start)
-	const threads, each = 8, 1000
-	var all sync.WaitGroup
-	for range threads {
-		all.Go(func() {
+	const goroutines, each = 8, 1000
+	var wg sync.WaitGroup
+	for range goroutines {
+		wg.Go(func() {
 			for range each {
 				r.Record(start, burn.Observation{Customer: "a"})
 			}
 		})
 	}
-	all.Wait()
-	assert.Equal(t, r.Snapshot(start, "e", nil, false).Customers[0].Windows[0].Answers(), uint64(threads*each))
+	wg.Wait()
+	assert.Equal(t, r.Snapshot(start, "e", nil, false).Customers[0].Windows[0].Answers(), uint64(goroutines*each))
 }
--- a/entry/burn/histogram.go
+++ b/entry/burn/histogram.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// Bounds of a histogram: buckets grow by half a doubling from a millisecond, so
-// that an error of a quantile is at most about 20 %; the last one is open.
+// Buckets of a histogram: their bounds grow by a factor of the square root of 2 from
+// a millisecond, so that a quantile is off by about 20 % at most. The last bucket has
+// no upper bound.
 const (
-	firstBound = time.Millisecond
-	latencies  = 34
+	smallestBound      = time.Millisecond
+	latencyBucketCount = 34
 )
 
-// Histogram counts latencies. Its JSON is a list, the shortest first.
-type Histogram [latencies]uint64
+// Histogram holds the number of latencies in each bucket. It is encoded in JSON as
+// an array, the bucket of the shortest latencies first.
+type Histogram [latencyBucketCount]uint64
 
-// Add adds the counts of another entry.
+// Add adds the counts of another histogram.
 func (h *Histogram) Add(other Histogram) {
 	for i := range h {
 		h[i] += other[i]
 	}
 }
 
-// bucketOf returns the bucket of a latency.
+// bucketOf returns the index of the bucket for a latency.
 func bucketOf(d time.Duration) int {
-	if d <= firstBound {
+	if d <= smallestBound {
 		return 0
 	}
-	i := int(math.Ceil(2 * math.Log2(float64(d)/float64(firstBound))))
-	return min(i, latencies-1)
+	i := int(math.Ceil(2 * math.Log2(float64(d)/float64(smallestBound))))
+	return min(i, latencyBucketCount-1)
 }
 
-// Bound returns the upper bound of a bucket.
+// Bound returns the upper bound of bucket i.
 func Bound(i int) time.Duration {
-	return time.Duration(float64(firstBound) * math.Pow(2, float64(i)/2))
+	return time.Duration(float64(smallestBound) * math.Pow(2, float64(i)/2))
 }
 
-// Quantile returns the upper bound of the bucket that holds the quantile; 0
-// without any observation.
+// Quantile returns the upper bound of the bucket that contains the quantile, or 0
+// if the histogram is empty.
 func (h Histogram) Quantile(q float64) time.Duration {
 	var total uint64
 	for _, n := range h {
@@ -47,12 +49,12 @@
 		return 0
 	}
 	rank := uint64(math.Ceil(q * float64(total)))
-	var seen uint64
+	var cumulative uint64
 	for i, n := range h {
-		seen += n
-		if seen >= rank && n > 0 {
+		cumulative += n
+		if cumulative >= rank && n > 0 {
 			return Bound(i)
 		}
 	}
-	return Bound(latencies - 1)
+	return Bound(latencyBucketCount - 1)
 }
--- a/entry/burn/recorder.go
+++ b/entry/burn/recorder.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// maxCustomers bounds the memory: about 24 KB a customer.
-const maxCustomers = 10_000
+// maxClients limits the memory used, at about 24 KB per client.
+const maxClients = 10_000
 
-// Recorder counts how an entry's jobs end, by customer. Recording takes no lock
-// but for a customer's first job and once a bucket.
+// Recorder counts how the jobs of an entry end, by client. Record takes a lock only
+// for the first job of a client and for the first one in a bucket.
 type Recorder struct {
 	start time.Time
 
-	mu        sync.Mutex // serialises changes of customers
-	customers atomic.Pointer[map[string]*series]
+	mu      sync.Mutex // serialises changes of clients
+	clients atomic.Pointer[map[string]*series]
 }
 
-// NewRecorder returns an empty recorder. Times given to it later are compared
-// with now, by the monotonic clock when they carry it.
+// NewRecorder returns an empty recorder. Times passed to its methods are measured
+// from now, by the monotonic clock if they have a monotonic reading.
 func NewRecorder(now time.Time) *Recorder {
 	r := &Recorder{start: now}
-	r.customers.Store(&map[string]*series{})
+	r.clients.Store(&map[string]*series{})
 	return r
 }
 
-// Record counts the end of one job.
+// Record counts one job that ended. Jobs of clients beyond maxClients are not
+// counted.
 func (r *Recorder) Record(now time.Time, o Observation) {
-	if o.Kind < 0 || o.Kind >= kinds {
+	if o.Kind < 0 || o.Kind >= kindCount {
 		return
 	}
 	s := r.series(o.Customer)
@@ -43,56 +44,57 @@
 	return int64(now.Sub(r.start) / bucketWidth)
 }
 
-func (r *Recorder) series(customer string) *series {
-	if s, known := (*r.customers.Load())[customer]; known {
+func (r *Recorder) series(client string) *series {
+	if s, known := (*r.clients.Load())[client]; known {
 		return s
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old := *r.customers.Load()
-	if s, known := old[customer]; known {
+	old := *r.clients.Load()
+	if s, known := old[client]; known {
 		return s
 	}
-	if len(old) >= maxCustomers {
+	if len(old) >= maxClients {
 		return nil
 	}
 	next := maps.Clone(old)
 	s := newSeries()
-	next[customer] = s
-	r.customers.Store(&next)
+	next[client] = s
+	r.clients.Store(&next)
 	return s
 }
 
-// series is one customer's ring of buckets.
+// series holds the counts of one client in a ring of buckets.
 type series struct {
 	mu      sync.Mutex // serialises the change of a bucket's epoch
 	buckets [ringSize]bucket
-	// halves holds the latencies of the last two halves of the horizon's length,
-	// so that old ones go without a ring of histograms.
-	halves [2]latencyBucket
+	// latencyHalves holds the latency histograms of the current and the previous
+	// half horizon, so that old latencies expire without a ring of histograms.
+	latencyHalves [2]latencyBucket
 }
 
-// bucket counts the ends in one epoch, a multiple of bucketWidth.
+// bucket holds the counts of one epoch. Epochs are periods of bucketWidth,
+// numbered from the start of the recorder.
 type bucket struct {
 	epoch  atomic.Int64
-	counts [kinds]atomic.Uint32
+	counts [kindCount]atomic.Uint32
 }
 
 type latencyBucket struct {
 	epoch  atomic.Int64
-	counts [latencies]atomic.Uint32
+	counts [latencyBucketCount]atomic.Uint32
 }
 
-// unused is the epoch of a bucket that holds nothing yet.
-const unused = -1
+// noEpoch is the epoch of a bucket that has not been used yet.
+const noEpoch = -1
 
 func newSeries() *series {
 	s := &series{}
 	for i := range s.buckets {
-		s.buckets[i].epoch.Store(unused)
+		s.buckets[i].epoch.Store(noEpoch)
 	}
-	for i := range s.halves {
-		s.halves[i].epoch.Store(unused)
+	for i := range s.latencyHalves {
+		s.latencyHalves[i].epoch.Store(noEpoch)
 	}
 	return s
 }
@@ -100,24 +102,25 @@
 func (s *series) record(epoch int64, o Observation) {
 	epoch = max(epoch, 0)
 	b := &s.buckets[epoch%int64(ringSize)]
-	s.turn(&b.epoch, epoch, b.counts[:])
+	s.resetIfStale(&b.epoch, epoch, b.counts[:])
 	b.counts[o.Kind].Add(1)
 	if o.Kind > Failed {
-		return // a refusal has no answer whose time would count
+		return // a rejection has no latency to record
 	}
-	half := epoch / halfBuckets
-	h := &s.halves[half%2]
-	s.turn(&h.epoch, half, h.counts[:])
+	half := epoch / epochsPerHalf
+	h := &s.latencyHalves[half%2]
+	s.resetIfStale(&h.epoch, half, h.counts[:])
 	h.counts[bucketOf(o.Latency)].Add(1)
 }
 
-// halfBuckets is the length of a latency bucket, in buckets.
-const halfBuckets = int64(ringSize / 2)
+// epochsPerHalf is the length of a half horizon, in epochs.
+const epochsPerHalf = int64(ringSize / 2)
 
-// turn empties a bucket for a new epoch. A count that another thread adds to
-// the old epoch meanwhile may be lost or land in the new one: a report of
-// thousands can bear that, a lock on each request's path can't.
-func (s *series) turn(at *atomic.Int64, epoch int64, counts []atomic.Uint32) {
+// resetIfStale clears a bucket for a new epoch if it holds an older one. A count
+// that another goroutine adds at the same time may be lost or be counted in the new
+// epoch. That error is negligible among thousands of counts, whereas a lock would
+// slow down every request.
+func (s *series) resetIfStale(at *atomic.Int64, epoch int64, counts []atomic.Uint32) {
 	if at.Load() >= epoch {
 		return
 	}
@@ -132,8 +135,8 @@
 	at.Store(epoch)
 }
 
-// between sums the buckets of the epochs from first to last.
-func (s *series) between(first, last int64) Counts {
+// sumEpochs returns the sum of the buckets of the epochs from first to last.
+func (s *series) sumEpochs(first, last int64) Counts {
 	var sum Counts
 	for i := range s.buckets {
 		b := &s.buckets[i]
@@ -149,9 +152,9 @@
 
 func (s *series) latency(epoch int64) Histogram {
 	var sum Histogram
-	half := epoch / halfBuckets
-	for i := range s.halves {
-		h := &s.halves[i]
+	half := epoch / epochsPerHalf
+	for i := range s.latencyHalves {
+		h := &s.latencyHalves[i]
 		if e := h.epoch.Load(); e < half-1 || e < 0 {
 			continue
 		}
--- a/entry/burn/report.go
+++ b/entry/burn/report.go
@@ -13,18 +13,18 @@
 	"almondstand.dev/entry/internal/figure"
 )
 
-// Report is a snapshot judged against the contracts.
+// Report evaluates a snapshot against the clients' contracts.
 type Report struct {
 	At      time.Time `json:"at"`
 	Entries []string  `json:"entries"`
-	// Missing names live entries that did not answer; what they counted is not
-	// in the report.
+	// Missing lists the live entries that did not answer; their counts are not in
+	// the report.
 	Missing []string `json:"missing,omitempty"`
 	Rows    []Row    `json:"customers"`
 }
 
-// Row is one customer of a report. Shares, Answers and BudgetLeft are over the
-// horizon of six hours.
+// Row is the part of a report about one client. Ratios, Answers and BudgetLeft are
+// computed over the horizon of six hours.
 type Row struct {
 	Customer      string  `json:"customer"`
 	Objective     float64 `json:"objective"`
@@ -32,13 +32,15 @@
 	Late          float64 `json:"late"`
 	Failed        float64 `json:"failed"`
 	RefusedWithin float64 `json:"refused_within"`
-	// RefusedOver counts what was asked above the contract.
+	// RefusedOver is the number of jobs rejected because the client exceeded its
+	// contract.
 	RefusedOver uint64 `json:"refused_over"`
-	// BudgetLeft is the part of the error budget not spent; below 0 when
-	// overspent, 1 without any answer.
+	// BudgetLeft is the fraction of the error budget that is left: negative if
+	// overspent, 1 without answers.
 	BudgetLeft float64 `json:"budget_left"`
 	Burn       []Burn  `json:"burn"`
-	// P50Ms and P99Ms are of answers, in milliseconds, to within 20 %.
+	// P50Ms and P99Ms are latency quantiles of answers in milliseconds, accurate
+	// to about 20 %.
 	P50Ms float64 `json:"p50_ms"`
 	P99Ms float64 `json:"p99_ms"`
 
@@ -46,7 +48,7 @@
 	series  []Counts
 }
 
-// Burn is the burn rate over one pair of windows.
+// Burn holds the burn rates over one pair of windows.
 type Burn struct {
 	Pair      string  `json:"pair"`
 	Short     float64 `json:"short"`
@@ -56,7 +58,7 @@
 	Alert bool `json:"alert"`
 }
 
-// NewReport judges a snapshot; customers with the least budget come first.
+// NewReport evaluates a snapshot. Clients with the least budget left come first.
 func NewReport(s Snapshot, missing []string) Report {
 	r := Report{At: s.At, Entries: s.Entries, Missing: missing, Rows: make([]Row, 0, len(s.Customers))}
 	for _, c := range s.Customers {
@@ -106,7 +108,7 @@
 	return row
 }
 
-// Alert reports whether any pair of windows alerts.
+// Alert reports whether at least one pair of windows alerts.
 func (r Row) Alert() bool {
 	return slices.ContainsFunc(r.Burn, func(b Burn) bool { return b.Alert })
 }
@@ -151,18 +153,19 @@
 	return text
 }
 
-// wholeAbove is the share from which percent leaves decimals out: a budget may
-// be overspent many times.
-const wholeAbove = 10
+// wholePercentFrom is the ratio from which percent omits decimals. Such ratios occur
+// because a budget can be overspent many times.
+const wholePercentFrom = 10
 
 func percent(share float64) string {
-	if math.Abs(share) >= wholeAbove {
+	if math.Abs(share) >= wholePercentFrom {
 		return strconv.FormatFloat(100*share, 'f', 0, 64) + "%"
 	}
 	return strconv.FormatFloat(100*share, 'g', 4, 64) + "%"
 }
 
-// exactPercent never rounds an objective of 0.99999 up to 100%.
+// exactPercent formats an objective with all its decimals, so that 0.99999 is not
+// rounded to 100%.
 func exactPercent(share float64) string {
 	const steps = 1e9
 	return strconv.FormatFloat(math.Round(100*share*steps)/steps, 'f', -1, 64) + "%"
--- a/entry/burn/snapshot.go
+++ b/entry/burn/snapshot.go
@@ -8,48 +8,50 @@
 	"time"
 )
 
-// ErrSnapshot means that a snapshot can't be merged with others.
-var ErrSnapshot = errors.New("burn: snapshot has another form; entries of different versions?")
+// ErrSnapshot means that a snapshot has a different format and cannot be merged.
+var ErrSnapshot = errors.New("burn: snapshot has a different format; the entries may run different versions")
 
-// Target is what a customer's contract promises.
+// Target is the service-level target in a client's contract.
 type Target struct {
 	Customer   string
 	Objective  float64
 	AnswerTime time.Duration
-	// Revision orders targets of the same customer from several entries.
+	// Revision is the revision of the contract. Merge uses the newest target of a
+	// client.
 	Revision int64
 }
 
-// Snapshot is what one entry, or several merged, counted.
+// Snapshot holds the counts of one entry, or the merged counts of several.
 type Snapshot struct {
-	// Entries names those that were counted.
+	// Entries lists the ids of the entries that are included.
 	Entries []string `json:"entries"`
-	// At is when the youngest part was taken.
+	// At is the time of the latest of the merged snapshots.
 	At        time.Time  `json:"at"`
 	Customers []Customer `json:"customers"`
 }
 
-// Customer is one customer's counts.
+// Customer holds the counts of one client.
 type Customer struct {
 	Name      string  `json:"name"`
 	Objective float64 `json:"objective"`
 	// AnswerTimeMs is the contract's answer time in milliseconds.
 	AnswerTimeMs int64 `json:"answer_time_ms"`
 	Revision     int64 `json:"revision"`
-	// Windows holds the short and the long window of each of Pairs, in order.
+	// Windows holds the counts of the short and the long window of each of Pairs,
+	// in order.
 	Windows []Counts  `json:"windows"`
 	Latency Histogram `json:"latency"`
-	// Series is the horizon in steps of five minutes, the youngest first, cut
-	// off where nothing older was counted.
+	// Series holds the counts of the horizon in steps of five minutes, the latest
+	// first. It ends at the oldest step with a count.
 	Series []Counts `json:"series,omitempty"`
 }
 
-// Snapshot counts the windows that end now. Customers with a target are listed
-// even when they had no job. withSeries adds what the plots need.
+// Snapshot returns the counts of the windows that end at now. It includes clients
+// with a target even if they had no jobs. withSeries adds the series for the plots.
 func (r *Recorder) Snapshot(now time.Time, entry string, targets []Target, withSeries bool) Snapshot {
-	known := *r.customers.Load()
+	recorded := *r.clients.Load()
 	byName := map[string]Target{}
-	for name := range known {
+	for name := range recorded {
 		byName[name] = Target{Customer: name}
 	}
 	for _, t := range targets {
@@ -58,12 +60,12 @@
 	out := Snapshot{Entries: []string{entry}, At: now.UTC(), Customers: make([]Customer, 0, len(byName))}
 	epoch := r.epoch(now)
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
-		out.Customers = append(out.Customers, newCustomer(byName[name], known[name], epoch, withSeries))
+		out.Customers = append(out.Customers, newClientCounts(byName[name], recorded[name], epoch, withSeries))
 	}
 	return out
 }
 
-func newCustomer(t Target, s *series, epoch int64, withSeries bool) Customer {
+func newClientCounts(t Target, s *series, epoch int64, withSeries bool) Customer {
 	c := Customer{
 		Name:         t.Customer,
 		Objective:    t.Objective,
@@ -75,27 +77,27 @@
 		return c
 	}
 	for i, p := range Pairs {
-		c.Windows[2*i] = s.window(epoch, p.Short)
-		c.Windows[2*i+1] = s.window(epoch, p.Long)
+		c.Windows[2*i] = s.sumWindow(epoch, p.Short)
+		c.Windows[2*i+1] = s.sumWindow(epoch, p.Long)
 	}
 	c.Latency = s.latency(epoch)
 	if withSeries {
-		c.Series = s.points(epoch)
+		c.Series = s.seriesPoints(epoch)
 	}
 	return c
 }
 
-// window sums the buckets of a window that ends with the one being filled.
-func (s *series) window(epoch int64, length time.Duration) Counts {
-	return s.between(epoch-int64(length/bucketWidth)+1, epoch)
+// sumWindow returns the counts of a window that ends with the bucket being filled.
+func (s *series) sumWindow(epoch int64, length time.Duration) Counts {
+	return s.sumEpochs(epoch-int64(length/bucketWidth)+1, epoch)
 }
 
-func (s *series) points(epoch int64) []Counts {
+func (s *series) seriesPoints(epoch int64) []Counts {
 	const step = int64(pointWidth / bucketWidth)
-	out := make([]Counts, 0, points)
-	for i := range int64(points) {
+	out := make([]Counts, 0, pointCount)
+	for i := range int64(pointCount) {
 		last := epoch - i*step
-		out = append(out, s.between(last-step+1, last))
+		out = append(out, s.sumEpochs(last-step+1, last))
 	}
 	for len(out) > 0 && out[len(out)-1] == (Counts{}) {
 		out = out[:len(out)-1]
@@ -103,21 +105,21 @@
 	return out
 }
 
-// Merge adds the snapshots of several entries. Steps of the series are matched
-// by their age, so entries' clocks need not agree.
-func Merge(all ...Snapshot) (Snapshot, error) {
+// Merge adds up the snapshots of several entries. Steps of the series are matched by
+// their age, so the entries' clocks need not agree.
+func Merge(snapshots ...Snapshot) (Snapshot, error) {
 	merged := Snapshot{}
 	byName := map[string]*Customer{}
-	for _, s := range all {
+	for _, s := range snapshots {
 		merged.Entries = append(merged.Entries, s.Entries...)
 		if s.At.After(merged.At) {
 			merged.At = s.At
 		}
 		for _, c := range s.Customers {
-			if len(c.Windows) != 2*len(Pairs) || len(c.Series) > points {
+			if len(c.Windows) != 2*len(Pairs) || len(c.Series) > pointCount {
 				return Snapshot{}, ErrSnapshot
 			}
-			mergeCustomer(byName, c)
+			mergeClientCounts(byName, c)
 		}
 	}
 	slices.Sort(merged.Entries)
@@ -129,9 +131,9 @@
 	return merged, nil
 }
 
-func mergeCustomer(byName map[string]*Customer, c Customer) {
-	sum, known := byName[c.Name]
-	if !known {
+func mergeClientCounts(byName map[string]*Customer, c Customer) {
+	sum, found := byName[c.Name]
+	if !found {
 		c.Windows = slices.Clone(c.Windows)
 		c.Series = slices.Clone(c.Series)
 		byName[c.Name] = &c
