--- a/entry/api/api_test.go
+++ b/entry/api/api_test.go
@@ -36,11 +36,11 @@
 	runs       int
 	draining   bool
 	decision   quota.Decision
-	released   int
-	undone     int
+	releases   int
+	undos      int
 	peerStatus member.Standing
 	forward    func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
-	closed     bool
+	isolated   bool
 	observed   []burn.Kind
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (f *fakes) AwaitServe(context.Context) (bool, time.Duration) {
-	return !f.closed, 1500 * time.Millisecond
+	return !f.isolated, 1500 * time.Millisecond
 }
 
 func (f *fakes) Record(_ time.Time, o burn.Observation) {
@@ -125,7 +125,7 @@
 
 func newFakes() *fakes {
 	f := &fakes{run: echo, peerStatus: member.Live}
-	f.decision = quota.Decision{OK: true, Release: func() { f.released++ }, Undo: func() { f.undone++ }}
+	f.decision = quota.Decision{OK: true, Release: func() { f.releases++ }, Undo: func() { f.undos++ }}
 	shop := contract.Contract{Customer: "shop", State: contract.Active, Services: []string{"teardown"}, AnswerTime: contract.Duration(time.Second)}
 	other := shop
 	other.Customer = "other"
@@ -208,7 +208,7 @@
 	assert.Equal(t, b.Tasks[0].RunTime, "51ms")
 	assert.Equal(t, b.Tasks[1].Length, 0)
 	assert.DeepEqual(t, f.observed, []burn.Kind{burn.OnTime})
-	assert.Equal(t, f.released, 1)
+	assert.Equal(t, f.releases, 1)
 	assert.Equal(t, w.Header().Get(headerRetryAfter), "")
 	next, err := submission.Parse(w.Header().Get(headerNext))
 	assert.NilError(t, err)
@@ -249,7 +249,7 @@
 		{name: "never fits", setup: func(f *fakes) { f.decision = quota.Decision{Permanent: true} },
 			status: 422, code: CodeJobTooLarge, ran: "no", kind: []burn.Kind{burn.RefusedOver}},
 		{name: "draining", setup: func(f *fakes) { f.draining = true }, status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "isolated", setup: func(f *fakes) { f.closed = true }, status: 503, code: CodeIsolated, ran: "no", retry: "2 1500", kind: []burn.Kind{burn.RefusedWithin}},
+		{name: "isolated", setup: func(f *fakes) { f.isolated = true }, status: 503, code: CodeIsolated, ran: "no", retry: "2 1500", kind: []burn.Kind{burn.RefusedWithin}},
 		{name: "backlog", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrBacklog, 2300*time.Microsecond) },
 			status: 429, code: CodeBacklog, ran: "no", retry: "1 3", kind: []burn.Kind{burn.RefusedWithin}},
 		{name: "no endpoint", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrNoEndpoint, 0) },
@@ -316,13 +316,13 @@
 	assert.Equal(t, w.Code, 429)
 	assert.Equal(t, "/v1/submissions/"+w.Header().Get(headerNext), put.path)
 	f.run = echo
-	assert.Equal(t, f.undone, 1)
-	assert.Equal(t, f.released, 0)
+	assert.Equal(t, f.undos, 1)
+	assert.Equal(t, f.releases, 0)
 	assert.Equal(t, put.send(h).Code, 200)
 	assert.Equal(t, put.send(h).Code, 200)
 	assert.Equal(t, f.runs, 2)
-	assert.Equal(t, f.released, 1)
-	assert.Equal(t, f.undone, 1)
+	assert.Equal(t, f.releases, 1)
+	assert.Equal(t, f.undos, 1)
 }
 
 // TestRepeatedRequestsShareOneJob: a caller submits a job, loses its connection
@@ -484,7 +484,7 @@
 // forwarded call, or has left the cluster. The job may have run, so the answer
 // is sent at once and never says that the job did not run.
 func TestOwnerUnreachable(t *testing.T) {
-	lostCall := func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) { return nil, errors.New("cut") }
+	failingCall := func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) { return nil, errors.New("cut") }
 	cases := []struct {
 		name       string
 		owner      string
@@ -501,7 +501,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFakes()
-			f.peerStatus, f.forward = c.peerStatus, lostCall
+			f.peerStatus, f.forward = c.peerStatus, failingCall
 			h := handler(newServer(f, 5))
 			for _, method := range []string{"PUT", "GET", "DELETE"} {
 				w := request{method: method, path: "/v1/submissions/" + c.owner + ".1.1.AAAAAAAAAAAAAAAAAAAAAA", token: "t-shop", body: jobText}.send(h)
--- a/entry/api/metrics.go
+++ b/entry/api/metrics.go
@@ -15,7 +15,8 @@
 	byClass map[int]tally.Counter
 }
 
-// classes are the status classes that this API responds with.
+// classes are the HTTP status classes that this API responds with, by their first
+// digit.
 var classes = []int{2, 4, 5}
 
 func newMetrics(scope tally.Scope) *metrics {
--- a/entry/api/path_test.go
+++ b/entry/api/path_test.go
@@ -78,8 +78,8 @@
 }
 
 func jobOf(tasks int, payload string) string {
-	one := `{"payload":"` + payload + `"}`
-	return `{"service":"teardown","tasks":[` + strings.Repeat(one+",", tasks-1) + one + `]}`
+	taskJSON := `{"payload":"` + payload + `"}`
+	return `{"service":"teardown","tasks":[` + strings.Repeat(taskJSON+",", tasks-1) + taskJSON + `]}`
 }
 
 // TestConcurrentCallersGetTheirOwnAnswers: many concurrent callers, each
