--- a/entry/edge/settings.go
+++ b/entry/edge/settings.go
@@ -32,18 +32,18 @@
 
 // Listen holds the addresses the entry listens on.
 type Listen struct {
-	// Callers is where callers submit jobs.
+	// Callers is the address at which callers submit jobs.
 	Callers settings.Address `json:"callers" validate:"required"`
-	// Ready is where the load balancer checks readiness.
+	// Ready is the address of the load balancer's readiness check.
 	Ready settings.Address `json:"ready" validate:"required"`
-	// Guards is where guards and other entries connect; every entry uses the same
-	// port.
+	// Guards is the address that guards and other entries connect to; every entry
+	// uses the same port.
 	Guards settings.Address `json:"guards" validate:"required"`
-	// Advertise is the address that guards and other entries connect to, if it
-	// differs from Guards.
+	// Advertise is the address announced to guards and other entries; if it is
+	// empty, Guards is announced.
 	Advertise settings.Address `json:"advertise"`
-	// Metrics is where metrics and health checks are served; they are not served
-	// if it is empty.
+	// Metrics is the address at which metrics and health checks are served; they
+	// are not served if it is empty.
 	Metrics settings.Address `json:"metrics"`
 }
 
@@ -100,7 +100,7 @@
 	return out
 }
 
-// advertisedAddress returns the address that guards and other entries connect to.
+// advertisedAddress returns the address announced to guards and other entries.
 func (s Settings) advertisedAddress() settings.Address {
 	if s.Listen.Advertise.IsValid() {
 		return s.Listen.Advertise
