--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -154,8 +154,8 @@
 // a partial match of them reveals nothing about the token.
 func (s *Server) hasValidToken(r *http.Request) bool {
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
-	given := sha256.Sum256([]byte(token))
-	same := subtle.ConstantTimeCompare(given[:], s.digest[:]) == 1
+	digest := sha256.Sum256([]byte(token))
+	same := subtle.ConstantTimeCompare(digest[:], s.digest[:]) == 1
 	return same && strings.EqualFold(scheme, "Bearer")
 }
 
