--- a/guard/server/handler.go
+++ b/guard/server/handler.go
@@ -12,7 +12,8 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// messageOverhead is room for the fields of a request beside the payload.
+// messageOverhead is the allowance for the fields of a request other than the
+// payload, in bytes.
 const messageOverhead = 64 << 10
 
 const (
@@ -21,7 +22,8 @@
 	gzip                = "gzip"
 )
 
-// controlKinds names the calls that carry no task; a Start is left out.
+// controlKinds maps the control calls to their metric labels. Start is not
+// included, since it carries a task.
 var controlKinds = map[string]string{
 	wirev1connect.GuardServiceHelloProcedure:   "hello",
 	wirev1connect.GuardServiceResolveProcedure: "resolve",
@@ -31,21 +33,21 @@
 
 func controlKind(r *http.Request) string { return controlKinds[r.URL.Path] }
 
-// Handler serves GuardService.
+// Handler returns the HTTP handler of GuardService.
 func (s *Server) Handler() http.Handler {
 	path, service := wirev1connect.NewGuardServiceHandler(s,
 		connect.WithReadMaxBytes(int(s.opts.MaxPayload)+messageOverhead),
-		// Connect compresses every reply by default: time of a core for nothing
-		// on a local network.
+		// Connect compresses every response by default, which costs CPU time
+		// without any benefit on a local network.
 		connect.WithCompression(gzip, nil, nil),
 	)
 	mux := http.NewServeMux()
 	mux.Handle(path, service)
-	return s.authenticated(s.opts.Control.Handler(s.bounded(mux), controlKind))
+	return s.requireSecret(s.opts.Control.Handler(s.limitRequestBytes(mux), controlKind))
 }
 
-// authenticated asks for the cluster's secret.
-func (s *Server) authenticated(next http.Handler) http.Handler {
+// requireSecret rejects requests that don't carry the cluster secret.
+func (s *Server) requireSecret(next http.Handler) http.Handler {
 	if s.opts.Secret == "" {
 		return next
 	}
@@ -54,8 +56,8 @@
 		given, ok := strings.CutPrefix(r.Header.Get(headerAuthorization), bearer)
 		got := sha256.Sum256([]byte(given))
 		if !ok || subtle.ConstantTimeCompare(want[:], got[:]) != 1 {
-			s.meter.secret.Inc(1)
-			eventSecret.Log(r.Context(), s.opts.Logger)
+			s.metrics.secretRefused.Inc(1)
+			eventSecretRefused.Log(r.Context(), s.opts.Logger)
 			http.Error(w, "the cluster's secret is missing or wrong", http.StatusUnauthorized)
 			return
 		}
@@ -63,27 +65,28 @@
 	})
 }
 
-// bounded keeps the requests that are held at a time within a number of bytes.
-// One that finds no room is turned away before the ledger sees it: its caller
-// resolves it as any other without an answer.
-func (s *Server) bounded(next http.Handler) http.Handler {
-	room := semaphore.NewWeighted(s.opts.MaxRequests)
-	most := s.opts.MaxPayload + messageOverhead
+// limitRequestBytes bounds the total size of the requests in progress. It rejects
+// a request over the limit before the ledger sees it: the caller resolves the
+// start like any other that got no reply.
+func (s *Server) limitRequestBytes(next http.Handler) http.Handler {
+	available := semaphore.NewWeighted(s.opts.MaxRequests)
+	maxSize := s.opts.MaxPayload + messageOverhead
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		size := most
+		size := maxSize
 		if r.ContentLength >= 0 {
-			size = min(r.ContentLength, most)
+			size = min(r.ContentLength, maxSize)
 		}
 		size += requestOverhead
-		if !room.TryAcquire(size) {
-			s.meter.overloaded.Inc(1)
+		if !available.TryAcquire(size) {
+			s.metrics.requestsOverloaded.Inc(1)
 			http.Error(w, "too many requests at a time", http.StatusServiceUnavailable)
 			return
 		}
-		defer room.Release(size)
+		defer available.Release(size)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// requestOverhead is what a held request costs beside its body, in bytes.
+// requestOverhead is the memory that a request in progress takes in addition to
+// its body, in bytes.
 const requestOverhead = 8 << 10
--- a/guard/server/job.go
+++ b/guard/server/job.go
@@ -15,59 +15,60 @@
 	wirev1 "almondstand.dev/wire/wirev1"
 )
 
-// job is one admitted start on its way to the runner.
+// job is an admitted start that is waiting for the runner or running on it.
 type job struct {
 	task *ledger.Task
-	// body is given up once the job has run: the ledger keeps the task longer.
-	body     *wirev1.Task
-	runLimit time.Duration
-	arrived  time.Time
-	deadline time.Time
-	budget   atomic.Pointer[time.Timer]
+	// spec is cleared once the job has run, since the ledger keeps the task for
+	// longer.
+	spec        *wirev1.Task
+	runLimit    time.Duration
+	arrived     time.Time
+	deadline    time.Time
+	budgetTimer atomic.Pointer[time.Timer]
 }
 
 type ticket = slots.Ticket[*job]
 
-// newJob prepares what is needed before the ledger admits the task.
+// newJob builds the ticket of a start before the ledger admits the task.
 func (s *Server) newJob(now time.Time, m *wirev1.StartRequest) *ticket {
-	limit := time.Duration(m.GetRunLimitMs()) * time.Millisecond
-	if limit <= 0 || limit > s.opts.MaxRunLimit {
-		limit = s.opts.MaxRunLimit
+	runLimit := time.Duration(m.GetRunLimitMs()) * time.Millisecond
+	if runLimit <= 0 || runLimit > s.opts.MaxRunLimit {
+		runLimit = s.opts.MaxRunLimit
 	}
 	return &ticket{
 		Owner:     m.GetSession(),
 		Urgency:   m.GetUrgency(),
 		TasksLeft: m.GetTasksLeft(),
 		Value: &job{
-			body:     m.GetTask(),
-			runLimit: limit,
+			spec:     m.GetTask(),
+			runLimit: runLimit,
 			arrived:  now,
-			deadline: now.Add(budget(m)),
+			deadline: now.Add(startBudget(m)),
 		},
 	}
 }
 
-func budget(m *wirev1.StartRequest) time.Duration {
+func startBudget(m *wirev1.StartRequest) time.Duration {
 	return time.Duration(m.GetBudgetMs()) * time.Millisecond
 }
 
-// launch takes an admitted job to a slot or into the queue, or refuses it. Each
-// refusal is written into the ledger, so that a copy of the start that arrives
-// later is refused too.
-func (s *Server) launch(k *ticket) {
+// schedule assigns an admitted job to a slot, queues it or refuses it. Every
+// refusal is recorded in the ledger, so that a duplicate of the start that
+// arrives later is refused too.
+func (s *Server) schedule(k *ticket) {
 	j := k.Value
-	if reason := s.unfit(j); reason != wirev1.RefusalReason_REFUSAL_REASON_UNSPECIFIED {
+	if reason := s.permanentRefusal(j); reason != wirev1.RefusalReason_REFUSAL_REASON_UNSPECIFIED {
 		s.refuse(k, reason)
 		return
 	}
-	j.budget.Store(time.AfterFunc(j.deadline.Sub(j.arrived), func() {
+	j.budgetTimer.Store(time.AfterFunc(j.deadline.Sub(j.arrived), func() {
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT)
 	}))
 	switch s.table.Offer(k) {
 	case slots.Granted:
-		go s.work(k)
+		go s.runSlot(k)
 	case slots.Queued:
-		s.dropIfEnded(k)
+		s.removeIfEnded(k)
 	case slots.Full:
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_QUEUE_FULL)
 	case slots.Leaving:
@@ -77,52 +78,55 @@
 	}
 }
 
-// unfit finds what makes a job impossible here, whatever the load.
-func (s *Server) unfit(j *job) wirev1.RefusalReason {
+// permanentRefusal returns the reason why a job can't run on this guard at any
+// load, or UNSPECIFIED if there is none.
+func (s *Server) permanentRefusal(j *job) wirev1.RefusalReason {
 	if !j.deadline.After(j.arrived) {
 		return wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT
 	}
-	sum := sha256.Sum256(j.body.GetPayload())
-	if subtle.ConstantTimeCompare(sum[:], j.body.GetDigest()) != 1 {
+	sum := sha256.Sum256(j.spec.GetPayload())
+	if subtle.ConstantTimeCompare(sum[:], j.spec.GetDigest()) != 1 {
 		return wirev1.RefusalReason_REFUSAL_REASON_DIGEST_MISMATCH
 	}
 	r := s.opts.Runners.Current(s.opts.Now())
-	if r != nil && r.Service != j.body.GetService() {
+	if r != nil && r.Service != j.spec.GetService() {
 		return wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE
 	}
 	return wirev1.RefusalReason_REFUSAL_REASON_UNSPECIFIED
 }
 
-// refuse ends a job that has not begun to run. It does nothing to one that has.
+// refuse ends a job that has not started to run. It has no effect on a job that
+// has.
 func (s *Server) refuse(k *ticket, reason wirev1.RefusalReason) {
 	if s.opts.Ledger.Refuse(k.Value.task, reason) {
-		s.meter.refused(reason)
+		s.metrics.countRefusal(reason)
 	}
-	s.dropIfEnded(k)
+	s.removeIfEnded(k)
 }
 
-// dropIfEnded takes a job that has ended out of the queue: its cancel may come
-// between its admission and its place in the queue.
-func (s *Server) dropIfEnded(k *ticket) {
+// removeIfEnded removes a job that has ended from the queue: it may be cancelled
+// after its admission and before it is queued.
+func (s *Server) removeIfEnded(k *ticket) {
 	select {
 	case <-k.Value.task.Done():
 		s.table.Remove(k)
-		k.Value.stopBudget()
+		k.Value.stopBudgetTimer()
 	default:
 	}
 }
 
-func (j *job) stopBudget() {
-	if t := j.budget.Load(); t != nil {
+func (j *job) stopBudgetTimer() {
+	if t := j.budgetTimer.Load(); t != nil {
 		t.Stop()
 	}
 }
 
-// work runs jobs on one slot until the queue is empty. The slot goes on before
-// the task's end is told, so that the load in the reply is true.
-func (s *Server) work(k *ticket) {
-	s.working.Add(1)
-	defer s.working.Add(-1)
+// runSlot runs jobs on one slot until the queue is empty. It releases the slot
+// before it records the end of the task, so that the load in the reply is up to
+// date.
+func (s *Server) runSlot(k *ticket) {
+	s.slotGoroutines.Add(1)
+	defer s.slotGoroutines.Add(-1)
 	for k != nil {
 		end := s.run(k)
 		next := s.table.Release(k)
@@ -131,12 +135,14 @@
 	}
 }
 
-// run takes one job through its call to the runner and returns how to end it.
+// runJob calls the runner for one job and returns the function that records its
+// end.
 func (s *Server) run(k *ticket) (end func()) {
 	j := k.Value
-	j.stopBudget()
+	j.stopBudgetTimer()
 	now := s.opts.Now()
-	// A frozen process finds its timers late: the clock decides, not the timer.
+	// After the process was suspended its timers fire late, so the deadline is
+	// checked against the clock.
 	if now.After(j.deadline) {
 		return func() { s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT) }
 	}
@@ -144,7 +150,7 @@
 	if r == nil {
 		return func() { s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT) }
 	}
-	if r.Service != j.body.GetService() {
+	if r.Service != j.spec.GetService() {
 		return func() { s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE) }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -152,45 +158,45 @@
 	if !s.opts.Ledger.Begin(now, j.task, cancel) {
 		return func() {}
 	}
-	s.meter.starts.Inc(1)
-	call := endedCall{submission: j.body.GetSubmission(), customer: j.body.GetCustomer(), call: s.past.begin()}
+	s.metrics.starts.Inc(1)
+	call := callRecord{submission: j.spec.GetSubmission(), client: j.spec.GetCustomer(), call: s.calls.begin()}
 	out := r.Client.Run(ctx, request(j))
-	s.past.end(call, out.Verdict)
+	s.calls.end(call, out.Verdict)
 	wait := now.Sub(j.arrived)
-	j.body = nil
+	j.spec = nil
 	return func() { s.end(j, r, out, wait) }
 }
 
 func request(j *job) runner.Request {
 	return runner.Request{
-		Task:     j.body.GetSubmission() + "/" + strconv.FormatUint(uint64(j.body.GetIndex()), 10),
-		Kind:     j.body.GetKind(),
-		Customer: j.body.GetCustomer(),
-		Payload:  j.body.GetPayload(),
-		Digest:   j.body.GetDigest(),
+		Task:     j.spec.GetSubmission() + "/" + strconv.FormatUint(uint64(j.spec.GetIndex()), 10),
+		Kind:     j.spec.GetKind(),
+		Customer: j.spec.GetCustomer(),
+		Payload:  j.spec.GetPayload(),
+		Digest:   j.spec.GetDigest(),
 		RunLimit: j.runLimit,
 	}
 }
 
-// end writes the outcome of a call into the ledger.
+// recordEnd records the outcome of a call in the ledger.
 func (s *Server) end(j *job, r *registration.Runner, out runner.Outcome, wait time.Duration) {
 	switch out.Verdict {
 	case runner.Refused, runner.Busy:
-		s.disown(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
+		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
 	case runner.Absent:
-		s.runnerGone(r, out.Message)
-		s.disown(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
+		s.runnerUnreachable(r, out.Message)
+		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
 	case runner.Withdrawn:
-		s.disown(j, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 	default:
-		s.meter.ended(out.Verdict)
+		s.metrics.countEnd(out.Verdict)
 		s.opts.Ledger.Finish(j.task, result(out, wait))
 	}
 }
 
-func (s *Server) disown(j *job, reason wirev1.RefusalReason) {
+func (s *Server) reportNotStarted(j *job, reason wirev1.RefusalReason) {
 	if s.opts.Ledger.Disown(j.task, reason) {
-		s.meter.refused(reason)
+		s.metrics.countRefusal(reason)
 	}
 }
 
--- a/guard/server/metrics.go
+++ b/guard/server/metrics.go
@@ -9,21 +9,21 @@
 	wirev1 "almondstand.dev/wire/wirev1"
 )
 
-// meter holds the counters of the server, made once: a lookup by tag on each
-// task would cost more than the count.
-type meter struct {
-	starts      tally.Counter
-	joined      tally.Counter
-	hellos      tally.Counter
-	resolves    tally.Counter
-	recordsFull tally.Counter
-	secret      tally.Counter
-	overloaded  tally.Counter
-	refusals    map[wirev1.RefusalReason]tally.Counter
-	ends        map[runner.Verdict]tally.Counter
+// metrics holds the server's counters and gauges. They are created once: looking
+// one up by tag for each task would cost more than updating it.
+type metrics struct {
+	starts             tally.Counter
+	joinedStarts       tally.Counter
+	hellos             tally.Counter
+	resolves           tally.Counter
+	recordsFull        tally.Counter
+	secretRefused      tally.Counter
+	requestsOverloaded tally.Counter
+	refusals           map[wirev1.RefusalReason]tally.Counter
+	ends               map[runner.Verdict]tally.Counter
 
-	running, waiting, slots           tally.Gauge
-	sessions, records, kept, keptSize tally.Gauge
+	running, waiting, slots                         tally.Gauge
+	sessions, records, unackedResults, unackedBytes tally.Gauge
 }
 
 var verdictNames = map[runner.Verdict]string{
@@ -35,24 +35,24 @@
 	runner.Lost:      "runner_lost",
 }
 
-func newMeter(scope tally.Scope) *meter {
-	m := &meter{
-		starts:      scope.Counter("starts"),
-		joined:      scope.Counter("starts_joined"),
-		hellos:      scope.Counter("sessions_opened"),
-		resolves:    scope.Counter("resolves"),
-		recordsFull: scope.Counter("records_full"),
-		secret:      scope.Counter("secret_refused"),
-		overloaded:  scope.Counter("requests_overloaded"),
-		refusals:    map[wirev1.RefusalReason]tally.Counter{},
-		ends:        map[runner.Verdict]tally.Counter{},
-		running:     scope.Gauge("running"),
-		waiting:     scope.Gauge("waiting"),
-		slots:       scope.Gauge("slots"),
-		sessions:    scope.Gauge("sessions"),
-		records:     scope.Gauge("records"),
-		kept:        scope.Gauge("results_kept"),
-		keptSize:    scope.Gauge("results_kept_bytes"),
+func newMetrics(scope tally.Scope) *metrics {
+	m := &metrics{
+		starts:             scope.Counter("starts"),
+		joinedStarts:       scope.Counter("starts_joined"),
+		hellos:             scope.Counter("sessions_opened"),
+		resolves:           scope.Counter("resolves"),
+		recordsFull:        scope.Counter("records_full"),
+		secretRefused:      scope.Counter("secret_refused"),
+		requestsOverloaded: scope.Counter("requests_overloaded"),
+		refusals:           map[wirev1.RefusalReason]tally.Counter{},
+		ends:               map[runner.Verdict]tally.Counter{},
+		running:            scope.Gauge("running"),
+		waiting:            scope.Gauge("waiting"),
+		slots:              scope.Gauge("slots"),
+		sessions:           scope.Gauge("sessions"),
+		records:            scope.Gauge("records"),
+		unackedResults:     scope.Gauge("results_kept"),
+		unackedBytes:       scope.Gauge("results_kept_bytes"),
 	}
 	for value, name := range wirev1.RefusalReason_name {
 		reason := strings.ToLower(strings.TrimPrefix(name, "REFUSAL_REASON_"))
@@ -64,19 +64,19 @@
 	return m
 }
 
-func (m *meter) refused(reason wirev1.RefusalReason) { m.refusals[reason].Inc(1) }
+func (m *metrics) countRefusal(reason wirev1.RefusalReason) { m.refusals[reason].Inc(1) }
 
-func (m *meter) ended(v runner.Verdict) { m.ends[v].Inc(1) }
+func (m *metrics) countEnd(v runner.Verdict) { m.ends[v].Inc(1) }
 
-// Observe brings the gauges up to date.
+// Observe updates the gauges.
 func (s *Server) Observe() {
 	load := s.table.Load("")
-	s.meter.running.Update(float64(load.Running))
-	s.meter.waiting.Update(float64(load.Waiting))
-	s.meter.slots.Update(float64(load.Slots))
+	s.metrics.running.Update(float64(load.Running))
+	s.metrics.waiting.Update(float64(load.Waiting))
+	s.metrics.slots.Update(float64(load.Slots))
 	stats := s.opts.Ledger.Stats()
-	s.meter.sessions.Update(float64(stats.Sessions))
-	s.meter.records.Update(float64(stats.Records))
-	s.meter.kept.Update(float64(stats.Unsettled))
-	s.meter.keptSize.Update(float64(stats.ResultBytes))
+	s.metrics.sessions.Update(float64(stats.Sessions))
+	s.metrics.records.Update(float64(stats.Records))
+	s.metrics.unackedResults.Update(float64(stats.Unsettled))
+	s.metrics.unackedBytes.Update(float64(stats.ResultBytes))
 }
--- a/guard/server/outcomes.go
+++ b/guard/server/outcomes.go
@@ -7,86 +7,90 @@
 	"almondstand.dev/guard/runner"
 )
 
-// outcomes counts how the runner's calls ended, for every session, so that one
-// entry's bad experience saves the others theirs.
-type outcomes struct {
+// callStats counts the outcomes of the calls to the runner across all sessions,
+// so that failures seen by one entry protect the others as well.
+type callStats struct {
 	mu        sync.Mutex
 	calls     uint64
 	completed uint64
 	failed    uint64
-	// row are the failed calls that began after the latest one that completed.
-	row []endedCall
+	// failures holds the failed calls that began after the most recent successful
+	// one.
+	failures []callRecord
 }
 
-// endedCall names a call that ended.
-type endedCall struct {
+// callRecord identifies a call that has ended.
+type callRecord struct {
 	submission string
-	customer   string
+	client     string
 	call       uint64
 }
 
 const (
-	// maxRow bounds the row: more failures say nothing more.
-	maxRow = 16
-	// maxOfCustomer bounds a customer's part of it: the tasks of one customer
-	// may all fail by their own fault, wherever they run.
-	maxOfCustomer = 2
+	// maxFailures caps the length of failures: more of them give no further
+	// evidence.
+	maxFailures = 16
+	// maxFailuresPerClient caps the failures of one client: all of its tasks may
+	// fail on any endpoint through a fault of their own.
+	maxFailuresPerClient = 2
 )
 
-// pastCalls is a reading of outcomes.
-type pastCalls struct {
+// callSnapshot is a snapshot of callStats.
+type callSnapshot struct {
 	completed, failed uint64
-	inRow             int
+	failuresInRow     int
 }
 
-// begin returns the number of a call that begins now.
-func (o *outcomes) begin() uint64 {
+// begin returns the sequence number of a call that starts now.
+func (o *callStats) begin() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.calls++
 	return o.calls
 }
 
-// end counts the end of the call f, as v. What was cancelled or ran too long is neither a
-// success nor a failure of the runner.
-func (o *outcomes) end(f endedCall, v runner.Verdict) {
+// end counts the outcome v of the call f. A call that was cancelled or exceeded
+// its run limit counts neither as a success nor as a failure of the runner.
+func (o *callStats) end(f callRecord, v runner.Verdict) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch v {
 	case runner.Completed:
 		o.completed++
-		// A success tells nothing of a runner that broke after it had begun.
-		o.row = slices.DeleteFunc(o.row, func(old endedCall) bool { return old.call < f.call })
+		// A call that began before a failure says nothing about a runner that
+		// broke afterwards, even if the call succeeds.
+		o.failures = slices.DeleteFunc(o.failures, func(old callRecord) bool { return old.call < f.call })
 	case runner.Failed, runner.Truncated, runner.Lost:
 		o.failed++
-		o.lengthen(f)
+		o.addFailure(f)
 	}
 }
 
-// lengthen counts a submission once, and a customer twice at most. The newest
-// of its calls is kept, which a success has to follow.
-func (o *outcomes) lengthen(f endedCall) {
-	ofCustomer, last := 0, 0
-	for i, known := range o.row {
+// addFailure counts each submission once and each client at most twice. It keeps
+// the most recent call of each, because only a success that began later clears
+// the entry.
+func (o *callStats) addFailure(f callRecord) {
+	ofClient, last := 0, 0
+	for i, known := range o.failures {
 		if known.submission == f.submission {
-			o.row[i].call = max(known.call, f.call)
+			o.failures[i].call = max(known.call, f.call)
 			return
 		}
-		if known.customer == f.customer {
-			ofCustomer++
+		if known.client == f.client {
+			ofClient++
 			last = i
 		}
 	}
 	switch {
-	case ofCustomer >= maxOfCustomer:
-		o.row[last].call = max(o.row[last].call, f.call)
-	case len(o.row) < maxRow:
-		o.row = append(o.row, f)
+	case ofClient >= maxFailuresPerClient:
+		o.failures[last].call = max(o.failures[last].call, f.call)
+	case len(o.failures) < maxFailures:
+		o.failures = append(o.failures, f)
 	}
 }
 
-func (o *outcomes) read() pastCalls {
+func (o *callStats) snapshot() callSnapshot {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return pastCalls{completed: o.completed, failed: o.failed, inRow: len(o.row)}
+	return callSnapshot{completed: o.completed, failed: o.failed, failuresInRow: len(o.failures)}
 }
--- a/guard/server/server.go
+++ b/guard/server/server.go
@@ -1,6 +1,6 @@
-// Package server serves GuardService: it joins the ledger, the slots and the
-// runner. It is the only caller of its runner, so what it says of a start that
-// it did not make is true.
+// Package server implements GuardService on top of the ledger of starts, the slot
+// table and the runner client. It is the runner's only client, so it can state
+// for certain that a start it did not pass on has not run.
 package server
 
 import (
@@ -25,35 +25,36 @@
 // maxResolveWait bounds how long a Resolve is held.
 const maxResolveWait = 30 * time.Second
 
-// drainPoll is the pause between two looks at what still runs.
-const drainPoll = 5 * time.Millisecond
+// drainPollInterval is the interval at which Drain checks for tasks that still
+// run.
+const drainPollInterval = 5 * time.Millisecond
 
-// Runners tells of the runner that is registered.
+// Runners provides the runner that is currently registered.
 type Runners interface {
-	// Current returns nil when there is none.
+	// Current returns the registered runner, or nil if there is none.
 	Current(now time.Time) *registration.Runner
-	// Lost takes note that nothing listens at the runner's address.
+	// Lost records that nothing listens at the runner's address.
 	Lost(*registration.Runner)
 }
 
-// Options of a Server.
+// Options configure a Server.
 type Options struct {
 	GuardID     string
 	Incarnation uint64
 	Zone        string
-	// Lease of a session, told to entries.
+	// Lease is the duration of a session's lease; entries receive it with Hello.
 	Lease  time.Duration
 	Ledger *ledger.Ledger
-	// QueueLen is the number of tasks that may wait for a slot.
+	// QueueLen is the maximum number of tasks that wait for a slot.
 	QueueLen int
 	Runners  Runners
-	// MaxRunLimit bounds every task's run limit.
+	// MaxRunLimit caps the run limit of every task.
 	MaxRunLimit time.Duration
-	// MaxPayload bounds one task's payload, MaxRequests the requests that are
-	// held at a time, both in bytes.
+	// MaxPayload is the maximum payload of one task, MaxRequests the maximum
+	// total size of the requests in progress; both are in bytes.
 	MaxPayload  int64
 	MaxRequests int64
-	// Secret, when set, is asked of every caller.
+	// Secret, if set, must be presented by every caller.
 	Secret  string
 	Now     func() time.Time
 	Logger  *slog.Logger
@@ -63,30 +64,32 @@
 
 // Server implements GuardService.
 type Server struct {
-	opts  Options
-	table *slots.Table[*job]
-	meter *meter
-	past  outcomes
-	// working counts the goroutines that hold a slot or end a task.
-	working atomic.Int64
+	opts    Options
+	table   *slots.Table[*job]
+	metrics *metrics
+	calls   callStats
+	// slotGoroutines counts the goroutines that hold a slot or are still
+	// recording the end of a task.
+	slotGoroutines atomic.Int64
 }
 
 var _ wirev1connect.GuardServiceHandler = (*Server)(nil)
 
-// New returns a server without a runner; SetRunner gives it one.
+// New returns a server that has no runner until SetRunner is called.
 func New(opts Options) *Server {
 	return &Server{
-		opts:  opts,
-		table: slots.New[*job](opts.QueueLen),
-		meter: newMeter(opts.Scope),
+		opts:    opts,
+		table:   slots.New[*job](opts.QueueLen),
+		metrics: newMetrics(opts.Scope),
 	}
 }
 
-// SetRunner takes the state of the runner.
+// SetRunner applies a change of the runner's state: it starts queued tasks on new
+// slots and refuses those that can no longer run.
 func (s *Server) SetRunner(r slots.Runner) {
 	granted, removed := s.table.SetRunner(r)
 	for _, k := range granted {
-		go s.work(k)
+		go s.runSlot(k)
 	}
 	reason := wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT
 	if r.Present {
@@ -97,34 +100,36 @@
 	}
 }
 
-// Leave refuses every new start from now on, and those that wait. What runs
-// goes on.
+// Leave refuses all further starts and the queued ones. Running tasks continue.
 func (s *Server) Leave() {
 	for _, k := range s.table.Close() {
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
 	}
 }
 
-// Drain waits until nothing runs, and then until the entries have acknowledged
-// every result or linger has passed: an entry whose reply was cut can still
-// resolve it. It returns the error of ctx when that ends first.
+// Drain waits until no task runs, and then until the entries have acknowledged
+// every result or the linger time has passed, so that an entry whose reply was
+// lost can still resolve the result. It returns the error of ctx if that ends
+// first.
 func (s *Server) Drain(ctx context.Context, linger time.Duration) error {
-	// A slot is free a moment before its task's end is in the ledger: without
-	// the second count a result could be missing from those to wait for.
-	idle := func() bool { return s.table.Load("").Running == 0 && s.working.Load() == 0 }
-	if err := await(ctx, idle); err != nil {
+	// A slot is released shortly before the end of its task is recorded in the
+	// ledger. Without counting the goroutines too, Drain could miss a result that
+	// still has to be acknowledged.
+	idle := func() bool { return s.table.Load("").Running == 0 && s.slotGoroutines.Load() == 0 }
+	if err := pollUntil(ctx, idle); err != nil {
 		return err
 	}
-	lingering, cancel := context.WithTimeout(ctx, linger)
+	lingerCtx, cancel := context.WithTimeout(ctx, linger)
 	defer cancel()
-	settled := func() bool { return s.opts.Ledger.Stats().Unsettled == 0 }
-	// The end of the linger is no fault: an entry may be gone for good.
-	_ = await(lingering, settled)
+	acknowledged := func() bool { return s.opts.Ledger.Stats().Unsettled == 0 }
+	// Reaching the end of the linger time is not an error: an entry may never
+	// come back.
+	_ = pollUntil(lingerCtx, acknowledged)
 	return ctx.Err()
 }
 
-func await(ctx context.Context, done func() bool) error {
-	ticker := time.NewTicker(drainPoll)
+func pollUntil(ctx context.Context, done func() bool) error {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for !done() {
 		select {
@@ -136,10 +141,11 @@
 	return nil
 }
 
-// Load reports the load for one session; "" counts all as others'.
+// Load returns the load as seen by one session. With an empty session, all open
+// tasks count as those of others.
 func (s *Server) Load(session string) *wirev1.Load {
 	l := s.table.Load(session)
-	past := s.past.read()
+	calls := s.calls.snapshot()
 	return &wirev1.Load{
 		Version:       l.Version,
 		Slots:         uint32(l.Slots),
@@ -147,9 +153,9 @@
 		OwnOpen:       uint32(l.Own),
 		Leaving:       l.Leaving,
 		RunnerPresent: l.Present,
-		Completed:     past.completed,
-		Failed:        past.failed,
-		FailedInRow:   uint32(past.inRow),
+		Completed:     calls.completed,
+		Failed:        calls.failed,
+		FailedInRow:   uint32(calls.failuresInRow),
 	}
 }
 
@@ -160,10 +166,10 @@
 	id, err := s.opts.Ledger.Hello(now, m.GetEntryId(), m.GetEntryIncarnation())
 	if err != nil {
 		eventHelloRefused.Log(ctx, s.opts.Logger, slog.String("entry", m.GetEntryId()), slog.String("cause", err.Error()))
-		return nil, asConnect(err)
+		return nil, toConnectError(err)
 	}
-	s.meter.hellos.Inc(1)
-	eventSession.Log(ctx, s.opts.Logger, slog.String("entry", m.GetEntryId()), slog.Uint64("incarnation", m.GetEntryIncarnation()))
+	s.metrics.hellos.Inc(1)
+	eventSessionOpened.Log(ctx, s.opts.Logger, slog.String("entry", m.GetEntryId()), slog.Uint64("incarnation", m.GetEntryIncarnation()))
 	return connect.NewResponse(&wirev1.HelloResponse{
 		Session:          id,
 		GuardId:          s.opts.GuardID,
@@ -182,8 +188,9 @@
 	return ""
 }
 
-// Start implements GuardService. A second copy of a start joins the first. The
-// end of the connection doesn't end the task: only Cancel does.
+// Start implements GuardService. A duplicate of a start waits for the same task
+// and returns the same report. A closed connection doesn't stop the task: only
+// Cancel does.
 func (s *Server) Start(ctx context.Context, req *connect.Request[wirev1.StartRequest]) (*connect.Response[wirev1.StartResponse], error) {
 	m := req.Msg
 	now := s.opts.Now()
@@ -193,13 +200,13 @@
 		Seq:          m.GetSeq(),
 		Incarnation:  m.GetGuardIncarnation(),
 		LowWatermark: m.GetLowWatermark(),
-	}, func() { s.dropped(k) })
+	}, func() { s.removeCancelled(k) })
 	if err != nil {
-		return nil, s.refusedRecord(ctx, err)
+		return nil, s.recordError(ctx, err)
 	}
 	report := answer.Report
 	if answer.Task != nil {
-		report, err = s.follow(ctx, k, answer)
+		report, err = s.awaitReport(ctx, k, answer)
 	}
 	if err != nil {
 		return nil, err
@@ -212,13 +219,14 @@
 	}), nil
 }
 
-// follow launches a job that was admitted just now and waits for its end.
-func (s *Server) follow(ctx context.Context, k *ticket, answer ledger.Answer) (*wirev1.TaskReport, error) {
+// awaitReport schedules a newly admitted job and waits for the report of the
+// task.
+func (s *Server) awaitReport(ctx context.Context, k *ticket, answer ledger.Answer) (*wirev1.TaskReport, error) {
 	if answer.Admitted {
 		k.Value.task = answer.Task
-		s.launch(k)
+		s.schedule(k)
 	} else {
-		s.meter.joined.Inc(1)
+		s.metrics.joinedStarts.Inc(1)
 	}
 	select {
 	case <-answer.Task.Done():
@@ -228,17 +236,17 @@
 	}
 }
 
-// dropped takes a job that the ledger ended out of the queue.
-func (s *Server) dropped(k *ticket) {
-	s.meter.refused(wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+// removeCancelled removes a job from the queue that the ledger has ended.
+func (s *Server) removeCancelled(k *ticket) {
+	s.metrics.countRefusal(wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 	s.table.Remove(k)
-	k.Value.stopBudget()
+	k.Value.stopBudgetTimer()
 }
 
 // Resolve implements GuardService.
 func (s *Server) Resolve(ctx context.Context, req *connect.Request[wirev1.ResolveRequest]) (*connect.Response[wirev1.ResolveResponse], error) {
 	m := req.Msg
-	s.meter.resolves.Inc(1)
+	s.metrics.resolves.Inc(1)
 	answer, err := s.opts.Ledger.Resolve(s.opts.Now(), ledger.Ref{
 		Session:      m.GetSession(),
 		Seq:          m.GetSeq(),
@@ -246,11 +254,11 @@
 		LowWatermark: m.GetLowWatermark(),
 	})
 	if err != nil {
-		return nil, s.refusedRecord(ctx, err)
+		return nil, s.recordError(ctx, err)
 	}
 	report := answer.Report
 	if answer.Task != nil {
-		hold(ctx, answer.Task, time.Duration(m.GetWaitMs())*time.Millisecond)
+		waitForEnd(ctx, answer.Task, time.Duration(m.GetWaitMs())*time.Millisecond)
 		report = answer.Task.Report()
 	}
 	return connect.NewResponse(&wirev1.ResolveResponse{
@@ -261,8 +269,8 @@
 	}), nil
 }
 
-// hold waits a bounded time for the end of a task.
-func hold(ctx context.Context, t *ledger.Task, wait time.Duration) {
+// waitForEnd waits for the end of a task, for at most maxResolveWait.
+func waitForEnd(ctx context.Context, t *ledger.Task, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
@@ -284,7 +292,7 @@
 		Incarnation: m.GetGuardIncarnation(),
 	})
 	if err != nil {
-		return nil, s.refusedRecord(ctx, err)
+		return nil, s.recordError(ctx, err)
 	}
 	return connect.NewResponse(&wirev1.CancelResponse{
 		Session: m.GetSession(),
@@ -309,24 +317,25 @@
 	}), nil
 }
 
-func (s *Server) runnerGone(r *registration.Runner, cause string) {
+func (s *Server) runnerUnreachable(r *registration.Runner, cause string) {
 	s.opts.Runners.Lost(r)
-	eventRunnerLost.Log(context.Background(), s.opts.Logger,
+	eventRunnerUnreachable.Log(context.Background(), s.opts.Logger,
 		slog.String("address", r.Address.String()), slog.String("cause", cause))
 }
 
-// refusedRecord turns an error of the ledger on the path of a task.
-func (s *Server) refusedRecord(ctx context.Context, err error) error {
+// recordError counts a start that the full ledger rejected, and converts the
+// ledger's error into a connect error.
+func (s *Server) recordError(ctx context.Context, err error) error {
 	if errors.Is(err, ledger.ErrFull) {
-		s.meter.recordsFull.Inc(1)
+		s.metrics.recordsFull.Inc(1)
 		eventRecordsFull.Log(ctx, s.opts.Logger)
 	}
-	return asConnect(err)
+	return toConnectError(err)
 }
 
-// asConnect turns an error of the ledger into one of the protocol. None of
-// these says whether a task started.
-func asConnect(err error) error {
+// toConnectError converts an error of the ledger into a connect error. None of
+// these codes implies that a task did or did not start.
+func toConnectError(err error) error {
 	code := connect.CodeInternal
 	switch {
 	case errors.Is(err, ledger.ErrInvalidSeq), errors.Is(err, ledger.ErrInvalidEntry):
--- a/guard/server/server_test.go
+++ b/guard/server/server_test.go
@@ -37,30 +37,30 @@
 	queueLen    = 2
 	maxPayload  = 1 << 16
 
-	finished = wirev1.TaskState_TASK_STATE_FINISHED
-	never    = wirev1.TaskState_TASK_STATE_NEVER_STARTED
+	finished     = wirev1.TaskState_TASK_STATE_FINISHED
+	neverStarted = wirev1.TaskState_TASK_STATE_NEVER_STARTED
 )
 
-// Kinds of tasks, by which the fake runner behaves.
+// Kinds of tasks, which select the behaviour of the fake runner.
 const (
-	echo   = "echo"
-	hold   = "hold"
-	refuse = "refuse"
-	cut    = "cut"
+	echo     = "echo"
+	hold     = "hold"
+	refuse   = "refuse"
+	truncate = "cut"
 )
 
-// fakeRunner keeps the record of what started.
+// fakeRunner is a runner that counts the starts of each task.
 type fakeRunner struct {
 	*httptest.Server
 	release chan struct{}
-	// finish lets the tasks that are held end.
+	// finish lets the tasks of kind hold return.
 	finish func()
 
-	mu      sync.Mutex
-	starts  map[string]int
-	running int
-	most    int
-	stopped int
+	mu           sync.Mutex
+	starts       map[string]int
+	running      int
+	maxRunning   int
+	stoppedCalls int
 }
 
 func newFakeRunner(t testing.TB) *fakeRunner {
@@ -87,10 +87,10 @@
 		case <-f.release:
 		case <-r.Context().Done():
 			f.mu.Lock()
-			f.stopped++
+			f.stoppedCalls++
 			f.mu.Unlock()
 		}
-	case cut:
+	case truncate:
 		w.Header().Set("Content-Length", "100")
 	}
 	_, _ = w.Write(body)
@@ -101,7 +101,7 @@
 	defer f.mu.Unlock()
 	f.starts[task]++
 	f.running++
-	f.most = max(f.most, f.running)
+	f.maxRunning = max(f.maxRunning, f.running)
 }
 
 func (f *fakeRunner) end() {
@@ -110,14 +110,14 @@
 	f.running--
 }
 
-// ran returns how often a task started.
-func (f *fakeRunner) ran(task string) int {
+// startCount returns how often a task was started.
+func (f *fakeRunner) startCount(task string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts[task+"/0"]
 }
 
-// harness is a guard's server over h2c with a fake runner.
+// harness is a guard server over h2c with a fake runner behind it.
 type harness struct {
 	t        testing.TB
 	server   *server.Server
@@ -125,15 +125,15 @@
 	registry *registration.Registry
 	address  string
 	client   wirev1connect.GuardServiceClient
-	// ahead is added to the clock, in nanoseconds.
-	ahead atomic.Int64
+	// clockOffset is added to the clock, in nanoseconds.
+	clockOffset atomic.Int64
 }
 
-func (h *harness) now() time.Time { return time.Now().Add(time.Duration(h.ahead.Load())) }
+func (h *harness) now() time.Time { return time.Now().Add(time.Duration(h.clockOffset.Load())) }
 
 func newHarness(t testing.TB, slots int, change func(*server.Options)) *harness {
 	h := &harness{t: t, runner: newFakeRunner(t)}
-	var minted atomic.Int32
+	var sessionsCreated atomic.Int32
 	opts := server.Options{
 		GuardID:     "g1",
 		Incarnation: incarnation,
@@ -150,7 +150,7 @@
 		Ledger: ledger.New(ledger.Options{
 			Incarnation: incarnation, Lease: lease, MaxSessions: 100, MaxEntrySessions: 100,
 			MaxRecords: 10000, MaxSessionRecords: 1000, MaxResultBytes: 1 << 20,
-			NewSessionID: func() string { return fmt.Sprint("session-", minted.Add(1)) },
+			NewSessionID: func() string { return fmt.Sprint("session-", sessionsCreated.Add(1)) },
 		}),
 	}
 	h.registry = registration.New(registration.Options{
@@ -170,7 +170,8 @@
 	s.Config.Protocols = h2c()
 	s.Start()
 	t.Cleanup(s.Close)
-	// First of all in the end, for the others wait for what runs.
+	// Registered last and so run first: the other cleanups wait for running
+	// tasks.
 	t.Cleanup(h.runner.finish)
 	h.address = s.Listener.Addr().String()
 	h.client = newClient(h.address)
@@ -204,7 +205,7 @@
 	return resp.Msg.GetSession()
 }
 
-// request is a start whose submission is the task's name.
+// request returns a start whose submission id is the task's name.
 func request(session string, seq uint64, name, kind string) *wirev1.StartRequest {
 	payload := []byte("payload of " + name)
 	sum := sha256.Sum256(payload)
@@ -223,8 +224,9 @@
 	return resp.Msg.GetReport()
 }
 
-// launch starts in the background and returns where the report comes.
-func (h *harness) launch(m *wirev1.StartRequest) <-chan *wirev1.TaskReport {
+// startAsync starts a task in the background and returns the channel that
+// receives its report.
+func (h *harness) startAsync(m *wirev1.StartRequest) <-chan *wirev1.TaskReport {
 	out := make(chan *wirev1.TaskReport, 1)
 	go func() { out <- h.start(m) }()
 	return out
@@ -256,110 +258,111 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(30*time.Second))
 }
 
-func (h *harness) waiting(n uint32) {
+func (h *harness) waitForOpen(n uint32) {
 	h.t.Helper()
 	h.waitFor("open tasks", func() bool { return h.server.Load("").GetOthersOpen() == n })
 }
 
-func refusedFor(t *testing.T, r *wirev1.TaskReport, reason wirev1.RefusalReason) {
+func assertRefused(t *testing.T, r *wirev1.TaskReport, reason wirev1.RefusalReason) {
 	t.Helper()
-	assert.Equal(t, r.GetState(), never, "%v", r)
+	assert.Equal(t, r.GetState(), neverStarted, "%v", r)
 	assert.Equal(t, r.GetReason(), reason)
 }
 
-// A reply is lost, the entry resolves and hears "never started", and only then
-// does the start come out of a slow socket. It must find the bar.
+// A reply is lost, the entry resolves the start and gets "never started", and
+// only then does the delayed start arrive. It must be refused.
 func TestDelayedStartAfterResolveIsRefused(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	session := h.hello("e1", 1)
-	refusedFor(t, h.resolve(session, 1), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
-	refusedFor(t, h.start(request(session, 1, "late", echo)), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
-	refusedFor(t, h.cancel(session, 2), wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
-	refusedFor(t, h.start(request(session, 2, "late", echo)), wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
-	assert.Equal(t, h.runner.ran("late"), 0)
+	assertRefused(t, h.resolve(session, 1), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
+	assertRefused(t, h.start(request(session, 1, "late", echo)), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
+	assertRefused(t, h.cancel(session, 2), wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+	assertRefused(t, h.start(request(session, 2, "late", echo)), wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+	assert.Equal(t, h.runner.startCount("late"), 0)
 }
 
-// Copies of one start arrive while it runs and after its end. All get the one
-// report; the task runs once.
+// Duplicates of a start arrive while it runs and after its end. The task must run
+// once and all of them must get the same report.
 func TestCopiesOfAStartRunOnce(t *testing.T) {
 	h := newHarness(t, 4, nil)
 	session := h.hello("e1", 1)
 	m := request(session, 1, "copied", hold)
 	var reports []<-chan *wirev1.TaskReport
 	for range 8 {
-		reports = append(reports, h.launch(m))
+		reports = append(reports, h.startAsync(m))
 	}
-	h.waitFor("start", func() bool { return h.runner.ran("copied") == 1 })
+	h.waitFor("start", func() bool { return h.runner.startCount("copied") == 1 })
 	h.runner.finish()
-	reports = append(reports, h.launch(m))
+	reports = append(reports, h.startAsync(m))
 	for _, r := range reports {
 		assert.Equal(t, string((<-r).GetResult().GetPayload()), "payload of copied")
 	}
-	assert.Equal(t, h.runner.ran("copied"), 1)
+	assert.Equal(t, h.runner.startCount("copied"), 1)
 	assert.Equal(t, h.start(request(session, 1, "copied", hold)).GetState(), finished)
 }
 
-// The entry's connection breaks while its task runs. The task goes on, and the
-// entry gets the result over a new connection.
+// The entry's connection breaks while its task runs. The task must continue, and
+// the entry must get the result over a new connection.
 func TestBrokenConnectionDoesNotEndTheTask(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
-	ctx, breakOff := context.WithCancel(t.Context())
+	ctx, cancelStart := context.WithCancel(t.Context())
 	broken := make(chan error, 1)
 	go func() {
 		_, err := h.client.Start(ctx, connect.NewRequest(request(session, 1, "kept", hold)))
 		broken <- err
 	}()
-	h.waitFor("start", func() bool { return h.runner.ran("kept") == 1 })
-	breakOff()
+	h.waitFor("start", func() bool { return h.runner.startCount("kept") == 1 })
+	cancelStart()
 	assert.Equal(t, connect.CodeOf(<-broken), connect.CodeCanceled)
 	h.runner.finish()
 	r := h.resolve(session, 1)
 	assert.Equal(t, string(r.GetResult().GetPayload()), "payload of kept")
-	assert.Equal(t, h.runner.stopped, 0)
+	assert.Equal(t, h.runner.stoppedCalls, 0)
 }
 
-// Cancels meet a task that runs and one that waits. The first is stopped at the
-// runner and ends as cancelled, the second never starts, and no slot is lost.
+// A running and a queued task are cancelled. The first must be stopped at the
+// runner and end as cancelled, the second must never start, and no slot may leak.
 func TestCancel(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
-	first := h.launch(request(session, 1, "first", hold))
-	h.waitFor("start", func() bool { return h.runner.ran("first") == 1 })
-	second := h.launch(request(session, 2, "second", echo))
-	h.waiting(2)
-	refusedFor(t, h.cancel(session, 2), wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
-	refusedFor(t, <-second, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
-	h.waiting(1)
+	first := h.startAsync(request(session, 1, "first", hold))
+	h.waitFor("start", func() bool { return h.runner.startCount("first") == 1 })
+	second := h.startAsync(request(session, 2, "second", echo))
+	h.waitForOpen(2)
+	assertRefused(t, h.cancel(session, 2), wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+	assertRefused(t, <-second, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+	h.waitForOpen(1)
 	assert.Equal(t, h.cancel(session, 1).GetState(), wirev1.TaskState_TASK_STATE_RUNNING)
 	r := <-first
 	assert.Equal(t, r.GetState(), finished)
 	assert.Equal(t, r.GetResult().GetFailure(), wirev1.FailureCode_FAILURE_CODE_CANCELLED)
-	assert.Equal(t, h.runner.stopped, 1)
+	assert.Equal(t, h.runner.stoppedCalls, 1)
 	assert.Equal(t, h.start(request(session, 3, "third", echo)).GetState(), finished)
-	assert.Equal(t, h.runner.ran("second"), 0)
+	assert.Equal(t, h.runner.startCount("second"), 0)
 }
 
-// A task waits longer than its answer is of use: it is refused as never started
-// while the runner is still busy, and its place in the queue is free again.
+// A task's start budget expires in the queue. It must be refused as never started
+// while the runner is still busy, and its place in the queue must be freed.
 func TestBudgetSpentInQueue(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
-	first := h.launch(request(session, 1, "first", hold))
-	h.waitFor("start", func() bool { return h.runner.ran("first") == 1 })
+	first := h.startAsync(request(session, 1, "first", hold))
+	h.waitFor("start", func() bool { return h.runner.startCount("first") == 1 })
 	m := request(session, 2, "second", echo)
 	m.BudgetMs = 5
-	refusedFor(t, h.start(m), wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT)
-	h.waiting(1)
+	assertRefused(t, h.start(m), wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT)
+	h.waitForOpen(1)
 	h.runner.finish()
 	<-first
-	assert.Equal(t, h.runner.ran("second"), 0)
+	assert.Equal(t, h.runner.startCount("second"), 0)
 }
 
-// The guard is frozen past the budget of a task in its queue, or past the lease
-// with a start in its socket too. The entry gave up on them: none may run, though
-// the timers that should have ended them fire late.
-func TestThawedGuardStartsNothingOld(t *testing.T) {
+// The guard is suspended beyond the budget of a queued task, or beyond the
+// session lease with a start still in its socket buffer. The entry has given up
+// on both: neither may run, although the timers that should have ended them fire
+// late.
+func TestSuspendedGuardStartsNoExpiredTask(t *testing.T) {
 	cases := []struct {
 		frozen time.Duration
 		late   wirev1.TaskState
@@ -371,138 +374,139 @@
 		t.Run(c.frozen.String(), func(t *testing.T) {
 			h := newHarness(t, 1, nil)
 			session := h.hello("e1", 1)
-			first := h.launch(request(session, 1, "first", hold))
-			h.waitFor("start", func() bool { return h.runner.ran("first") == 1 })
-			queued := h.launch(request(session, 2, "queued", echo))
-			h.waiting(2)
-			h.ahead.Store(int64(c.frozen))
+			first := h.startAsync(request(session, 1, "first", hold))
+			h.waitFor("start", func() bool { return h.runner.startCount("first") == 1 })
+			queued := h.startAsync(request(session, 2, "queued", echo))
+			h.waitForOpen(2)
+			h.clockOffset.Store(int64(c.frozen))
 			h.runner.finish()
 			assert.Equal(t, (<-first).GetState(), finished)
-			assert.Equal(t, (<-queued).GetState(), never)
+			assert.Equal(t, (<-queued).GetState(), neverStarted)
 			assert.Equal(t, h.start(request(session, 3, "late", echo)).GetState(), c.late)
-			assert.Equal(t, h.runner.ran("queued"), 0)
-			assert.Equal(t, h.runner.ran("late") == 1, c.late == finished)
+			assert.Equal(t, h.runner.startCount("queued"), 0)
+			assert.Equal(t, h.runner.startCount("late") == 1, c.late == finished)
 		})
 	}
 }
 
-// The entry restarts and says Hello. What waits for its former self never
-// starts; what runs ends and frees its slot.
-func TestNewEntryIncarnationDropsWhatWaits(t *testing.T) {
+// The entry restarts and sends Hello. Queued tasks of its previous incarnation
+// must never start; running ones end and free their slots.
+func TestNewEntryIncarnationDropsQueuedTasks(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	old := h.hello("e1", 1)
-	first := h.launch(request(old, 1, "first", hold))
-	h.waitFor("start", func() bool { return h.runner.ran("first") == 1 })
-	queued := h.launch(request(old, 2, "queued", echo))
-	h.waiting(2)
+	first := h.startAsync(request(old, 1, "first", hold))
+	h.waitFor("start", func() bool { return h.runner.startCount("first") == 1 })
+	queued := h.startAsync(request(old, 2, "queued", echo))
+	h.waitForOpen(2)
 	fresh := h.hello("e1", 2)
-	refusedFor(t, <-queued, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
+	assertRefused(t, <-queued, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 	h.runner.finish()
 	assert.Equal(t, (<-first).GetState(), finished)
 	assert.Equal(t, h.start(request(fresh, 1, "fresh", echo)).GetState(), finished)
 	assert.Equal(t, h.resolve(old, 1).GetState(), wirev1.TaskState_TASK_STATE_UNKNOWN_SESSION)
-	assert.Equal(t, h.runner.ran("queued"), 0)
+	assert.Equal(t, h.runner.startCount("queued"), 0)
 }
 
-// Each of these is refused before the runner is called, and the refusal stays:
-// a second, correct copy of the same start must not run after it.
-func TestRefusalsStay(t *testing.T) {
+// Each of these starts is refused before it runs, and the refusal must be
+// permanent: a correct duplicate of the start must not run later.
+func TestRefusalsArePermanent(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
 	damaged := request(session, 1, "damaged", echo)
 	damaged.Task.Payload = []byte("other")
-	refusedFor(t, h.start(damaged), wirev1.RefusalReason_REFUSAL_REASON_DIGEST_MISMATCH)
-	refusedFor(t, h.start(request(session, 1, "damaged", echo)), wirev1.RefusalReason_REFUSAL_REASON_DIGEST_MISMATCH)
-	stray := request(session, 2, "stray", echo)
-	stray.Task.Service = "dispatch"
-	refusedFor(t, h.start(stray), wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE)
-	refusedFor(t, h.start(request(session, 3, "busy", refuse)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
-	refusedFor(t, h.start(request(session, 3, "busy", echo)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
+	assertRefused(t, h.start(damaged), wirev1.RefusalReason_REFUSAL_REASON_DIGEST_MISMATCH)
+	assertRefused(t, h.start(request(session, 1, "damaged", echo)), wirev1.RefusalReason_REFUSAL_REASON_DIGEST_MISMATCH)
+	wrongService := request(session, 2, "stray", echo)
+	wrongService.Task.Service = "dispatch"
+	assertRefused(t, h.start(wrongService), wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE)
+	assertRefused(t, h.start(request(session, 3, "busy", refuse)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
+	assertRefused(t, h.start(request(session, 3, "busy", echo)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
 	late := request(session, 4, "late", echo)
 	late.BudgetMs = 0
-	refusedFor(t, h.start(late), wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT)
+	assertRefused(t, h.start(late), wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT)
 	assert.Equal(t, len(h.runner.starts), 0)
-	short := h.start(request(session, 5, "short", cut))
+	short := h.start(request(session, 5, "short", truncate))
 	assert.Equal(t, short.GetResult().GetFailure(), wirev1.FailureCode_FAILURE_CODE_TRUNCATED)
 }
 
-// The runner announces that it leaves while one task runs and one waits: the
-// first ends, the second and new ones are refused.
+// The runner announces that it is leaving while one task runs and one is queued.
+// The first must end; the second and all new ones must be refused.
 func TestRunnerLeaves(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
-	first := h.launch(request(session, 1, "first", hold))
-	h.waitFor("start", func() bool { return h.runner.ran("first") == 1 })
-	queued := h.launch(request(session, 2, "queued", echo))
-	h.waiting(2)
+	first := h.startAsync(request(session, 1, "first", hold))
+	h.waitFor("start", func() bool { return h.runner.startCount("first") == 1 })
+	queued := h.startAsync(request(session, 2, "queued", echo))
+	h.waitForOpen(2)
 	h.announce(1, true)
-	refusedFor(t, <-queued, wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
-	refusedFor(t, h.start(request(session, 3, "new", echo)), wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
+	assertRefused(t, <-queued, wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
+	assertRefused(t, h.start(request(session, 3, "new", echo)), wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
 	h.runner.finish()
 	assert.Equal(t, (<-first).GetState(), finished)
 	assert.Assert(t, h.server.Load("").GetLeaving())
 	assert.Equal(t, len(h.runner.starts), 1)
 }
 
-// A runner comes back for another service while a task of the former one waits:
-// the task must not run there. A start of the wrong service is refused at once,
-// also when no slot is free.
+// A runner returns with another service while a task of the previous one is
+// queued: the task must not run there. A start for the wrong service must be
+// refused at once, even if no slot is free.
 func TestServiceChangesUnderWaitingTask(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
-	first := h.launch(request(session, 1, "first", hold))
-	h.waitFor("start", func() bool { return h.runner.ran("first") == 1 })
-	stray := request(session, 2, "stray", echo)
-	stray.Task.Service = "dispatch"
-	refusedFor(t, h.start(stray), wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE)
-	queued := h.launch(request(session, 3, "queued", echo))
-	h.waiting(2)
+	first := h.startAsync(request(session, 1, "first", hold))
+	h.waitFor("start", func() bool { return h.runner.startCount("first") == 1 })
+	wrongService := request(session, 2, "stray", echo)
+	wrongService.Task.Service = "dispatch"
+	assertRefused(t, h.start(wrongService), wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE)
+	queued := h.startAsync(request(session, 3, "queued", echo))
+	h.waitForOpen(2)
 	changed := h.registry.Current(h.now()).Announcement
 	changed.Service = "dispatch"
 	assert.NilError(t, h.registry.Announce(h.now(), changed))
 	h.runner.finish()
 	assert.Equal(t, (<-first).GetState(), finished)
-	refusedFor(t, <-queued, wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE)
-	assert.Equal(t, h.runner.ran("queued"), 0)
+	assertRefused(t, <-queued, wirev1.RefusalReason_REFUSAL_REASON_WRONG_SERVICE)
+	assert.Equal(t, h.runner.startCount("queued"), 0)
 }
 
-// The runner's process dies. The first start finds nobody at its address, the
-// next ones are refused without a try until it announces itself again.
+// The runner's process dies. The first start gets a refused connection; the next
+// ones must be refused without an attempt until the runner announces itself
+// again.
 func TestRunnerDies(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	session := h.hello("e1", 1)
 	h.runner.Close()
-	refusedFor(t, h.start(request(session, 1, "a", echo)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
+	assertRefused(t, h.start(request(session, 1, "a", echo)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
 	assert.Assert(t, !h.server.Load("").GetRunnerPresent())
-	refusedFor(t, h.start(request(session, 2, "b", echo)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
+	assertRefused(t, h.start(request(session, 2, "b", echo)), wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
 	h.announce(1, false)
 	assert.Assert(t, h.server.Load("").GetRunnerPresent())
 }
 
-// slowRunners holds the end of a task whose runner is gone.
-type slowRunners struct {
+// blockingRegistry blocks the end of a task whose runner is unreachable.
+type blockingRegistry struct {
 	*registration.Registry
 	entered, release chan struct{}
 }
 
-func (r *slowRunners) Lost(gone *registration.Runner) {
+func (r *blockingRegistry) Lost(gone *registration.Runner) {
 	close(r.entered)
 	<-r.release
 	r.Registry.Lost(gone)
 }
 
-// The last task has given its slot back, and its end is not in the ledger yet.
-// A shutdown that took the free slot for the end would lose the report.
+// The last task has released its slot, but its end is not yet recorded in the
+// ledger. A drain that looked only at the slots would lose the report.
 func TestDrainWaitsForTheReport(t *testing.T) {
-	slow := &slowRunners{entered: make(chan struct{}), release: make(chan struct{})}
+	blocking := &blockingRegistry{entered: make(chan struct{}), release: make(chan struct{})}
 	h := newHarness(t, 1, func(o *server.Options) {
-		slow.Registry = o.Runners.(*registration.Registry)
-		o.Runners = slow
+		blocking.Registry = o.Runners.(*registration.Registry)
+		o.Runners = blocking
 	})
 	session := h.hello("e1", 1)
 	h.runner.Close()
-	report := h.launch(request(session, 1, "last", echo))
-	<-slow.entered
+	report := h.startAsync(request(session, 1, "last", echo))
+	<-blocking.entered
 	drained := make(chan error, 1)
 	go func() {
 		drained <- h.server.Drain(t.Context(), 0)
@@ -513,17 +517,18 @@
 		t.Error("drained before the report")
 	case <-time.After(50 * time.Millisecond):
 	}
-	close(slow.release)
-	refusedFor(t, <-report, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
+	close(blocking.release)
+	assertRefused(t, <-report, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
 	assert.NilError(t, <-drained)
 }
 
-// Two entries send far more than fits. The runner never holds more tasks than
-// slots, each start ends in one result or one refusal, and only the former ran.
-func TestOverloadKeepsToTheSlots(t *testing.T) {
+// Two entries send far more starts than there are slots. The runner must never
+// have more tasks than slots, and each start must end in one result, if it ran,
+// or one refusal.
+func TestOverloadNeverExceedsSlots(t *testing.T) {
 	const slots, perEntry = 3, 100
 	h := newHarness(t, slots, nil)
-	var ran atomic.Int32
+	var startCount atomic.Int32
 	var wg sync.WaitGroup
 	for _, entry := range []string{"e1", "e2"} {
 		session := h.hello(entry, 1)
@@ -533,7 +538,7 @@
 				r := h.start(request(session, seq, name, echo))
 				switch {
 				case r.GetState() == finished && r.GetResult().GetOk():
-					ran.Add(1)
+					startCount.Add(1)
 					assert.Check(t, string(r.GetResult().GetPayload()) == "payload of "+name)
 				case r.GetReason() != wirev1.RefusalReason_REFUSAL_REASON_QUEUE_FULL:
 					t.Errorf("%s: %v", name, r)
@@ -542,12 +547,13 @@
 		}
 	}
 	wg.Wait()
-	assert.Assert(t, h.runner.most <= slots, "%d at once", h.runner.most)
-	assert.Equal(t, len(h.runner.starts), int(ran.Load()))
+	assert.Assert(t, h.runner.maxRunning <= slots, "%d at once", h.runner.maxRunning)
+	assert.Equal(t, len(h.runner.starts), int(startCount.Load()))
 	assert.Equal(t, h.server.Load("").GetOthersOpen(), uint32(0))
 }
 
-// A caller without the cluster's secret can neither start nor bar anything.
+// A caller without the cluster secret must be able neither to start a task nor to
+// block one.
 func TestSecret(t *testing.T) {
 	h := newHarness(t, 1, func(o *server.Options) { o.Secret = "s3cret" })
 	_, err := h.client.Hello(t.Context(), connect.NewRequest(&wirev1.HelloRequest{EntryId: "e1", EntryIncarnation: 1}))
@@ -558,8 +564,8 @@
 	assert.NilError(t, err)
 }
 
-// Payloads over the bound, or more requests than fit into memory, are turned
-// away before the ledger; the entry then resolves them as never started.
+// Payloads over the limit, and requests over the memory limit, must be rejected
+// before they reach the ledger; the entry then resolves them as never started.
 func TestRequestsAreBounded(t *testing.T) {
 	h := newHarness(t, 1, func(o *server.Options) { o.MaxRequests = 150_000 })
 	session := h.hello("e1", 1)
@@ -567,15 +573,15 @@
 	big.Task.Payload = make([]byte, 3*maxPayload)
 	_, err := h.client.Start(t.Context(), connect.NewRequest(big))
 	assert.Equal(t, connect.CodeOf(err), connect.CodeResourceExhausted, "%v", err)
-	refusedFor(t, h.resolve(session, 1), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
+	assertRefused(t, h.resolve(session, 1), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
 	var held []<-chan *wirev1.TaskReport
 	for seq := uint64(2); seq <= 3; seq++ {
 		m := request(session, seq, fmt.Sprint(seq), hold)
 		m.Task.Payload = make([]byte, maxPayload/2)
 		sum := sha256.Sum256(m.Task.Payload)
 		m.Task.Digest = sum[:]
-		held = append(held, h.launch(m))
-		h.waiting(uint32(seq - 1))
+		held = append(held, h.startAsync(m))
+		h.waitForOpen(uint32(seq - 1))
 	}
 	m := request(session, 4, "over", echo)
 	m.Task.Payload = make([]byte, maxPayload)
@@ -585,16 +591,16 @@
 	for _, r := range held {
 		assert.Equal(t, (<-r).GetState(), finished)
 	}
-	refusedFor(t, h.resolve(session, 4), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
+	assertRefused(t, h.resolve(session, 4), wirev1.RefusalReason_REFUSAL_REASON_BARRED)
 }
 
-// relay passes bytes on to the guard and breaks its first connection after a
-// number of bytes from either side.
+// relay is a TCP proxy to the guard that breaks its first connection after a
+// given number of bytes in either direction.
 type relay struct {
 	net.Listener
-	target   string
-	up, down int64
-	conns    atomic.Int32
+	target         string
+	maxUp, maxDown int64
+	conns          atomic.Int32
 }
 
 func (r *relay) serve() {
@@ -603,35 +609,35 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c, r.conns.Add(1) == 1)
+		go r.forward(c, r.conns.Add(1) == 1)
 	}
 }
 
-func (r *relay) pass(c net.Conn, first bool) {
+func (r *relay) forward(c net.Conn, first bool) {
 	g, err := net.Dial("tcp", r.target)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	up, down := int64(1<<40), int64(1<<40)
+	maxUp, maxDown := int64(1<<40), int64(1<<40)
 	if first {
-		up, down = r.up, r.down
+		maxUp, maxDown = r.maxUp, r.maxDown
 	}
-	shut := func() {
+	closeBoth := func() {
 		_ = c.Close()
 		_ = g.Close()
 	}
 	go func() {
-		_, _ = io.CopyN(g, c, up)
-		shut()
+		_, _ = io.CopyN(g, c, maxUp)
+		closeBoth()
 	}()
-	_, _ = io.CopyN(c, g, down)
-	shut()
+	_, _ = io.CopyN(c, g, maxDown)
+	closeBoth()
 }
 
-// The connection from the entry breaks at every moment of a start, towards the
-// guard or back. Whatever the entry's transport does, the task runs at most
-// once, and what Resolve says afterwards over a new connection is true.
+// The connection from the entry breaks at any point of a start, towards the guard
+// or back. Whatever the entry's transport does, the task must run at most once,
+// and a later Resolve over a new connection must report what happened.
 func TestStartOverBreakingConnections(t *testing.T) {
 	h := newHarness(t, 8, nil)
 	for i := range int64(60) {
@@ -641,11 +647,11 @@
 				l, err := net.Listen("tcp", "127.0.0.1:0")
 				assert.NilError(t, err)
 				defer func() { _ = l.Close() }()
-				r := &relay{Listener: l, target: h.address, up: 1 << 40, down: 1 << 40}
+				r := &relay{Listener: l, target: h.address, maxUp: 1 << 40, maxDown: 1 << 40}
 				if back {
-					r.down = i * 6
+					r.maxDown = i * 6
 				} else {
-					r.up = i * 12
+					r.maxUp = i * 12
 				}
 				go r.serve()
 				session := h.hello("e1", 1)
@@ -658,17 +664,17 @@
 				if report.GetState() == finished {
 					want = 1
 				} else {
-					refusedFor(t, report, wirev1.RefusalReason_REFUSAL_REASON_BARRED)
+					assertRefused(t, report, wirev1.RefusalReason_REFUSAL_REASON_BARRED)
 				}
 				assert.Equal(t, h.start(request(session, 1, name, echo)).GetState(), report.GetState())
-				assert.Equal(t, h.runner.ran(name), want)
+				assert.Equal(t, h.runner.startCount(name), want)
 			})
 		}
 	}
 }
 
-// BenchmarkStart is one task at a time from a client through the guard to a
-// runner and back, all in this process.
+// BenchmarkStart runs one task at a time from a client through the guard to a
+// runner and back, all in one process.
 func BenchmarkStart(b *testing.B) {
 	h := newHarness(b, 8, nil)
 	session := h.hello("e1", 1)
