--- a/guard/node/listener.go
+++ b/guard/node/listener.go
@@ -5,53 +5,53 @@
 	"sync"
 )
 
-// bounded is a listener that accepts no further connection while a number of
-// them are open: idle connections without end would fill the memory. Those
-// beyond wait in the kernel's queue, which is bounded too.
-type bounded struct {
+// limitedListener limits the number of open connections, since an unbounded
+// number of idle ones would exhaust the memory. Further connections wait in the
+// kernel's accept queue, which is bounded too.
+type limitedListener struct {
 	net.Listener
-	room chan struct{}
-	done chan struct{}
-	once sync.Once
+	places chan struct{}
+	done   chan struct{}
+	once   sync.Once
 }
 
-func bound(l net.Listener, connections int) *bounded {
-	return &bounded{
+func limitConns(l net.Listener, connections int) *limitedListener {
+	return &limitedListener{
 		Listener: l,
-		room:     make(chan struct{}, connections),
+		places:   make(chan struct{}, connections),
 		done:     make(chan struct{}),
 	}
 }
 
 // Accept implements net.Listener.
-func (b *bounded) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case b.room <- struct{}{}:
-	case <-b.done:
+	case l.places <- struct{}{}:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
-	c, err := b.Listener.Accept()
+	c, err := l.Listener.Accept()
 	if err != nil {
-		<-b.room
+		<-l.places
 		return nil, err
 	}
-	return &boundedConn{Conn: c, leave: sync.OnceFunc(func() { <-b.room })}, nil
+	return &limitedConn{Conn: c, release: sync.OnceFunc(func() { <-l.places })}, nil
 }
 
 // Close implements net.Listener.
-func (b *bounded) Close() error {
-	b.once.Do(func() { close(b.done) })
-	return b.Listener.Close()
+func (l *limitedListener) Close() error {
+	l.once.Do(func() { close(l.done) })
+	return l.Listener.Close()
 }
 
-// boundedConn gives its room back when it is closed.
-type boundedConn struct {
+// limitedConn releases its place when it is closed.
+type limitedConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
 // Close implements net.Conn.
-func (c *boundedConn) Close() error {
-	c.leave()
+func (c *limitedConn) Close() error {
+	c.release()
 	return c.Conn.Close()
 }
--- a/guard/node/listener_test.go
+++ b/guard/node/listener_test.go
@@ -10,13 +10,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A peer opens connections and leaves them idle. Only as many as the bound are
-// taken, the next one after another is closed, and a closed listener waits for
-// nobody.
+// A peer opens connections and leaves them idle. Only as many as the limit may be
+// accepted, the next one once another is closed, and Accept must return when the
+// listener is closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	l := bound(inner, 1)
+	l := limitConns(inner, 1)
 	for range 2 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		assert.NilError(t, err)
@@ -24,28 +24,29 @@
 	}
 	first, err := l.Accept()
 	assert.NilError(t, err)
-	taken := make(chan error, 2)
+	accepted := make(chan error, 2)
 	accept := func() {
 		c, err := l.Accept()
-		// Closed before it is told, so that the room is free when it is counted.
+		// Close the connection before reporting it, so that its place is free
+		// when places are counted.
 		if err == nil {
 			_ = c.Close()
 		}
-		taken <- err
+		accepted <- err
 	}
 	go accept()
-	assert.Equal(t, len(l.room), 1)
+	assert.Equal(t, len(l.places), 1)
 	select {
-	case <-taken:
+	case <-accepted:
 		t.Fatal("a connection over the bound was taken")
 	default:
 	}
 	assert.NilError(t, first.Close())
 	_ = first.Close()
-	assert.NilError(t, <-taken)
-	assert.Equal(t, len(l.room), 0)
-	l.room <- struct{}{}
+	assert.NilError(t, <-accepted)
+	assert.Equal(t, len(l.places), 0)
+	l.places <- struct{}{}
 	go accept()
 	assert.NilError(t, l.Close())
-	assert.ErrorIs(t, <-taken, net.ErrClosed)
+	assert.ErrorIs(t, <-accepted, net.ErrClosed)
 }
--- a/guard/node/node.go
+++ b/guard/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts a guard together from its settings. Several nodes may live
-// in one process, for tests and measurements.
+// Package node assembles a guard from its settings. Several nodes can run in one
+// process, for tests and measurements.
 package node
 
 import (
@@ -29,35 +29,39 @@
 	wirev1 "almondstand.dev/wire/wirev1"
 )
 
-// ErrListen means that an address of the settings can't be listened on.
+// ErrListen is returned if an address of the settings can't be listened on.
 var ErrListen = errors.New("guard: can't listen")
 
-// ErrCut means that the shutdown's limit passed before everything was answered.
+// ErrCut is returned if the drain limit passed before every running task was
+// answered.
 var ErrCut = errors.New("guard: shutdown cut short")
 
 const (
-	// sweep is the pause between two looks for lapsed leases and ttls.
-	sweep = 500 * time.Millisecond
-	// tellLimit bounds how long a leaving guard waits for entries to confirm.
-	tellLimit = 3 * time.Second
+	// sweepInterval is the interval at which expired leases and TTLs are removed.
+	sweepInterval = 500 * time.Millisecond
+	// leaveNoticeTimeout bounds how long a leaving guard waits for the entries to
+	// confirm the notice.
+	leaveNoticeTimeout = 3 * time.Second
 
-	// closeLimit bounds the closing of a server when nothing runs any more.
-	closeLimit = 3 * time.Second
+	// shutdownTimeout bounds the shutdown of an HTTP server once no task runs.
+	shutdownTimeout = 3 * time.Second
 
-	// maxInternalConns allows every entry several connections.
+	// maxInternalConns leaves room for several connections from every entry.
 	maxInternalConns = 1024
 	maxLocalConns    = 128
 
 	maxEntrySessions = 8
-	// sessionRecordShare is the part of all records that one session may take.
+	// sessionRecordShare is the divisor that gives the records one session may
+	// hold out of all.
 	sessionRecordShare = 4
 
 	readHeaderTimeout = 5 * time.Second
 	localReadTimeout  = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// A connection from which nothing comes is asked by a ping: one that lost
-	// its other end without a word would be kept, and its calls with it.
-	pingAfter     = 5 * time.Second
+	// A silent connection is checked with an HTTP/2 ping. Otherwise a connection
+	// whose peer disappeared without closing it would be kept, and its calls with
+	// it.
+	pingInterval  = 5 * time.Second
 	pingTimeout   = 2 * time.Second
 	writeTimeout  = 10 * time.Second
 	maxStreams    = 1024
@@ -65,11 +69,11 @@
 	sessionRandom = 12
 )
 
-// Options of a Node beside its settings.
+// Options configure a Node in addition to its settings.
 type Options struct {
 	Logger  *slog.Logger
 	Metrics *telemetry.Metrics
-	// Incarnation; 0 means the wall clock in nanoseconds.
+	// Incarnation of the guard; 0 means the wall clock in nanoseconds.
 	Incarnation uint64
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -90,7 +94,7 @@
 	process     *telemetry.Process
 }
 
-// New returns a guard that listens already; Run serves.
+// New returns a guard that is already listening; Run serves its connections.
 func New(s config.Settings, opts Options) (*Node, error) {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -112,13 +116,13 @@
 	if err != nil {
 		return eris.Wrap(errors.Join(ErrListen, err), "listen.internal")
 	}
-	n.internal = bound(n.internal, maxInternalConns)
+	n.internal = limitConns(n.internal, maxInternalConns)
 	n.local, err = net.Listen("tcp", n.settings.Listen.Local.String())
 	if err != nil {
 		_ = n.internal.Close()
 		return eris.Wrap(errors.Join(ErrListen, err), "listen.local")
 	}
-	n.local = bound(n.local, maxLocalConns)
+	n.local = limitConns(n.local, maxLocalConns)
 	return nil
 }
 
@@ -172,7 +176,7 @@
 	})
 }
 
-// newSessionID mints an id that no other incarnation can mint.
+// newSessionID returns an id that is unique across incarnations of the guard.
 func (n *Node) newSessionID() string {
 	var random [sessionRandom]byte
 	_, _ = crand.Read(random[:])
@@ -196,12 +200,13 @@
 		eventRunnerGone.Log(ctx, n.opts.Logger)
 		return
 	}
-	eventRunner.Log(ctx, n.opts.Logger,
+	eventRunnerChanged.Log(ctx, n.opts.Logger,
 		slog.String("service", r.Service), slog.String("address", r.Address.String()),
 		slog.Int("slots", r.Slots), slog.Bool("leaving", r.Leaving))
 }
 
-// announcement is what entries are told now; nil until a runner was there.
+// announcement returns the guard's current state for entries, or nil if no runner
+// has ever been registered.
 func (n *Node) announcement() *wirev1.AnnounceRequest {
 	service := n.registry.Service()
 	if service == "" {
@@ -219,7 +224,7 @@
 	}
 }
 
-// Advertised is the address told to entries.
+// Advertised returns the address that entries are given.
 func (n *Node) Advertised() string {
 	if n.settings.Advertise.IsValid() {
 		return n.settings.Advertise.String()
@@ -227,17 +232,17 @@
 	return n.internal.Addr().String()
 }
 
-// InternalAddr is the address that serves entries.
+// InternalAddr returns the address that serves entries.
 func (n *Node) InternalAddr() string { return n.internal.Addr().String() }
 
-// LocalAddr is the address that serves the runner.
+// LocalAddr returns the address that serves the runner.
 func (n *Node) LocalAddr() string { return n.local.Addr().String() }
 
 // Incarnation returns the guard's incarnation.
 func (n *Node) Incarnation() uint64 { return n.incarnation }
 
 // Run serves until ctx ends, then shuts down gracefully: it refuses new starts,
-// tells its entries, finishes what runs and answers it.
+// notifies the entries, lets running tasks finish and returns their results.
 func (n *Node) Run(ctx context.Context) error {
 	internal := n.internalServer()
 	localServer := n.localServer()
@@ -245,9 +250,9 @@
 	stop := func(cancel context.CancelFunc) func(error) { return func(error) { cancel() } }
 
 	draining, drain := context.WithCancel(ctx)
-	g.Add(func() error { return n.untilDrained(draining) }, stop(drain))
-	g.Add(func() error { return serve(internal, n.internal) }, func(error) { finish(internal) })
-	g.Add(func() error { return serve(localServer, n.local) }, func(error) { finish(localServer) })
+	g.Add(func() error { return n.drainAfter(draining) }, stop(drain))
+	g.Add(func() error { return serve(internal, n.internal) }, func(error) { shutdown(internal) })
+	g.Add(func() error { return serve(localServer, n.local) }, func(error) { shutdown(localServer) })
 	announcing, stopAnnouncing := context.WithCancel(context.Background())
 	g.Add(func() error { return n.announcer.Run(announcing) }, stop(stopAnnouncing))
 	sweeping, stopSweeping := context.WithCancel(context.Background())
@@ -263,37 +268,37 @@
 	return err
 }
 
-// untilDrained waits for the end of ctx and then for the graceful shutdown.
-func (n *Node) untilDrained(ctx context.Context) error {
+// drainAfter waits for the end of ctx and then drains the guard.
+func (n *Node) drainAfter(ctx context.Context) error {
 	<-ctx.Done()
 	n.ready.Set(false)
 	limit, cancel := context.WithTimeout(context.Background(), n.settings.DrainLimit.Std())
 	defer cancel()
-	eventLeaving.Log(limit, n.opts.Logger)
+	eventDraining.Log(limit, n.opts.Logger)
 	n.server.Leave()
-	n.tell(limit)
+	n.notifyLeaving(limit)
 	if err := n.server.Drain(limit, n.settings.Linger.Std()); err != nil {
-		eventCut.Log(context.Background(), n.opts.Logger)
+		eventDrainLimitPassed.Log(context.Background(), n.opts.Logger)
 		return eris.Wrap(ErrCut, err.Error())
 	}
 	return nil
 }
 
-// tell announces to every entry that this guard leaves.
-func (n *Node) tell(ctx context.Context) {
+// notifyLeaving announces to every known entry that this guard is leaving.
+func (n *Node) notifyLeaving(ctx context.Context) {
 	if n.announcement() == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellLimit)
+	ctx, cancel := context.WithTimeout(ctx, leaveNoticeTimeout)
 	defer cancel()
 	if err := n.announcer.TellAll(ctx); err != nil {
-		eventNotTold.Log(ctx, n.opts.Logger, slog.String("cause", err.Error()))
+		eventLeaveNotConfirmed.Log(ctx, n.opts.Logger, slog.String("cause", err.Error()))
 	}
 }
 
-// sweep drops what has lapsed and brings the gauges up to date.
+// sweep periodically removes expired leases and TTLs and updates the gauges.
 func (n *Node) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweep)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -320,7 +325,7 @@
 		MaxHeaderBytes:    maxHeaderSize,
 		HTTP2: &http.HTTP2Config{
 			MaxConcurrentStreams: maxStreams,
-			SendPingTimeout:      pingAfter,
+			SendPingTimeout:      pingInterval,
 			PingTimeout:          pingTimeout,
 			WriteByteTimeout:     writeTimeout,
 		},
@@ -353,12 +358,12 @@
 	return err
 }
 
-// finish ends a server without cutting the replies that are on their way out.
-// It belongs in the actor's interrupt: Serve returns as soon as Shutdown is
-// called, which ends the whole group, so a Close there would cut what a
-// Shutdown elsewhere still waits for.
-func finish(s *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), closeLimit)
+// shutdown stops a server without cutting off responses that are being sent. It
+// must be called in the actor's interrupt function: Serve returns as soon as
+// Shutdown is called, which ends the whole group, so a Close there would cut off
+// the responses that a Shutdown elsewhere is still waiting for.
+func shutdown(s *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.Shutdown(ctx) != nil {
 		_ = s.Close()
--- a/guard/node/node_test.go
+++ b/guard/node/node_test.go
@@ -31,19 +31,19 @@
 
 const service = "teardown"
 
-// entry is a stand-in for an entry: it keeps the announcements.
+// entry is a fake entry that records the announcements.
 type entry struct {
 	wirev1connect.UnimplementedEntryServiceHandler
 	address string
 
-	mu  sync.Mutex
-	got []*wirev1.AnnounceRequest
+	mu            sync.Mutex
+	announcements []*wirev1.AnnounceRequest
 }
 
 func (e *entry) Announce(_ context.Context, req *connect.Request[wirev1.AnnounceRequest]) (*connect.Response[wirev1.AnnounceResponse], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.got = append(e.got, req.Msg)
+	e.announcements = append(e.announcements, req.Msg)
 	return connect.NewResponse(&wirev1.AnnounceResponse{
 		EntryId: "e1",
 		NextMs:  60_000,
@@ -55,10 +55,10 @@
 func (e *entry) last() *wirev1.AnnounceRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.got) == 0 {
+	if len(e.announcements) == 0 {
 		return nil
 	}
-	return e.got[len(e.got)-1]
+	return e.announcements[len(e.announcements)-1]
 }
 
 func h2c() *http.Protocols {
@@ -110,7 +110,7 @@
 	return g
 }
 
-// announceRunner announces a runner and returns the answer's status.
+// announceRunner announces a runner and returns the response status.
 func (g *guard) announceRunner(t *testing.T, address string, leaving bool) int {
 	body := fmt.Sprintf(`{"service":%q,"address":%q,"slots":2,"connections":4,"ttl":"1m","leaving":%v}`, service, address, leaving)
 	resp, err := http.Post("http://"+g.LocalAddr()+"/v1/announce", "application/json", strings.NewReader(body))
@@ -126,8 +126,9 @@
 	return wirev1connect.NewGuardServiceClient(hc, "http://"+address)
 }
 
-// slowly relays connections to a guard; what comes back passes in small parts.
-func slowly(t *testing.T, target string) string {
+// slowProxy forwards one connection to a guard and returns its responses slowly,
+// in small chunks.
+func slowProxy(t *testing.T, target string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -137,15 +138,15 @@
 			return
 		}
 		defer func() { _ = c.Close() }()
-		d, err := net.Dial("tcp", target)
+		upstream, err := net.Dial("tcp", target)
 		if err != nil {
 			return
 		}
-		defer func() { _ = d.Close() }()
-		_ = d.(*net.TCPConn).SetReadBuffer(64 << 10)
-		go func() { _, _ = io.Copy(d, c) }()
+		defer func() { _ = upstream.Close() }()
+		_ = upstream.(*net.TCPConn).SetReadBuffer(64 << 10)
+		go func() { _, _ = io.Copy(upstream, c) }()
 		for err == nil {
-			_, err = io.CopyN(c, d, 16<<10)
+			_, err = io.CopyN(c, upstream, 16<<10)
 			time.Sleep(time.Millisecond)
 		}
 	}()
@@ -158,7 +159,7 @@
 	return resp.Msg.GetSession()
 }
 
-// acknowledge says that everything below a sequence number is settled.
+// acknowledge acknowledges all starts below a sequence number.
 func acknowledge(t *testing.T, c wirev1connect.GuardServiceClient, g *guard, session string, low uint64) {
 	_, err := c.Ping(t.Context(), connect.NewRequest(&wirev1.PingRequest{
 		Session: session, GuardIncarnation: g.Incarnation(), LowWatermark: low,
@@ -194,14 +195,14 @@
 	}, poll.WithDelay(2*time.Millisecond), poll.WithTimeout(30*time.Second))
 }
 
-// A guard is told to end while a task runs: the entry sees the running task's
-// whole answer, a refusal that is true for a new one, and the notice that the
-// guard leaves. Only then does the guard end.
-func TestGracefulShutdownCutsNothing(t *testing.T) {
-	begun, release := make(chan struct{}), make(chan struct{})
+// A guard is stopped while a task runs. The entry must get the complete result of
+// the running task, a refusal as never started for a new one, and the notice that
+// the guard is leaving. Only then may the guard stop.
+func TestGracefulShutdownLosesNoResult(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		close(begun)
+		close(started)
 		<-release
 		_, _ = w.Write(append([]byte("done "), body...))
 	}))
@@ -223,16 +224,16 @@
 		}
 		running <- resp.Msg.GetReport()
 	}()
-	<-begun
+	<-started
 	g.stop()
-	waitFor(t, "notice of leaving", func() bool { return e.last().GetLeaving() })
+	waitFor(t, "leaving notice", func() bool { return e.last().GetLeaving() })
 	refused, err := c.Start(ctx, start(session, 2, g, "b"))
 	assert.NilError(t, err)
 	assert.Equal(t, refused.Msg.GetReport().GetState(), wirev1.TaskState_TASK_STATE_NEVER_STARTED)
 	assert.Equal(t, refused.Msg.GetReport().GetReason(), wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
 	select {
 	case err := <-g.ended:
-		t.Fatalf("ended with a task running: %v", err)
+		t.Fatalf("stopped while a task was running: %v", err)
 	default:
 	}
 	close(release)
@@ -242,24 +243,24 @@
 	assert.NilError(t, <-g.ended)
 }
 
-// The guard is told to end while a large answer goes out over a slow line. Most
-// of it is in the kernel's buffers, where a close of the connection can destroy
-// it: only the entry's acknowledgement shows that it got all.
+// The guard is stopped while a large result is sent over a slow connection. Most
+// of it is in the kernel's buffers, where closing the connection can discard it,
+// so the guard must wait for the entry's acknowledgement.
 func TestShutdownWaitsForSlowReply(t *testing.T) {
 	const size = 3 << 20
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(size))
-		close(begun)
+		close(started)
 		_, _ = w.Write(make([]byte, size))
 	}))
 	defer runner.Close()
 	g := startGuard(t, newEntry(t).address, time.Minute)
 	g.announceRunner(t, runner.Listener.Addr().String(), false)
-	c := clientOf(slowly(t, g.InternalAddr()))
+	c := clientOf(slowProxy(t, g.InternalAddr()))
 	session := hello(t, c)
 	go func() {
-		<-begun
+		<-started
 		g.stop()
 	}()
 	resp, err := c.Start(t.Context(), start(session, 1, g, "a"))
@@ -269,12 +270,12 @@
 	assert.NilError(t, <-g.ended)
 }
 
-// The reply to the last task of a leaving guard is cut. The guard stays until
-// the entry has resolved the task and acknowledged its result, and ends then.
+// The reply to the last task of a leaving guard is lost. The guard must keep
+// running until the entry has resolved the task and acknowledged its result.
 func TestLeavingGuardWaitsForAcknowledgement(t *testing.T) {
-	begun, release := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(begun)
+		close(started)
 		<-release
 		_, _ = io.WriteString(w, "done")
 	}))
@@ -284,14 +285,14 @@
 	g.announceRunner(t, runner.Listener.Addr().String(), false)
 	ctx, c := t.Context(), g.client()
 	session := hello(t, c)
-	cut, breakOff := context.WithCancel(ctx)
+	startCtx, cancelStart := context.WithCancel(ctx)
 	broken := make(chan error, 1)
 	go func() {
-		_, err := c.Start(cut, start(session, 1, g, "a"))
+		_, err := c.Start(startCtx, start(session, 1, g, "a"))
 		broken <- err
 	}()
-	<-begun
-	breakOff()
+	<-started
+	cancelStart()
 	assert.Assert(t, <-broken != nil)
 	g.stop()
 	close(release)
@@ -304,9 +305,10 @@
 	assert.NilError(t, <-g.ended)
 }
 
-// A second runner on the host is told that the place is taken; after the first
-// has said that it leaves, the second is taken and entries hear of it at once.
-func TestOneRunnerForOneGuard(t *testing.T) {
+// A second runner on the host must be rejected while the first is registered.
+// Once the first has announced that it is leaving, the second must be accepted,
+// and the entries must be notified of both changes at once.
+func TestSecondRunnerIsRejected(t *testing.T) {
 	e := newEntry(t)
 	g := startGuard(t, e.address, 0)
 	status := g.announceRunner(t, "127.0.0.1:4001", false)
