--- a/guard/announce/announce.go
+++ b/guard/announce/announce.go
@@ -1,6 +1,6 @@
-// Package announce tells entries of this guard. It finds the first entries
-// through the balancers' addresses in the settings; their answers name every
-// entry to announce to and the pause between announcements.
+// Package announce announces this guard to the entries. It discovers the first
+// entries through the balancer addresses in the settings; each response lists all
+// entries to announce to and the interval of the announcements.
 package announce
 
 import (
@@ -20,27 +20,27 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// ErrNoEntry means that an announcement reached no entry.
-var ErrNoEntry = errors.New("announce: no entry was told")
+// ErrNoEntry is returned if some entry did not confirm an announcement in time.
+var ErrNoEntry = errors.New("announce: an entry did not confirm the announcement")
 
 const (
 	callTimeout = 2 * time.Second
-	// idlePause is slept when nothing is due for a long time.
-	idlePause = time.Minute
-	// maxCalls bounds the announcements under way at a time.
+	// idleWait is the wait when no announcement is scheduled.
+	idleWait = time.Minute
+	// maxCalls bounds the number of concurrent announcements.
 	maxCalls = 16
-	// maxAnswer bounds an answer, in bytes.
-	maxAnswer   = 256 << 10
+	// maxResponse bounds the size of a response, in bytes.
+	maxResponse = 256 << 10
 	controlKind = "announce"
 	gzip        = "gzip"
 )
 
-// Options of an Announcer.
+// Options configure an Announcer.
 type Options struct {
-	// Balancers are IP and port of what leads to some entry.
+	// Balancers are the IP addresses and ports that lead to any of the entries.
 	Balancers []string
-	// Request makes the announcement of this moment; nil when there is nothing
-	// to announce yet.
+	// Request returns the announcement of the current state, or nil if there is
+	// nothing to announce yet.
 	Request func() *wirev1.AnnounceRequest
 	Secret  string
 	Now     func() time.Time
@@ -50,7 +50,7 @@
 	Control *telemetry.Control
 }
 
-// Announcer keeps the entries informed.
+// Announcer announces the guard to the entries periodically and after changes.
 type Announcer struct {
 	opts    Options
 	wake    chan struct{}
@@ -70,7 +70,7 @@
 	service   wirev1connect.EntryServiceClient
 }
 
-// New returns an announcer; Run starts it.
+// New returns an announcer, which Run starts.
 func New(opts Options) *Announcer {
 	return &Announcer{
 		opts:    opts,
@@ -84,15 +84,15 @@
 	}
 }
 
-// Changed makes every announcement due now.
+// Changed makes every announcement due immediately.
 func (a *Announcer) Changed() {
 	a.mu.Lock()
-	a.roster.hurry(a.opts.Now())
+	a.roster.announceNow(a.opts.Now())
 	a.mu.Unlock()
-	a.nudge()
+	a.wakeUp()
 }
 
-func (a *Announcer) nudge() {
+func (a *Announcer) wakeUp() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -105,7 +105,7 @@
 	defer a.close()
 	defer calls.Wait()
 	for {
-		due, pause := a.due()
+		due, wait := a.due()
 		for _, t := range due {
 			select {
 			case a.slots <- struct{}{}:
@@ -115,19 +115,19 @@
 			calls.Go(func() {
 				defer func() { <-a.slots }()
 				a.announce(ctx, t)
-				a.nudge()
+				a.wakeUp()
 			})
 		}
-		if !a.sleep(ctx, pause) {
+		if !a.sleep(ctx, wait) {
 			return nil
 		}
 	}
 }
 
-// due returns who is to be told now and how long to sleep then.
+// due returns the targets to announce to now, and the time to wait afterwards.
 func (a *Announcer) due() ([]*target, time.Duration) {
 	if a.opts.Request() == nil {
-		return nil, idlePause
+		return nil, idleWait
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,13 +135,13 @@
 	due, wake := a.roster.next(now)
 	a.entries.Update(float64(len(a.roster.entries())))
 	if wake.IsZero() {
-		return due, idlePause
+		return due, idleWait
 	}
 	return due, wake.Sub(now)
 }
 
-func (a *Announcer) sleep(ctx context.Context, pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+func (a *Announcer) sleep(ctx context.Context, wait time.Duration) bool {
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -153,19 +153,19 @@
 	}
 }
 
-// TellAll announces the present state to every known entry at once and waits
-// for their answers, trying again until ctx ends. It is for leaving.
+// TellAll announces the current state to every known entry at once and waits for
+// the responses, retrying until ctx ends. A guard that is leaving uses it.
 func (a *Announcer) TellAll(ctx context.Context) error {
 	a.mu.Lock()
 	known := a.roster.entries()
 	a.mu.Unlock()
-	told := make(chan bool, len(known))
+	confirmed := make(chan bool, len(known))
 	for _, t := range known {
-		go func() { told <- a.insist(ctx, t) }()
+		go func() { confirmed <- a.announceUntilConfirmed(ctx, t) }()
 	}
 	var n int
 	for range known {
-		if <-told {
+		if <-confirmed {
 			n++
 		}
 	}
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (a *Announcer) insist(ctx context.Context, t *target) bool {
+func (a *Announcer) announceUntilConfirmed(ctx context.Context, t *target) bool {
 	for {
 		if a.announce(ctx, t) {
 			return true
@@ -188,7 +188,7 @@
 	}
 }
 
-// announce makes one call and takes note of its end.
+// announce sends one announcement and records its outcome.
 func (a *Announcer) announce(ctx context.Context, t *target) bool {
 	resp, err := a.call(ctx, t)
 	a.mu.Lock()
@@ -200,7 +200,8 @@
 			eventFailed.Log(ctx, a.opts.Logger, slog.String("target", t.id), slog.String("address", t.address), slog.String("cause", err.Error()))
 		}
 		a.roster.failed(now, t)
-		// The connection may have gone silent while new ones work.
+		// The connection may be dead without having been closed, while new ones
+		// work.
 		a.discard(t)
 		return false
 	}
@@ -208,14 +209,14 @@
 	if t.failures > 0 {
 		eventRecovered.Log(ctx, a.opts.Logger, slog.String("target", t.id))
 	}
-	c := a.roster.answered(now, t, resp)
-	for _, fresh := range c.attached {
-		eventAttached.Log(ctx, a.opts.Logger, slog.String("entry", fresh.id), slog.String("address", fresh.address), slog.Uint64("incarnation", fresh.incarnation))
+	c := a.roster.responded(now, t, resp)
+	for _, added := range c.attached {
+		eventAttached.Log(ctx, a.opts.Logger, slog.String("entry", added.id), slog.String("address", added.address), slog.Uint64("incarnation", added.incarnation))
 	}
-	for _, gone := range c.detached {
-		eventDetached.Log(ctx, a.opts.Logger, slog.String("entry", gone.id))
+	for _, removed := range c.detached {
+		eventDetached.Log(ctx, a.opts.Logger, slog.String("entry", removed.id))
 	}
-	a.prune()
+	a.closeRemoved()
 	return true
 }
 
@@ -244,14 +245,14 @@
 		return c.service
 	}
 	transport := newTransport()
-	// A balancer would lead a kept connection to the same entry for ever.
+	// A balancer forwards all requests of a kept connection to the same entry.
 	transport.DisableKeepAlives = t.balancer
 	counted := a.opts.Control.Transport(transport, func(*http.Request) string { return controlKind })
 	c := &client{
 		transport: transport,
 		service: wirev1connect.NewEntryServiceClient(&http.Client{Transport: counted}, "http://"+t.address,
 			connect.WithAcceptCompression(gzip, nil, nil),
-			connect.WithReadMaxBytes(maxAnswer)),
+			connect.WithReadMaxBytes(maxResponse)),
 	}
 	a.clients[t] = c
 	return c.service
@@ -260,7 +261,7 @@
 func newTransport() *http.Transport {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
-	return &http.Transport{Protocols: &protocols, IdleConnTimeout: 2 * maxPause}
+	return &http.Transport{Protocols: &protocols, IdleConnTimeout: 2 * maxInterval}
 }
 
 // discard closes the connection to a target; the next call opens a new one.
@@ -271,8 +272,8 @@
 	}
 }
 
-// prune closes the connections to targets that are no more.
-func (a *Announcer) prune() {
+// closeRemoved closes the connections to targets that have been removed.
+func (a *Announcer) closeRemoved() {
 	for t := range a.clients {
 		if a.roster.targets[t.id] != t {
 			a.discard(t)
--- a/guard/announce/roster.go
+++ b/guard/announce/roster.go
@@ -8,55 +8,59 @@
 )
 
 const (
-	// minPause and maxPause bound what an entry may ask for.
-	minPause = 200 * time.Millisecond
-	maxPause = 5 * time.Minute
-	// firstRetry is the pause after one failure; it doubles up to maxRetry.
+	// minInterval and maxInterval bound the interval that an entry may ask for.
+	minInterval = 200 * time.Millisecond
+	maxInterval = 5 * time.Minute
+	// firstRetry is the retry delay after one failure; it doubles with each
+	// further failure up to maxRetry.
 	firstRetry = 200 * time.Millisecond
 	maxRetry   = 5 * time.Second
-	// discovery is the shortest pause between two announcements through a
-	// balancer while entries are known: it finds entries that no known one names.
-	discovery = 30 * time.Second
-	// discoveryRounds is how many of the entries' own pauses it is at least. In
-	// a large fleet those grow, and calls through the balancer would otherwise
-	// cost an entry more than all announcements together. An entry that nobody
-	// names is rare, and one that nobody answers for is looked for at once.
+	// discoveryInterval is the minimum interval of announcements through a
+	// balancer while entries are known. They discover entries that no known entry
+	// lists.
+	discoveryInterval = 30 * time.Second
+	// discoveryRounds is the minimum of the same interval in multiples of the
+	// interval that the entries ask for. That grows with the fleet, and calls
+	// through the balancer would otherwise cost an entry more than all
+	// announcements together. An entry that none of the others lists is rare, and
+	// if no known entry responds, discovery runs at once.
 	discoveryRounds = 5
-	// unnamedRounds is how many pauses an entry stays after it was last named.
-	unnamedRounds = 3
-	// maxEntries bounds the entries that are announced to.
+	// unlistedRounds is the number of intervals after which an entry is removed
+	// if no response lists it.
+	unlistedRounds = 3
+	// maxEntries bounds the number of entries to announce to.
 	maxEntries = 256
-	// spread is the part of a pause that jitter may take off: many guards that
-	// began together must not call together.
-	spread = 0.2
+	// jitter is the maximum fraction by which an interval is shortened at random,
+	// so that guards which started together don't announce at the same time.
+	jitter = 0.2
 )
 
-// target is one address that is announced to.
+// target is an address to announce to.
 type target struct {
-	// id is the entry's, or the address of a balancer.
+	// id is the entry's id, or the address of a balancer.
 	id          string
 	address     string
 	incarnation uint64
 	balancer    bool
 
-	due      time.Time
-	busy     bool
-	again    bool
-	failures int
-	pause    time.Duration
-	named    time.Time
+	due        time.Time
+	inFlight   bool
+	repeat     bool
+	failures   int
+	interval   time.Duration
+	lastListed time.Time
 }
 
-// roster decides whom to announce to and when. It is pure: the clock and the
-// randomness are passed in. Entries are remembered through failures: they are
-// given up only when other entries answer and name them no more.
+// roster decides when to announce to which target. It does no I/O: the clock and
+// the random source are passed in. Entries are kept while they fail to respond:
+// one is removed only when other entries respond and no longer list it.
 type roster struct {
 	targets map[string]*target
 	// balancers is the number of targets that are balancers.
 	balancers int
 	rand      *rand.Rand
-	// lastAnswer is when any target last answered.
-	lastAnswer time.Time
+	// lastResponse is the time of the latest response of any target.
+	lastResponse time.Time
 }
 
 func newRoster(now time.Time, balancers []string, r *rand.Rand) *roster {
@@ -67,15 +71,15 @@
 	return o
 }
 
-// next returns the targets that are due and marks them busy, and the moment at
-// which the next one will be.
+// next returns the targets that are due, which it marks as in flight, and the
+// time at which the next one will be due.
 func (o *roster) next(now time.Time) (due []*target, wake time.Time) {
 	for _, t := range o.targets {
-		if t.busy {
+		if t.inFlight {
 			continue
 		}
 		if !t.due.After(now) {
-			t.busy = true
+			t.inFlight = true
 			due = append(due, t)
 			continue
 		}
@@ -86,31 +90,32 @@
 	return due, wake
 }
 
-// hurry makes every entry due: what is announced has changed. One that is being
-// called is called again, because the call may carry the old state.
-func (o *roster) hurry(now time.Time) {
+// announceNow makes every entry due because the announced state has changed. An
+// entry with a call in flight is called again afterwards, since that call may
+// carry the old state.
+func (o *roster) announceNow(now time.Time) {
 	known := len(o.targets) > o.balancers
 	for _, t := range o.targets {
 		if t.balancer && known {
 			continue
 		}
 		t.due = now
-		t.again = t.busy
+		t.repeat = t.inFlight
 	}
 }
 
-// failed takes note that a target did not answer.
+// failed records that a target did not respond.
 func (o *roster) failed(now time.Time, t *target) {
-	t.busy = false
+	t.inFlight = false
 	t.failures++
-	pause := firstRetry << min(t.failures-1, 10)
-	o.schedule(now, t, min(pause, maxRetry))
-	if !t.balancer && o.allFail() {
+	interval := firstRetry << min(t.failures-1, 10)
+	o.schedule(now, t, min(interval, maxRetry))
+	if !t.balancer && o.allFailing() {
 		o.rediscover(now)
 	}
 }
 
-func (o *roster) allFail() bool {
+func (o *roster) allFailing() bool {
 	for _, t := range o.targets {
 		if !t.balancer && t.failures == 0 {
 			return false
@@ -119,7 +124,8 @@
 	return true
 }
 
-// rediscover asks the balancers soon: no known entry answers.
+// rediscover schedules an early announcement through the balancers because no
+// known entry responds.
 func (o *roster) rediscover(now time.Time) {
 	for _, t := range o.targets {
 		if t.balancer && t.failures == 0 && t.due.After(now.Add(firstRetry)) {
@@ -128,46 +134,47 @@
 	}
 }
 
-// changes of the set of entries.
+// changes holds the changes to the set of entries.
 type changes struct {
 	attached []*target
 	detached []*target
 }
 
-// answered takes a target's answer.
-func (o *roster) answered(now time.Time, t *target, resp *wirev1.AnnounceResponse) changes {
-	t.busy = false
+// responded records the response of a target.
+func (o *roster) responded(now time.Time, t *target, resp *wirev1.AnnounceResponse) changes {
+	t.inFlight = false
 	t.failures = 0
-	t.pause = clamp(time.Duration(resp.GetNextMs()) * time.Millisecond)
-	o.excuse(now, t.pause)
+	t.interval = clamp(time.Duration(resp.GetNextMs()) * time.Millisecond)
+	o.renewAfterOutage(now, t.interval)
 	var c changes
 	for _, e := range resp.GetAttach() {
-		c.attached = o.name(now, e, t, c.attached)
+		c.attached = o.list(now, e, t, c.attached)
 	}
-	pause := t.pause
+	interval := t.interval
 	if t.balancer && len(o.targets) > o.balancers {
-		pause = max(discovery, min(discoveryRounds*t.pause, maxPause))
+		interval = max(discoveryInterval, min(discoveryRounds*t.interval, maxInterval))
 	}
-	o.schedule(now, t, pause)
-	c.detached = o.forget(now)
+	o.schedule(now, t, interval)
+	c.detached = o.removeUnlisted(now)
 	return c
 }
 
-// excuse gives every entry its rounds anew after a silence: the first answer
-// then may come from an entry that has just started and knows no other.
-func (o *roster) excuse(now time.Time, pause time.Duration) {
-	silent := now.Sub(o.lastAnswer) > 2*pause
-	o.lastAnswer = now
-	if !silent {
+// renewAfterOutage renews the listing of every entry after a time without any
+// response: the first response after it may come from an entry that has just
+// started and doesn't know the others yet.
+func (o *roster) renewAfterOutage(now time.Time, interval time.Duration) {
+	outage := now.Sub(o.lastResponse) > 2*interval
+	o.lastResponse = now
+	if !outage {
 		return
 	}
 	for _, t := range o.targets {
-		t.named = now
+		t.lastListed = now
 	}
 }
 
-// name takes note of an entry that is to be announced to.
-func (o *roster) name(now time.Time, e *wirev1.EntryInfo, by *target, attached []*target) []*target {
+// list records that a response lists an entry to announce to.
+func (o *roster) list(now time.Time, e *wirev1.EntryInfo, source *target, attached []*target) []*target {
 	if e.GetId() == "" || e.GetAddress() == "" {
 		return attached
 	}
@@ -176,47 +183,48 @@
 		return attached
 	}
 	if known != nil && known.incarnation == e.GetIncarnation() && known.address == e.GetAddress() {
-		known.named = now
+		known.lastListed = now
 		return attached
 	}
 	if known == nil && len(o.targets) >= maxEntries+o.balancers {
 		return attached
 	}
-	fresh := &target{
+	added := &target{
 		id:          e.GetId(),
 		address:     e.GetAddress(),
 		incarnation: e.GetIncarnation(),
 		due:         now,
-		pause:       by.pause,
-		named:       now,
+		interval:    source.interval,
+		lastListed:  now,
 	}
-	o.targets[fresh.id] = fresh
-	return append(attached, fresh)
+	o.targets[added.id] = added
+	return append(attached, added)
 }
 
-// forget drops the entries that no answer has named for some rounds.
-func (o *roster) forget(now time.Time) []*target {
-	var gone []*target
+// removeUnlisted removes the entries that no response has listed for
+// unlistedRounds intervals.
+func (o *roster) removeUnlisted(now time.Time) []*target {
+	var removed []*target
 	for id, t := range o.targets {
-		if t.balancer || now.Sub(t.named) <= unnamedRounds*max(t.pause, firstRetry) {
+		if t.balancer || now.Sub(t.lastListed) <= unlistedRounds*max(t.interval, firstRetry) {
 			continue
 		}
 		delete(o.targets, id)
-		gone = append(gone, t)
+		removed = append(removed, t)
 	}
-	return gone
+	return removed
 }
 
-func (o *roster) schedule(now time.Time, t *target, pause time.Duration) {
-	if t.again {
-		t.again = false
+func (o *roster) schedule(now time.Time, t *target, interval time.Duration) {
+	if t.repeat {
+		t.repeat = false
 		t.due = now
 		return
 	}
-	t.due = now.Add(time.Duration(float64(pause) * (1 - spread*o.rand.Float64())))
+	t.due = now.Add(time.Duration(float64(interval) * (1 - jitter*o.rand.Float64())))
 }
 
-// entries lists the targets that are entries.
+// entries returns the targets that are entries.
 func (o *roster) entries() []*target {
 	var all []*target
 	for _, t := range o.targets {
@@ -227,4 +235,4 @@
 	return all
 }
 
-func clamp(pause time.Duration) time.Duration { return min(max(pause, minPause), maxPause) }
+func clamp(interval time.Duration) time.Duration { return min(max(interval, minInterval), maxInterval) }
