--- a/guard/registration/registration.go
+++ b/guard/registration/registration.go
@@ -1,4 +1,5 @@
-// Package registration keeps the runner that announced itself to its guard.
+// Package registration holds the registration of the runner that announced itself
+// to this guard.
 package registration
 
 import (
@@ -12,23 +13,25 @@
 	"almondstand.dev/guard/slots"
 )
 
-// Errors of Announce; the registration stays as it was.
+// Errors of Announce, after which the registration is unchanged.
 var (
-	// ErrOccupied means that another runner's registration is in force.
+	// ErrOccupied is returned while the registration of another runner is in
+	// force.
 	ErrOccupied = errors.New("another runner is registered here and its ttl has not passed")
-	// ErrService means that the runner serves another service than the settings name.
+	// ErrService is returned if the runner serves another service than the
+	// guard's settings require.
 	ErrService = errors.New("the guard's settings name another service")
-	// ErrZone means that the runner names another zone than the guard's.
+	// ErrZone is returned if the runner is in another data centre than the guard.
 	ErrZone = errors.New("the guard's settings name another zone")
 )
 
-// Announcement is what a runner says of itself.
+// Announcement is a runner's description of itself.
 type Announcement struct {
 	Service     string
 	Address     netip.AddrPort
 	Slots       int
 	Connections int
-	// Zone may be empty.
+	// Zone is the runner's data centre; it may be empty.
 	Zone    string
 	TTL     time.Duration
 	Leaving bool
@@ -37,12 +40,13 @@
 // Runner is a registered runner. It is immutable.
 type Runner struct {
 	Announcement
-	Client *runner.Client
-	until  time.Time
+	Client    *runner.Client
+	expiresAt time.Time
 }
 
-// State is what the slot table needs to know. A slot without a connection of
-// its own would wait inside the transport and count as running.
+// State returns the runner's state for the slot table. It counts no more slots
+// than connections: a task on a slot without a connection of its own would wait
+// in the HTTP transport and count as running.
 func (r *Runner) State() slots.Runner {
 	if r == nil {
 		return slots.Runner{}
@@ -54,15 +58,15 @@
 	}
 }
 
-// Options of a Registry.
+// Options configure a Registry.
 type Options struct {
-	// Service, when set, is the only one accepted.
+	// Service, if set, is the only service that a runner may announce.
 	Service string
 	Zone    string
-	// NewClient makes the client for a runner.
+	// NewClient returns the client for a runner.
 	NewClient func(address string, connections int) *runner.Client
-	// OnChange is told of every change of State, one at a time; nil when the
-	// runner is gone.
+	// OnChange is called after every change of the runner's state or service, one
+	// call at a time, with nil if there is no runner any more.
 	OnChange func(*Runner)
 }
 
@@ -70,33 +74,36 @@
 type Registry struct {
 	opts    Options
 	current atomic.Pointer[Runner]
-	// last is the service of the last runner, known while none is registered.
-	last atomic.Pointer[string]
-	mu   sync.Mutex
+	// lastService is the service of the most recent runner; it stays known while
+	// none is registered.
+	lastService atomic.Pointer[string]
+	mu          sync.Mutex
 }
 
 // New returns an empty registry.
 func New(opts Options) *Registry { return &Registry{opts: opts} }
 
-// Current returns the runner, nil when none is registered. The ttl is looked
-// at here: a guard that was frozen must not trust what it knew before.
+// Current returns the registered runner, or nil if there is none. It checks the
+// TTL itself, because a guard whose process was suspended must not use an expired
+// registration.
 func (g *Registry) Current(now time.Time) *Runner {
 	r := g.current.Load()
-	if r == nil || now.After(r.until) {
+	if r == nil || now.After(r.expiresAt) {
 		return nil
 	}
 	return r
 }
 
-// Service returns the service of the present or last runner; "" before the first.
+// Service returns the service of the current or most recent runner, or "" if
+// there has been none.
 func (g *Registry) Service() string {
-	if last := g.last.Load(); last != nil {
-		return *last
+	if lastService := g.lastService.Load(); lastService != nil {
+		return *lastService
 	}
 	return ""
 }
 
-// Announce takes a runner's announcement.
+// Announce registers a runner or renews its registration.
 func (g *Registry) Announce(now time.Time, a Announcement) error {
 	if g.opts.Service != "" && a.Service != g.opts.Service {
 		return ErrService
@@ -106,13 +113,13 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	old := g.Current(now)
-	if old != nil && old.Address != a.Address && !old.Leaving {
+	previous := g.Current(now)
+	if previous != nil && previous.Address != a.Address && !previous.Leaving {
 		return ErrOccupied
 	}
-	next := &Runner{Announcement: a, until: now.Add(a.TTL)}
-	if old != nil && old.Address == a.Address && old.Connections == a.Connections {
-		next.Client = old.Client
+	next := &Runner{Announcement: a, expiresAt: now.Add(a.TTL)}
+	if previous != nil && previous.Address == a.Address && previous.Connections == a.Connections {
+		next.Client = previous.Client
 	} else {
 		next.Client = g.opts.NewClient(a.Address.String(), a.Connections)
 	}
@@ -120,8 +127,9 @@
 	return nil
 }
 
-// Lost takes note that nothing listens at a runner's address. It counts as gone
-// until its next announcement, so that not every start has to find out.
+// Lost records that nothing listens at a runner's address. The runner is
+// unregistered until its next announcement, so that further starts don't each
+// have to try a connection.
 func (g *Registry) Lost(r *Runner) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,25 +140,25 @@
 	g.replace(nil)
 }
 
-// Expire drops a runner whose ttl has passed.
+// Expire unregisters a runner whose TTL has passed.
 func (g *Registry) Expire(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.current.Load()
-	if r != nil && now.After(r.until) {
+	if r != nil && now.After(r.expiresAt) {
 		g.replace(nil)
 	}
 }
 
 func (g *Registry) replace(next *Runner) {
-	old := g.current.Swap(next)
+	previous := g.current.Swap(next)
 	if next != nil {
-		g.last.Store(&next.Service)
+		g.lastService.Store(&next.Service)
 	}
-	if old != nil && (next == nil || next.Client != old.Client) {
-		old.Client.Close()
+	if previous != nil && (next == nil || next.Client != previous.Client) {
+		previous.Client.Close()
 	}
-	if old.State() != next.State() || service(old) != service(next) {
+	if previous.State() != next.State() || service(previous) != service(next) {
 		g.opts.OnChange(next)
 	}
 }
