--- a/guard/subset/subset.go
+++ b/guard/subset/subset.go
@@ -1,15 +1,12 @@
-// Package subset decides with which entries a guard keeps sessions. It has no
-// clock, input or output.
-//
-// Load pattern it answers: hundreds of guards and tens of entries. With a session
-// between each pair, the messages that advertise capacity grow with the square of the
-// deployment, each start is one of an entry's choices among runners of which every
-// other entry knows the same, and every process holds a connection to every other.
-//
-// Entries are ranked by rendezvous hashing (Thaler and Ravishankar, 1998): the rank
-// depends on the guard and the entry alone, so that guards need not agree on anything,
-// subsets of different guards overlap, and an entry that comes or goes moves no
-// session but its own.
+// Package subset selects the entries with which a guard keeps sessions. It is
+// pure: it uses no clock and does no I/O. // It addresses deployments of hundreds
+// of guards and tens of entries. With a session between each pair, the number of
+// messages that advertise capacity grows with the square of the deployment, each
+// entry chooses among runners whose state every other entry knows equally well,
+// and every process holds a connection to every other. // Entries are ranked by
+// rendezvous hashing (Thaler and Ravishankar, 1998). The rank depends only on the
+// guard and the entry, so guards need no agreement, the subsets of different
+// guards overlap, and an entry that joins or leaves moves no session but its own.
 package subset
 
 import (
@@ -20,32 +17,34 @@
 )
 
 const (
-	// Size is the number of entries that a guard serves. A runner is then shared by so
-	// many, and an entry sees enough runners of every data centre: 52 where there are
-	// 4.4 guards to an entry.
+	// Size is the default number of entries that a guard serves. It bounds how
+	// many entries share a runner, and leaves each entry enough runners of every
+	// data centre: 52 with 4.4 guards per entry.
 	Size = 12
-	// MinGuards is the least number of guards that an entry should see: with fewer, the
-	// load of one entry comes to runners that are full while others are free.
+	// MinGuards is the minimum number of guards that an entry should see. With
+	// fewer, the load of one entry reaches full runners while others are free.
 	MinGuards = 24
-	// slackGuards times MinGuards at each entry lets a widened subset shrink again; the
-	// gap keeps guards, which each decide for themselves, from going back and forth.
-	slackGuards = 1.5
-	// mostOf the size is tried while entries are down: those that are down are tried
-	// besides, so that they are attached to as soon as they are back.
-	mostOf = 2
+	// shrinkFactor times MinGuards is the number of guards per entry above which
+	// an enlarged subset shrinks again. The hysteresis prevents oscillation among
+	// guards, which decide independently.
+	shrinkFactor = 1.5
+	// maxSizeFactor times the size is the maximum number of entries tried while
+	// some are down. Those that are down are tried in addition, so that a session
+	// is opened as soon as they are back.
+	maxSizeFactor = 2
 )
 
-// Entry is what a guard knows of one entry.
+// Entry is a guard's view of one entry.
 type Entry struct {
 	Address string
-	// Rank is that of the guard and this entry; see Rank.
+	// Rank is the rank of this entry for the guard; see the function Rank.
 	Rank uint64
-	// Down is true when the entry has been out of reach for longer than a restart takes
-	// to show.
+	// Down is set if the entry has been unreachable for longer than a restart is
+	// expected to take.
 	Down bool
 }
 
-// Rank of an entry for a guard; the highest are chosen.
+// Rank returns the rank of an entry for a guard; the highest ranks are chosen.
 func Rank(guard, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(guard))
@@ -54,8 +53,9 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the hash of two nearly equal names over all bits: the last byte of FNV
-// reaches the high bits only by one multiplication, and addresses differ in it.
+// mix distributes the differences of similar inputs over all bits of the hash:
+// FNV carries the last byte to the high bits by a single multiplication only, and
+// addresses often differ only in that byte.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -65,30 +65,30 @@
 	return x
 }
 
-// Choose returns the addresses to keep sessions with: the first by rank until size of
-// them are within reach, mostOf times size at the most.
+// Choose returns the addresses to keep sessions with: the entries of the highest
+// rank until size of them are reachable, but at most maxSizeFactor times size.
 func Choose(entries []Entry, size int) []string {
 	ranked := slices.Clone(entries)
 	slices.SortFunc(ranked, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.Address, b.Address))
 	})
 	var chosen []string
-	up := 0
+	reachable := 0
 	for _, e := range ranked {
-		if up == size || len(chosen) == mostOf*size {
+		if reachable == size || len(chosen) == maxSizeFactor*size {
 			break
 		}
 		chosen = append(chosen, e.Address)
 		if !e.Down {
-			up++
+			reachable++
 		}
 	}
 	return chosen
 }
 
-// Next returns the size to go on with, from what it is now, the number of entries known
-// and the number of guards that each attached entry sees. Where there are few guards to
-// an entry, a subset of Size leaves entries with hardly any.
+// Next returns the new subset size, given the current one, the number of known
+// entries and the number of guards that each attached entry sees. With few guards
+// per entry, a subset of Size would leave some entries with hardly any guard.
 func Next(size, entries int, guards []int) int {
 	if len(guards) == 0 || entries <= Size {
 		return Size
@@ -97,10 +97,10 @@
 	for _, n := range guards {
 		sum += n
 	}
-	seen := max(float64(sum)/float64(len(guards)), 1)
-	if size <= Size && seen >= MinGuards || size > Size && seen >= MinGuards && seen <= slackGuards*MinGuards {
+	guardsSeen := max(float64(sum)/float64(len(guards)), 1)
+	if size <= Size && guardsSeen >= MinGuards || size > Size && guardsSeen >= MinGuards && guardsSeen <= shrinkFactor*MinGuards {
 		return size
 	}
-	next := int(math.Ceil(float64(size) * MinGuards / seen))
+	next := int(math.Ceil(float64(size) * MinGuards / guardsSeen))
 	return min(max(next, Size), entries)
 }
--- a/guard/subset/subset_test.go
+++ b/guard/subset/subset_test.go
@@ -18,38 +18,40 @@
 	return all
 }
 
-// Callers of one entry wait while the runners that others see stand idle, when the
-// subsets leave an entry with few guards. With 55 entries and 240 guards every entry
-// must see at least half of the mean, and guards of every data centre.
+// Jobs on one entry wait while runners seen by other entries are idle if the
+// subsets leave that entry with few guards. With 55 entries and 240 guards, every
+// entry must see at least half of the mean, and guards of every data centre.
 func TestEveryEntrySeesEnoughGuards(t *testing.T) {
 	const entries, guards, centres = 55, 240, 6
-	seen := map[string]int{}
-	from := map[string]map[int]bool{}
+	guardsSeen := map[string]int{}
+	centresSeen := map[string]map[int]bool{}
 	for g := range guards {
 		for _, a := range Choose(entriesFor(fmt.Sprintf("side-%d", g), entries), Size) {
-			seen[a]++
-			if from[a] == nil {
-				from[a] = map[int]bool{}
+			guardsSeen[a]++
+			if centresSeen[a] == nil {
+				centresSeen[a] = map[int]bool{}
 			}
-			from[a][g%centres] = true
+			centresSeen[a][g%centres] = true
 		}
 	}
-	assert.Equal(t, len(seen), entries)
-	for a, n := range seen {
+	assert.Equal(t, len(guardsSeen), entries)
+	for a, n := range guardsSeen {
 		assert.Assert(t, n >= guards*Size/entries/2, "%s sees %d guards", a, n)
-		assert.Equal(t, len(from[a]), centres)
+		assert.Equal(t, len(centresSeen[a]), centres)
 	}
 }
 
-// With no more entries than Size every guard serves all of them, whatever their order.
+// With no more than Size entries, every guard must serve all of them in any
+// order.
 func TestFewEntriesAreAllChosen(t *testing.T) {
 	assert.Equal(t, len(Choose(entriesFor("g", Size), Size)), Size)
 	assert.Equal(t, len(Choose(nil, Size)), 0)
 }
 
-// An entry loses power: its callers' next entries need the runners, so each of its
-// guards takes one more, moves no other session, and goes on trying the one that is down.
-func TestEntryThatIsDownIsReplaced(t *testing.T) {
+// An entry fails, and its callers move to other entries, which need the runners.
+// Each guard of the failed entry must add one entry, move no other session, and
+// keep trying the failed one.
+func TestUnreachableEntryIsReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := entriesFor(fmt.Sprint("guard-", rapid.IntRange(0, 1000).Draw(t, "guard")), rapid.IntRange(1, 80).Draw(t, "entries"))
 		size := rapid.IntRange(1, 16).Draw(t, "size")
@@ -68,36 +70,36 @@
 	})
 }
 
-// Everything is down: a guard tries a bounded number of entries, not all there are.
+// While all entries are down, a guard must try a bounded number of them.
 func TestAttemptsAreBoundedWhileAllAreDown(t *testing.T) {
 	all := entriesFor("g", 500)
 	for i := range all {
 		all[i].Down = true
 	}
-	assert.Equal(t, len(Choose(all, Size)), mostOf*Size)
+	assert.Equal(t, len(Choose(all, Size)), maxSizeFactor*Size)
 }
 
-// The order in which entries were learnt of has no part in the choice.
-func TestChoiceIsOfNoOrder(t *testing.T) {
+// The order in which entries were discovered must not affect the choice.
+func TestChoiceIgnoresInputOrder(t *testing.T) {
 	all := entriesFor("g", 40)
-	turned := slices.Clone(all)
-	slices.Reverse(turned)
-	assert.DeepEqual(t, Choose(all, Size), Choose(turned, Size))
+	reversed := slices.Clone(all)
+	slices.Reverse(reversed)
+	assert.DeepEqual(t, Choose(all, Size), Choose(reversed, Size))
 }
 
-// A deployment has many entries and few guards: an entry that sees three guards turns
-// callers away while the others are free. Subsets widen until entries see enough, stay
-// there, and shrink when guards are added.
-func TestSubsetsWidenWhereGuardsAreFew(t *testing.T) {
-	seen := func(guards, entries, size int) int { return guards * min(size, entries) / entries }
+// A deployment has many entries and few guards. An entry that sees only three
+// guards rejects callers while other guards are free. Subsets must grow until
+// entries see enough guards, stay stable, and shrink when guards are added.
+func TestSubsetsGrowWhereGuardsAreFew(t *testing.T) {
+	guardsSeen := func(guards, entries, size int) int { return guards * min(size, entries) / entries }
 	size := Size
 	for range 10 {
-		size = Next(size, 100, []int{seen(30, 100, size)})
+		size = Next(size, 100, []int{guardsSeen(30, 100, size)})
 	}
-	assert.Assert(t, seen(30, 100, size) >= MinGuards-1, "size %d", size)
-	assert.Equal(t, Next(size, 100, []int{seen(30, 100, size)}), size)
+	assert.Assert(t, guardsSeen(30, 100, size) >= MinGuards-1, "size %d", size)
+	assert.Equal(t, Next(size, 100, []int{guardsSeen(30, 100, size)}), size)
 	for range 10 {
-		size = Next(size, 100, []int{seen(400, 100, size)})
+		size = Next(size, 100, []int{guardsSeen(400, 100, size)})
 	}
 	assert.Equal(t, size, Size)
 	assert.Equal(t, Next(Size, 100, nil), Size)
