--- a/guard/side/settings.go
+++ b/guard/side/settings.go
@@ -1,4 +1,5 @@
-// Package side runs a guard whose runner is known by its capacity.
+// Package side runs a guard whose runner reports its resources instead of a
+// number of slots.
 package side
 
 import (
@@ -8,22 +9,23 @@
 	"almondstand.dev/settings"
 )
 
-// File is a settings file of such a guard.
+// File is the settings file of such a guard.
 type File struct {
 	Capacity Settings `json:"capacity"`
 }
 
 // Settings of a guard. See docs/SETTINGS.md.
 type Settings struct {
-	// ID names the guard; no two guards share one.
+	// ID identifies the guard and is unique among guards.
 	ID string `json:"id" validate:"required,max=128"`
 	// Zone is the data centre of this host.
 	Zone   string `json:"zone" validate:"required,max=128"`
 	Listen Listen `json:"listen"`
-	// Seeds are hosts of entries; only their IPs count. They may be stale.
+	// Seeds are the addresses of hosts that run entries; only their IPs are used.
+	// They may be out of date.
 	Seeds []settings.Address `json:"seeds" validate:"max=64"`
-	// Store is the platform's metadata store, where entries register; it is asked once,
-	// at the start. Left out, only the seeds are.
+	// Store is the platform's metadata store, in which entries register. It is
+	// read once, at startup; if empty, only the seeds are used.
 	Store settings.Address `json:"store"`
 	// EntryPort is the port on which every entry serves guards.
 	EntryPort int    `json:"entry_port" validate:"required,min=1,max=65535"`
@@ -33,29 +35,30 @@
 
 // Listen holds the addresses the guard listens on.
 type Listen struct {
-	// Reports serves the runner's reports.
+	// Reports is the address that serves the runner's reports.
 	Reports settings.Address `json:"reports" validate:"required"`
-	// Metrics serves metrics and health; left out, none are served.
+	// Metrics is the address that serves metrics and health checks; if empty,
+	// none are served.
 	Metrics settings.Address `json:"metrics"`
 }
 
-// Bounds that the platform sets.
+// Bounds holds the time bounds set by the platform.
 type Bounds struct {
 	// Resend is the time after which a caller whose connection broke submits its
-	// job again; by then the job's runs must be over.
+	// job again; by then the runs of the job must have ended.
 	Resend settings.Duration `json:"resend"`
 	// MaxLease is the longest lease that a runner grants.
 	MaxLease settings.Duration `json:"max_lease"`
-	// Grace is the time between SIGTERM and SIGKILL.
+	// Grace is the platform's grace period: the time between SIGTERM and SIGKILL.
 	Grace settings.Duration `json:"grace"`
 }
 
-// Log holds how to log.
+// Log configures logging.
 type Log struct {
 	Level string `json:"level" validate:"oneof=debug info warn error"`
 }
 
-// Default returns the settings that a file may leave out.
+// Default returns the default settings.
 func Default() File {
 	return File{Capacity: Settings{
 		Bounds: Bounds{
@@ -67,19 +70,19 @@
 	}}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (Settings, error) {
 	f := Default()
 	err := settings.Load(path, &f)
 	return f.Capacity, err
 }
 
-// Least bounds with which the shares of the resend time make sense: a lease is
-// renewed every 100 ms.
+// Minimum bounds for which the shares of the resend time are meaningful: a lease
+// is renewed every 100 ms.
 const (
-	leastResend = 900 * time.Millisecond
-	leastLease  = 300 * time.Millisecond
-	leastGrace  = 2 * time.Second
+	minResend = 900 * time.Millisecond
+	minLease  = 300 * time.Millisecond
+	minGrace  = 2 * time.Second
 )
 
 // Check implements settings.Checker.
@@ -87,22 +90,23 @@
 	var out settings.Errors
 	s := f.Capacity
 	for _, c := range []struct {
-		path  string
-		value settings.Duration
-		least time.Duration
+		path    string
+		value   settings.Duration
+		minimum time.Duration
 	}{
-		{"capacity.bounds.resend", s.Bounds.Resend, leastResend},
-		{"capacity.bounds.max_lease", s.Bounds.MaxLease, leastLease},
-		{"capacity.bounds.grace", s.Bounds.Grace, leastGrace},
+		{"capacity.bounds.resend", s.Bounds.Resend, minResend},
+		{"capacity.bounds.max_lease", s.Bounds.MaxLease, minLease},
+		{"capacity.bounds.grace", s.Bounds.Grace, minGrace},
 	} {
-		if c.value.Std() < c.least {
-			out = append(out, settings.Error{Path: c.path, Read: c.value.Std().String(), Allowed: c.least.String() + " and more"})
+		if c.value.Std() < c.minimum {
+			out = append(out, settings.Error{Path: c.path, Read: c.value.Std().String(), Allowed: c.minimum.String() + " and more"})
 		}
 	}
 	return out
 }
 
-// entries returns the addresses at which the seeds serve guards.
+// entries returns the addresses at which the entries on the seed hosts serve
+// guards.
 func (s Settings) entries() []string {
 	var all []string
 	for _, seed := range s.Seeds {
--- a/guard/side/side.go
+++ b/guard/side/side.go
@@ -19,69 +19,73 @@
 	"almondstand.dev/wire/fleetwire"
 )
 
-// Shares of the time after which a caller submits its job again: an entry that
-// is silent for the first has its runs stopped, and by the second they are over
-// also when the runner answers nothing. The rest is for the caller's way to
-// another entry being shorter than ours to learn of the break.
+// Shares of the time after which a caller submits its job again. If an entry has
+// been silent for the first share, its runs are stopped; by the second they have
+// ended even if the runner doesn't respond. The rest allows for a caller that
+// detects the broken connection and reaches another entry sooner than this guard
+// detects it.
 const (
-	silenceShare  = 0.40
-	endBoundShare = 0.88
-	// leaseShare of the longest lease is asked for: five renewals' time, and
-	// short enough to fit between silence and the end bound.
+	entryTimeoutShare = 0.40
+	endBoundShare     = 0.88
+	// leaseShare is the part of the longest lease that is requested: it covers
+	// five renewals and is short enough to fit between the entry timeout and the
+	// end bound.
 	leaseShare = 0.60
 )
 
-// drainReserve of the grace is left for the end of the process.
+// drainReserve is the part of the grace period that is reserved for the exit of
+// the process.
 const drainReserve = time.Second
 
-// linger lets the last reports reach the entries.
+// linger is the wait before exit in which the last reports reach the entries.
 const linger = 150 * time.Millisecond
 
-// Options of a guard.
+// Options configure a Guard.
 type Options struct {
-	// Path of the settings file, read again on Reload.
+	// Path is the settings file, which Reload reads again.
 	Path    string
 	Logger  *slog.Logger
 	Metrics *telemetry.Metrics
 }
 
-// Guard is one process beside a runner.
+// Guard is the guard of one runner.
 type Guard struct {
-	opt      Options
+	opts     Options
 	settings atomic.Pointer[Settings]
 	host     *host.Host
-	up       *uplink.Uplink
+	uplink   *uplink.Uplink
 }
 
-// New returns a guard that does not listen yet.
+// New returns a guard that does not listen until Run is called.
 func New(s Settings, o Options) *Guard {
-	g := &Guard{opt: o}
+	g := &Guard{opts: o}
 	g.settings.Store(&s)
 	resend := s.Bounds.Resend.Std()
 	g.host = host.New(host.Options{
 		Runs: runs.Options{
-			Silence:  share(resend, silenceShare),
-			EndBound: share(resend, endBoundShare),
-			Hold:     share(s.Bounds.MaxLease.Std(), leaseShare),
+			Silence:  fraction(resend, entryTimeoutShare),
+			EndBound: fraction(resend, endBoundShare),
+			Hold:     fraction(s.Bounds.MaxLease.Std(), leaseShare),
 		},
 		MaxLease: s.Bounds.MaxLease.Std(),
 		Dial:     func(t runner.Target) host.Runner { return runner.New(t) },
 		Logger:   o.Logger,
 		Metrics:  host.NewMetrics(o.Metrics.Scope),
 	})
-	g.up = uplink.New(uplink.Options{
+	g.uplink = uplink.New(uplink.Options{
 		Guard:       s.ID,
 		Incarnation: uint64(time.Now().UnixNano()),
 		Zone:        s.Zone,
 		Seeds:       func() []string { return g.settings.Load().entries() },
-		Entries:     registered(s, o),
+		Entries:     storeEntries(s, o),
 		Logger:      o.Logger,
 	}, g.host)
 	return g
 }
 
-// registered reads the entries that the store names; nil without a store.
-func registered(s Settings, o Options) func(context.Context) ([]string, error) {
+// storeEntries returns a function that reads the entries registered in the store,
+// or nil if no store is configured.
+func storeEntries(s Settings, o Options) func(context.Context) ([]string, error) {
 	if !s.Store.IsValid() {
 		return nil
 	}
@@ -97,62 +101,63 @@
 		}
 		addresses, malformed := fleetwire.EntryAddresses(values)
 		if len(malformed) > 0 {
-			foreignEntries.Log(ctx, o.Logger, slog.Int("values", len(malformed)))
+			eventMalformedEntries.Log(ctx, o.Logger, slog.Int("values", len(malformed)))
 		}
 		return addresses, nil
 	}
 }
 
-func share(d time.Duration, part float64) time.Duration {
-	return time.Duration(float64(d) * part)
+func fraction(d time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(d) * factor)
 }
 
-// Reload reads the settings file again; only the seeds may change while the
-// guard runs. A file that can't be read changes nothing.
+// Reload reads the settings file again. Only a change of the seeds takes effect
+// while the guard runs. If the file can't be loaded, nothing changes.
 func (g *Guard) Reload(ctx context.Context) {
-	s, err := Load(g.opt.Path)
+	s, err := Load(g.opts.Path)
 	if err != nil {
-		reloadFailed.Log(ctx, g.opt.Logger, slog.String("error", err.Error()))
+		eventReloadFailed.Log(ctx, g.opts.Logger, slog.String("error", err.Error()))
 		return
 	}
 	g.settings.Store(&s)
-	reloaded.Log(ctx, g.opt.Logger, slog.Int("seeds", len(s.Seeds)))
+	eventReloaded.Log(ctx, g.opts.Logger, slog.Int("seeds", len(s.Seeds)))
 }
 
-// Run serves until the context ends, then lets what runs end.
+// Run serves until the context ends, then waits for running tasks to end.
 func (g *Guard) Run(ctx context.Context) error {
 	s := *g.settings.Load()
-	started.Log(ctx, g.opt.Logger, slog.String("reports", s.Listen.Reports.String()), slog.Int("seeds", len(s.Seeds)))
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	eventStarted.Log(ctx, g.opts.Logger, slog.String("reports", s.Listen.Reports.String()), slog.Int("seeds", len(s.Seeds)))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group run.Group
 	actor := func(f func(context.Context) error) {
-		group.Add(func() error { return f(inner) }, func(error) { stop() })
+		group.Add(func() error { return f(runCtx) }, func(error) { stop() })
 	}
-	actor(func(c context.Context) error { return g.host.Run(c, g.up) })
-	actor(g.up.Run)
+	actor(func(c context.Context) error { return g.host.Run(c, g.uplink) })
+	actor(g.uplink.Run)
 	actor(func(c context.Context) error { return serve(c, s.Listen.Reports.String(), runner.Handler(g.host)) })
 	if s.Listen.Metrics.IsValid() {
 		mux := http.NewServeMux()
 		ready := &telemetry.Ready{}
 		ready.Set(true)
-		telemetry.Handle(mux, g.opt.Metrics, ready)
+		telemetry.Handle(mux, g.opts.Metrics, ready)
 		actor(func(c context.Context) error { return serve(c, s.Listen.Metrics.String(), mux) })
 	}
 	actor(func(c context.Context) error { return g.drain(ctx, c) })
 	err := group.Run()
-	stopped.Log(ctx, g.opt.Logger)
+	eventStopped.Log(ctx, g.opts.Logger)
 	return err
 }
 
-// drain waits for the end of the outer context, and then of what runs.
-func (g *Guard) drain(outer, inner context.Context) error {
+// drain waits for the end of the outer context and then for running tasks to end,
+// for at most the grace period less drainReserve.
+func (g *Guard) drain(serveCtx, runCtx context.Context) error {
 	select {
-	case <-outer.Done():
-	case <-inner.Done():
+	case <-serveCtx.Done():
+	case <-runCtx.Done():
 		return nil
 	}
-	draining.Log(inner, g.opt.Logger)
+	eventDraining.Log(runCtx, g.opts.Logger)
 	g.host.Leave()
 	limit := time.After(g.settings.Load().Bounds.Grace.Std() - drainReserve)
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -160,9 +165,9 @@
 	for !g.host.Idle() {
 		select {
 		case <-limit:
-			drainCut.Log(inner, g.opt.Logger)
+			eventDrainTimeout.Log(runCtx, g.opts.Logger)
 			return nil
-		case <-inner.Done():
+		case <-runCtx.Done():
 			return nil
 		case <-tick.C:
 		}
@@ -171,7 +176,7 @@
 	return nil
 }
 
-// serve serves a handler until the context ends.
+// serve runs an HTTP server until the context ends.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := fleetwire.Listen(ctx, address)
 	if err != nil {
