--- a/guard/subset/subset.go
+++ b/guard/subset/subset.go
@@ -1,12 +1,16 @@
 // Package subset selects the entries with which a guard keeps sessions. It is
-// pure: it uses no clock and does no I/O. // It addresses deployments of hundreds
-// of guards and tens of entries. With a session between each pair, the number of
-// messages that advertise capacity grows with the square of the deployment, each
-// entry chooses among runners whose state every other entry knows equally well,
-// and every process holds a connection to every other. // Entries are ranked by
-// rendezvous hashing (Thaler and Ravishankar, 1998). The rank depends only on the
-// guard and the entry, so guards need no agreement, the subsets of different
-// guards overlap, and an entry that joins or leaves moves no session but its own.
+// pure: it uses no clock and does no I/O.
+//
+// It addresses deployments of hundreds of guards and tens of entries. With a
+// session between each pair, the number of messages that advertise capacity grows
+// with the square of the deployment, each entry chooses among runners whose state
+// every other entry knows equally well, and every process holds a connection to
+// every other.
+//
+// Entries are ranked by rendezvous hashing (Thaler and Ravishankar, 1998). The
+// rank depends only on the guard and the entry, so guards need no agreement, the
+// subsets of different guards overlap, and an entry that joins or leaves moves no
+// session but its own.
 package subset
 
 import (
