--- a/guard/runner/call.go
+++ b/guard/runner/call.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// call is the state of one call that its stop and its transport share.
+// call is the state of one call, shared by the code that stops it and by the
+// transport.
 type call struct {
 	grace  time.Duration
 	ctx    context.Context
@@ -20,7 +21,7 @@
 	timer *time.Timer
 }
 
-// notStopped is the cause of a call that nobody stopped.
+// notStopped is the cause of a call that has not been stopped.
 const notStopped Verdict = -1
 
 func newCall(grace time.Duration) *call {
@@ -28,8 +29,8 @@
 	return &call{grace: grace, ctx: ctx, cancel: cancel, cause: notStopped}
 }
 
-// took notes the connection that the transport gave to the call.
-func (k *call) took(raw net.Conn) {
+// gotConn records the connection that the transport assigned to the call.
+func (k *call) gotConn(raw net.Conn) {
 	c, ok := raw.(*conn)
 	if !ok {
 		return
@@ -37,15 +38,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.conn = c
-	c.take(k)
+	c.assign(k)
 	if k.cause != notStopped {
-		c.shut(k)
+		c.closeOwned(k)
 	}
 }
 
-// stop ends the call for the given reason; the first reason counts. The
-// connection is closed for writing first: a runner that ends then closes its
-// side, so the slot is freed when the work has stopped and not before.
+// stop ends the call for the given reason; only the first reason counts. It first
+// closes the connection for writing only: a runner that then stops the task
+// closes its side, so the slot is freed once the work has really stopped.
 func (k *call) stop(cause Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,33 +58,34 @@
 		k.cancel()
 		return
 	}
-	k.conn.halve(k)
+	k.conn.closeWrite(k)
 	k.timer = time.AfterFunc(k.grace, k.cancel)
 }
 
-// stopped tells whether and why the call was stopped.
+// stopped reports whether the call was stopped, and why.
 func (k *call) stopped() (Verdict, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cause, k.cause != notStopped
 }
 
-// broken is the outcome of a call that got no answer.
-func (k *call) broken(err error) Outcome {
+// failedOutcome returns the outcome of a call that got no response.
+func (k *call) failedOutcome(err error) Outcome {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// The transport may still be about to write when it gives up. Closed first,
-	// the connection can carry nothing after the mark was read.
-	tried := k.conn != nil && k.conn.shut(k)
+	// The transport may still be about to write when it reports the error.
+	// Closing the connection first ensures that nothing can be sent after
+	// writeAttempted was read.
+	sent := k.conn != nil && k.conn.closeOwned(k)
 	switch {
-	case !tried && k.cause == Cancelled:
+	case !sent && k.cause == Cancelled:
 		return Outcome{Verdict: Withdrawn, Message: "cancelled before it was sent"}
-	case !tried && k.cause == RunLimit:
+	case !sent && k.cause == RunLimit:
 		return Outcome{Verdict: Busy, Message: "no connection was free within the run limit"}
-	case !tried && k.conn != nil:
+	case !sent && k.conn != nil:
 		k.conn = nil
-		return Outcome{Verdict: unsent, Message: err.Error()}
-	case !tried:
+		return Outcome{Verdict: notSent, Message: err.Error()}
+	case !sent:
 		return Outcome{Verdict: Absent, Message: err.Error()}
 	case k.cause != notStopped:
 		return Outcome{Verdict: k.cause, Message: stopMessage(k.cause)}
@@ -92,8 +94,8 @@
 	}
 }
 
-// end frees what the call holds. A connection closed for writing is of no use
-// to another call.
+// end releases the call's resources. A connection that was closed for writing
+// can't be used for another call.
 func (k *call) end() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -102,7 +104,7 @@
 		k.timer.Stop()
 	}
 	if k.cause != notStopped && k.conn != nil {
-		k.conn.shut(k)
+		k.conn.closeOwned(k)
 	}
 	k.cancel()
 }
--- a/guard/runner/conn.go
+++ b/guard/runner/conn.go
@@ -15,67 +15,67 @@
 
 var errStopped = errors.New("connection closed by the stop of a call")
 
-// conn is a connection to the runner. It knows which call uses it, and whether
-// that call tried to write.
+// conn is a connection to the runner. It records which call uses it and whether
+// that call attempted to write.
 //
-// It wraps the interface and not *net.TCPConn: the latter's ReadFrom would let
-// a request pass by Write.
+// It wraps the net.Conn interface instead of *net.TCPConn, whose ReadFrom would
+// let a request bypass Write.
 type conn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	owner  *call
-	tried  bool
-	halved bool
+	mu             sync.Mutex
+	owner          *call
+	writeAttempted bool
+	writeClosed    bool
 }
 
-// Write implements net.Conn. The mark comes before the write: a call counts as
-// "never reached the runner" only when no byte can have left.
+// Write implements net.Conn. It sets writeAttempted before it writes: a call
+// counts as never sent only if no byte can have left the process.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.halved {
+	if c.writeClosed {
 		c.mu.Unlock()
 		return 0, errStopped
 	}
-	c.tried = true
+	c.writeAttempted = true
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-// take gives the connection to a call.
-func (c *conn) take(k *call) {
+// assign assigns the connection to a call.
+func (c *conn) assign(k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.owner = k
-	c.tried = false
+	c.writeAttempted = false
 }
 
-// halve closes the connection for writing if the call still owns it. The
-// transport hands a connection on as soon as an answer is read: a stop that
-// comes just then must not cut the next call.
-func (c *conn) halve(k *call) {
+// closeWrite closes the connection for writing if the call still owns it. The
+// transport passes a connection on as soon as a response is read, so a stop at
+// that moment must not affect the next call.
+func (c *conn) closeWrite(k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.owner != k || c.halved {
+	if c.owner != k || c.writeClosed {
 		return
 	}
-	c.halved = true
+	c.writeClosed = true
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
 }
 
-// shut closes the connection if the call still owns it and reports whether the
-// call tried to write. After it nothing more can leave.
-func (c *conn) shut(k *call) (tried bool) {
+// closeOwned closes the connection if the call still owns it, and reports whether
+// the call attempted to write. Nothing can be sent on the connection afterwards.
+func (c *conn) closeOwned(k *call) (writeAttempted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.owner != k {
 		return true
 	}
-	c.halved = true
+	c.writeClosed = true
 	_ = c.Conn.Close()
-	return c.tried
+	return c.writeAttempted
 }
 
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
--- a/guard/runner/conn_test.go
+++ b/guard/runner/conn_test.go
@@ -14,88 +14,88 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowConn holds a write until the test lets it go on.
-type slowConn struct {
+// blockingConn blocks writes until the test releases them.
+type blockingConn struct {
 	net.Conn
 	writing, release chan struct{}
-	halves           int
+	writeCloses      int
 }
 
-func (c *slowConn) Write(p []byte) (int, error) {
+func (c *blockingConn) Write(p []byte) (int, error) {
 	close(c.writing)
 	<-c.release
 	return len(p), nil
 }
 
-func (c *slowConn) CloseWrite() error {
-	c.halves++
+func (c *blockingConn) CloseWrite() error {
+	c.writeCloses++
 	return nil
 }
 
-func (c *slowConn) Close() error { return nil }
+func (c *blockingConn) Close() error { return nil }
 
-func newSlowConn() *slowConn {
-	return &slowConn{writing: make(chan struct{}), release: make(chan struct{})}
+func newBlockingConn() *blockingConn {
+	return &blockingConn{writing: make(chan struct{}), release: make(chan struct{})}
 }
 
-// A call breaks off while its first write is on the way to the kernel. Its
-// bytes may arrive, so the call must not be reported as never sent.
-func TestWriteUnderWayCountsAsSent(t *testing.T) {
-	slow := newSlowConn()
-	c := &conn{Conn: slow}
+// A call fails while its first write is in progress in the kernel. Its bytes may
+// arrive, so the call must not be reported as never sent.
+func TestWriteInProgressCountsAsSent(t *testing.T) {
+	blocking := newBlockingConn()
+	c := &conn{Conn: blocking}
 	k := newCall(time.Minute)
-	k.took(c)
+	k.gotConn(c)
 	written := make(chan struct{})
 	go func() {
 		_, _ = c.Write([]byte("POST"))
 		close(written)
 	}()
-	<-slow.writing
-	out := k.broken(errors.New("broken"))
-	close(slow.release)
+	<-blocking.writing
+	out := k.failedOutcome(errors.New("broken"))
+	close(blocking.release)
 	<-written
 	assert.Equal(t, out.Verdict, Lost)
 }
 
-// A stop comes when the transport has handed the connection to the next call,
-// or when its own call has ended: neither may close it.
-func TestStopLeavesOthersConnection(t *testing.T) {
-	slow := newSlowConn()
-	c := &conn{Conn: slow}
+// A stop arrives when the transport has passed the connection on to the next
+// call, or when its own call has ended. It must not close the connection.
+func TestStopKeepsConnectionOfOtherCall(t *testing.T) {
+	blocking := newBlockingConn()
+	c := &conn{Conn: blocking}
 	first, second := newCall(time.Minute), newCall(time.Minute)
-	first.took(c)
-	second.took(c)
+	first.gotConn(c)
+	second.gotConn(c)
 	first.stop(Cancelled)
-	assert.Equal(t, slow.halves, 0)
+	assert.Equal(t, blocking.writeCloses, 0)
 	second.end()
 	second.stop(Cancelled)
-	assert.Equal(t, slow.halves, 0)
+	assert.Equal(t, blocking.writeCloses, 0)
 }
 
-// A stop has closed a connection for writing just before the transport hands it
-// on: the next call must find out before it counts as sent.
-func TestClosedConnectionTakesNoWrite(t *testing.T) {
-	slow := newSlowConn()
-	close(slow.release)
-	c := &conn{Conn: slow}
+// A stop has closed a connection for writing just before the transport passes it
+// on. The next call must detect this before it counts as sent.
+func TestClosedConnectionRejectsWrite(t *testing.T) {
+	blocking := newBlockingConn()
+	close(blocking.release)
+	c := &conn{Conn: blocking}
 	first, second := newCall(time.Minute), newCall(time.Minute)
-	first.took(c)
+	first.gotConn(c)
 	first.stop(Cancelled)
-	second.took(c)
+	second.gotConn(c)
 	_, err := c.Write([]byte("POST"))
 	assert.ErrorIs(t, err, errStopped)
-	assert.Equal(t, second.broken(err).Verdict, unsent)
+	assert.Equal(t, second.failedOutcome(err).Verdict, notSent)
 }
 
-// Callers cancel a wave of jobs: several connections to one runner are closed for
-// writing just before the transport hands them on. The next call breaks on one after
-// the other before a byte is sent. The runner is well: taken for absent, it would get
-// no work until it registers again.
-func TestWaveOfClosedConnections(t *testing.T) {
+// Callers cancel several jobs at once, and several connections to one runner are
+// closed for writing just before the transport passes them on. The next call
+// finds one after another broken before a byte is sent. The runner is healthy: if
+// it were reported as absent, it would get no work until it registers again.
+func TestManyClosedConnections(t *testing.T) {
 	const connections = 6
 	entered, release := make(chan struct{}), make(chan struct{})
-	var together sync.WaitGroup
-	together.Add(connections)
+	var calls sync.WaitGroup
+	calls.Add(connections)
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		entered <- struct{}{}
 		<-release
@@ -122,7 +122,7 @@
 	}
 	for range connections {
 		go func() {
-			defer together.Done()
+			defer calls.Done()
 			call()
 		}()
 	}
@@ -130,21 +130,21 @@
 		<-entered
 	}
 	close(release)
-	together.Wait()
+	calls.Wait()
 	for range connections {
 		c := <-opened
 		c.mu.Lock()
-		c.halved = true
+		c.writeClosed = true
 		c.mu.Unlock()
 	}
 	go func() { <-entered }()
 	assert.Equal(t, call().Verdict, Completed)
 }
 
-// A call breaks on connection after connection before a byte is sent, however many
-// are tried. Each was opened, so the runner is there: the call is given back as not
-// run, and the runner is not reported as absent.
-func TestClosedConnectionsAreNoAbsence(t *testing.T) {
+// A call finds every connection broken before a byte is sent, at every attempt.
+// Each connection was opened, so the runner is listening: the call must be
+// reported as not run, and the runner must not be reported as absent.
+func TestBrokenConnectionsAreNotAbsence(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
 	client := New(Options{Address: s.Listener.Addr().String(), Connections: 1, MaxAnswer: 1 << 10, CancelGrace: time.Minute})
@@ -152,7 +152,7 @@
 	client.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := dial(ctx, network, address)
 		if err == nil {
-			raw.(*conn).halved = true
+			raw.(*conn).writeClosed = true
 		}
 		return raw, err
 	}
--- a/guard/runner/runner.go
+++ b/guard/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner calls one runner over HTTP/1.1: each task is sent once, its
-// answer is taken whole or not at all, and the runner's own refusals are told
-// apart from failures.
+// Package runner calls one runner over HTTP/1.1. Each task is sent at most once,
+// a response is accepted only if it is complete, and tasks that the runner
+// rejected are distinguished from tasks that failed.
 package runner
 
 import (
@@ -19,75 +19,78 @@
 	"time"
 )
 
-// Headers between a guard and a runner.
+// Headers of the requests and responses between a guard and a runner.
 const (
 	HeaderTask     = "Almond-Task"
 	HeaderKind     = "Almond-Kind"
 	HeaderCustomer = "Almond-Customer"
-	// HeaderRunLimit is the longest run allowed, in milliseconds.
+	// HeaderRunLimit is the maximum run time, in milliseconds.
 	HeaderRunLimit = "Almond-Run-Limit-Ms"
-	// HeaderRan, when "no", makes a 503 or 429 a true refusal.
+	// HeaderRan with the value "no" marks a 503 or 429 response as a rejection:
+	// the task did not run.
 	HeaderRan = "Almond-Ran"
-	// HeaderDigest is RFC 9530's field; the value is sha-256=:<base64>:.
+	// HeaderDigest is the field of RFC 9530; its value is sha-256=:<base64>:.
 	HeaderDigest = "Content-Digest"
 )
 
 const (
-	runPath           = "/v1/run"
-	ranNo             = "no"
-	digestPrefix      = "sha-256=:"
-	digestSuffix      = ":"
-	maxHeaderBytes    = 64 << 10
-	maxMessageBytes   = 512
-	defaultIdle       = 2 * time.Second
-	contentType       = "application/octet-stream"
-	headerContentType = "Content-Type"
+	runPath            = "/v1/run"
+	ranNo              = "no"
+	digestPrefix       = "sha-256=:"
+	digestSuffix       = ":"
+	maxHeaderBytes     = 64 << 10
+	maxMessageBytes    = 512
+	defaultIdleTimeout = 2 * time.Second
+	contentType        = "application/octet-stream"
+	headerContentType  = "Content-Type"
 )
 
-// Errors of the package.
+// Errors in a runner's response.
 var (
-	errTooLong  = errors.New("answer longer than allowed")
-	errNoLength = errors.New("answer with neither length, chunks nor digest can't be told from a cut one")
-	errDigest   = errors.New("digest of the answer does not match")
+	errResponseTooLong = errors.New("answer longer than allowed")
+	errUnknownLength   = errors.New("answer with neither length, chunks nor digest can't be told from a cut one")
+	errDigestMismatch  = errors.New("digest of the answer does not match")
 )
 
-// Verdict is how a call ended.
+// Verdict classifies the end of a call.
 type Verdict int
 
 // Verdicts of a call.
 const (
-	// Completed: the runner gave a whole answer.
+	// Completed: the runner sent a complete response.
 	Completed Verdict = iota
-	// Refused: the runner itself says that it did not start the task.
+	// Refused: the runner reported that it did not start the task.
 	Refused
-	// Absent: the runner can't be connected to; no byte was sent.
+	// Absent: no connection to the runner could be opened; no byte was sent.
 	Absent
-	// Withdrawn: cancelled before a byte of the call was sent.
+	// Withdrawn: the call was cancelled before any byte of it was sent.
 	Withdrawn
-	// Busy: no connection carried the call, or none was free within the run limit;
-	// no byte was sent.
+	// Busy: every connection broke before the call was written to it, or none
+	// became free within the run limit; no byte was sent.
 	Busy
-	// Failed: the runner answered with an error; it ran.
+	// Failed: the runner responded with an error; the task ran.
 	Failed
-	// Truncated: the answer was cut short, too long, or its digest is wrong.
+	// Truncated: the response was incomplete or too long, or its digest did not
+	// match.
 	Truncated
-	// RunLimit: stopped after the run limit.
+	// RunLimit: the call was stopped at the run limit.
 	RunLimit
-	// Cancelled: stopped by its owner.
+	// Cancelled: the call was cancelled through its context.
 	Cancelled
-	// Lost: the connection broke without an answer; it may have run.
+	// Lost: the connection broke without a response; the task may have run.
 	Lost
-	// unsent: the connection was found broken before a byte was written to it.
-	unsent
+	// notSent: the connection turned out to be broken before a byte was written
+	// to it.
+	notSent
 )
 
-// maxTries bounds the connections tried for one call. Another one is taken
-// only when nothing was written to the one before. Two are enough where the idle
-// ones are closed between them; the third is for one that another call of a wave
-// gives back broken meanwhile.
-const maxTries = 3
+// maxAttempts is the maximum number of connections tried for one call. Another
+// one is tried only if nothing was written to the previous one. Two suffice where
+// the idle connections are closed in between; the third covers a broken
+// connection that another cancelled call returns to the pool in the meantime.
+const maxAttempts = 3
 
-// Request is one call.
+// Request describes one call.
 type Request struct {
 	// Task is "<submission>/<index>".
 	Task     string
@@ -96,34 +99,35 @@
 	Payload  []byte
 	// Digest is the SHA-256 of the payload.
 	Digest []byte
-	// RunLimit is the longest run allowed.
+	// RunLimit is the maximum run time.
 	RunLimit time.Duration
 }
 
-// Outcome is the end of one call.
+// Outcome is the result of one call.
 type Outcome struct {
 	Verdict Verdict
-	// Payload and its SHA-256 are set when completed.
+	// Payload and Digest, its SHA-256, are set if the call completed.
 	Payload []byte
 	Digest  []byte
 	Message string
-	// Elapsed is the time from the call to its end.
+	// Elapsed is the duration of the call.
 	Elapsed time.Duration
 }
 
-// Options of a Client.
+// Options configure a Client.
 type Options struct {
 	// Address is the IP and port of the runner.
 	Address string
-	// Connections bounds the open connections.
+	// Connections is the maximum number of open connections.
 	Connections int
-	// MaxAnswer bounds an answer, in bytes.
+	// MaxAnswer is the maximum size of a response, in bytes.
 	MaxAnswer int64
-	// CancelGrace is how long a cancelled call may take to end by itself.
+	// CancelGrace is the time that a stopped call has to end before its
+	// connection is closed.
 	CancelGrace time.Duration
-	// Idle is how long an unused connection is kept; 0 means 2 s. Servers
-	// commonly close idle ones after 5 s or more: a call that crosses such a
-	// close is lost, so this side closes first.
+	// Idle is the time for which an unused connection is kept; 0 means 2 s.
+	// Servers commonly close idle connections after 5 s or more. A call that
+	// coincides with such a close is lost, so the client closes first.
 	Idle time.Duration
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -136,10 +140,10 @@
 	transport *http.Transport
 }
 
-// New returns a client; it opens no connection yet.
+// New returns a client, which opens connections on demand.
 func New(opts Options) *Client {
 	if opts.Idle == 0 {
-		opts.Idle = defaultIdle
+		opts.Idle = defaultIdleTimeout
 	}
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -153,51 +157,53 @@
 			MaxIdleConnsPerHost:    opts.Connections,
 			IdleConnTimeout:        opts.Idle,
 			MaxResponseHeaderBytes: maxHeaderBytes,
-			// A compressed answer would lose its Content-Length.
+			// A response that the transport decompresses loses its
+			// Content-Length.
 			DisableCompression: true,
 		},
 	}
 }
 
-// Close closes the idle connections; calls that run go on.
+// Close closes the idle connections; calls in progress continue.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Run calls the runner once. It returns when the call has truly ended: after a
-// cancel through ctx the connection is closed for writing, which the runner
-// sees as the cancel, and its end is awaited for the grace time.
+// Run calls the runner once and returns when the call has really ended. After ctx
+// is cancelled it closes the connection for writing, which the runner sees as the
+// cancellation, and waits up to CancelGrace for the call to end.
 func (c *Client) Run(ctx context.Context, r Request) Outcome {
-	began := c.opts.Now()
+	start := c.opts.Now()
 	k := newCall(c.opts.CancelGrace)
 	defer k.end()
-	limit := time.AfterFunc(r.RunLimit, func() { k.stop(RunLimit) })
-	defer limit.Stop()
+	runLimitTimer := time.AfterFunc(r.RunLimit, func() { k.stop(RunLimit) })
+	defer runLimitTimer.Stop()
 	defer context.AfterFunc(ctx, func() { k.stop(Cancelled) })()
-	out := c.exchange(k, r)
-	for tries := 1; out.Verdict == unsent && tries < maxTries; tries++ {
-		// A wave of stops leaves several closed connections among the idle ones.
-		// Tried one by one they use up the tries of a call to a runner that is well.
+	out := c.roundTrip(k, r)
+	for attempts := 1; out.Verdict == notSent && attempts < maxAttempts; attempts++ {
+		// Several calls stopped at once leave several closed connections among
+		// the idle ones. Trying them one by one would use up all attempts of a
+		// call to a healthy runner.
 		c.transport.CloseIdleConnections()
-		out = c.exchange(k, r)
+		out = c.roundTrip(k, r)
 	}
-	if out.Verdict == unsent {
-		// Every try had a connection, so the runner is there. Reported as absent it
-		// would get no work from any entry until it registers again.
+	if out.Verdict == notSent {
+		// Every attempt got a connection, so the runner is listening. If it were
+		// reported as absent, no entry would send it work until it registers
+		// again.
 		out.Verdict = Busy
 	}
-	out.Elapsed = c.opts.Now().Sub(began)
+	out.Elapsed = c.opts.Now().Sub(start)
 	return out
 }
 
-// exchange sends the request and reads the answer.
-func (c *Client) exchange(k *call, r Request) Outcome {
-	// RoundTrip and not an http.Client: that would follow a redirect, and so
-	// send the task a second time.
+// roundTrip sends the request and reads the response.
+func (c *Client) roundTrip(k *call, r Request) Outcome {
+	// An http.Client would follow a redirect and so send the task a second time.
 	resp, err := c.transport.RoundTrip(c.request(k, r))
 	if err != nil {
-		return k.broken(err)
+		return k.failedOutcome(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if refused(resp) {
+	if isRejected(resp) {
 		return Outcome{Verdict: Refused, Message: message(resp)}
 	}
 	if v, stopped := k.stopped(); stopped {
@@ -206,7 +212,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Outcome{Verdict: Failed, Message: message(resp)}
 	}
-	payload, digest, err := c.read(resp)
+	payload, digest, err := c.readResponse(resp)
 	if v, stopped := k.stopped(); stopped {
 		return Outcome{Verdict: v, Message: stopMessage(v)}
 	}
@@ -216,9 +222,10 @@
 	return Outcome{Verdict: Completed, Payload: payload, Digest: digest}
 }
 
-// request builds the call. Its body can't be rewound (no GetBody), POST is not
-// an idempotent method and no Idempotency-Key is set: otherwise the Transport
-// sends it again when a reused connection breaks, and the task runs twice.
+// request builds the HTTP request. Its body can't be rewound (no GetBody), POST
+// is not an idempotent method and no Idempotency-Key is set: otherwise the
+// Transport would retry the request when a reused connection breaks, and the task
+// would run twice.
 func (c *Client) request(k *call, r Request) *http.Request {
 	req := &http.Request{
 		Method:        http.MethodPost,
@@ -235,7 +242,7 @@
 		req.Body = http.NoBody
 	}
 	return req.WithContext(httptrace.WithClientTrace(k.ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { k.took(info.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { k.gotConn(info.Conn) },
 	}))
 }
 
@@ -250,20 +257,20 @@
 	}
 }
 
-// FormatDigest renders a SHA-256 as the value of Content-Digest.
+// FormatDigest formats a SHA-256 as a Content-Digest value.
 func FormatDigest(sum []byte) string {
 	return digestPrefix + base64.StdEncoding.EncodeToString(sum) + digestSuffix
 }
 
-// read takes the whole answer and checks that it is whole.
-func (c *Client) read(resp *http.Response) (payload, digest []byte, err error) {
+// readResponse reads the response body and verifies that it is complete.
+func (c *Client) readResponse(resp *http.Response) (payload, digest []byte, err error) {
 	if resp.ContentLength > c.opts.MaxAnswer {
-		return nil, nil, errTooLong
+		return nil, nil, errResponseTooLong
 	}
 	declared, hasDigest := declaredDigest(resp.Header)
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength < 0 && !chunked && !hasDigest {
-		return nil, nil, errNoLength
+		return nil, nil, errUnknownLength
 	}
 	payload, err = readAll(resp.Body, resp.ContentLength, c.opts.MaxAnswer)
 	if err != nil {
@@ -271,12 +278,12 @@
 	}
 	sum := sha256.Sum256(payload)
 	if hasDigest && declared != FormatDigest(sum[:]) {
-		return nil, nil, errDigest
+		return nil, nil, errDigestMismatch
 	}
 	return payload, sum[:], nil
 }
 
-// readAll reads a body of a known length, or up to a bound.
+// readAll reads a body of known length, or one of unknown length up to the limit.
 func readAll(body io.Reader, length, limit int64) ([]byte, error) {
 	if length >= 0 {
 		payload := make([]byte, length)
@@ -285,12 +292,12 @@
 	}
 	payload, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err == nil && int64(len(payload)) > limit {
-		return nil, errTooLong
+		return nil, errResponseTooLong
 	}
 	return payload, err
 }
 
-// declaredDigest returns the SHA-256 member of Content-Digest.
+// declaredDigest returns the SHA-256 member of Content-Digest, if present.
 func declaredDigest(h http.Header) (string, bool) {
 	for _, line := range h.Values(HeaderDigest) {
 		for member := range strings.SplitSeq(line, ",") {
@@ -303,12 +310,12 @@
 	return "", false
 }
 
-func refused(resp *http.Response) bool {
-	busy := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
-	return busy && resp.Header.Get(HeaderRan) == ranNo
+func isRejected(resp *http.Response) bool {
+	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
+	return unavailable && resp.Header.Get(HeaderRan) == ranNo
 }
 
-// message is the status and the beginning of an error's body.
+// message returns the status and the beginning of the body of an error response.
 func message(resp *http.Response) string {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes))
 	text := strings.TrimSpace(strings.ToValidUTF8(string(body), "?"))
--- a/guard/runner/runner_test.go
+++ b/guard/runner/runner_test.go
@@ -20,24 +20,24 @@
 	"almondstand.dev/guard/runner"
 )
 
-// long is a time that no test reaches.
-const long = time.Minute
+// noTimeout is longer than any test takes.
+const noTimeout = time.Minute
 
 func newClient(address string, connections int) *runner.Client {
 	return runner.New(runner.Options{
 		Address:     address,
 		Connections: connections,
 		MaxAnswer:   1 << 16,
-		CancelGrace: long,
+		CancelGrace: noTimeout,
 	})
 }
 
 func request(task, payload string) runner.Request {
 	sum := sha256.Sum256([]byte(payload))
-	return runner.Request{Task: task, Kind: "lookup", Customer: "c", Payload: []byte(payload), Digest: sum[:], RunLimit: long}
+	return runner.Request{Task: task, Kind: "lookup", Customer: "c", Payload: []byte(payload), Digest: sum[:], RunLimit: noTimeout}
 }
 
-// raw answers with bytes of the test's own and closes the connection.
+// raw sends the given bytes as the response and closes the connection.
 func raw(answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -63,8 +63,9 @@
 	return runner.FormatDigest(sum[:])
 }
 
-// Only a whole answer completes a task, and only the runner's own words make a
-// refusal: a cut answer passed on, or a failure called "not run", breaks a promise.
+// Only a complete response may complete a task, and only an explicit statement of
+// the runner may count as a rejection. Forwarding a truncated response, or
+// reporting a failed task as not run, would break the guarantees to the caller.
 func TestVerdicts(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -106,7 +107,8 @@
 	}
 }
 
-// Nothing listens at the runner's address: no byte left, so "not run" is true.
+// Nothing listens at the runner's address. No byte was sent, so the task may be
+// reported as not run.
 func TestAbsentRunner(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -116,8 +118,9 @@
 	assert.Equal(t, out.Verdict, runner.Absent)
 }
 
-// All connections to the runner are in use and the run limit of one more call
-// passes meanwhile. The runner is well: taken for absent, it would lose all work.
+// All connections to the runner are in use until the run limit of a further call
+// passes. The runner is healthy: if it were reported as absent, it would lose all
+// work.
 func TestNoConnectionWithinTheRunLimit(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -137,7 +140,8 @@
 	assert.Equal(t, (<-first).Verdict, runner.Completed)
 }
 
-// A runner answers 307 to itself: a client that follows it sends the task twice.
+// A runner responds with a 307 redirect to itself. Following it would send the
+// task twice.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var arrived atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -150,23 +154,23 @@
 	assert.Equal(t, arrived.Load(), int32(1))
 }
 
-// cutter is a runner that breaks connections. Each connection first answers
-// `warm` requests, then reads `keep` bytes of the next one and breaks; later
-// connections answer all.
-type cutter struct {
+// faultyRunner is a runner that breaks its first connection: after responding to
+// precedingRequests requests it reads readBytes bytes of the next one, sends
+// answer and closes the connection. Later connections respond to every request.
+type faultyRunner struct {
 	net.Listener
-	warm   int
-	keep   int
-	reset  bool
-	answer string
+	precedingRequests int
+	readBytes         int
+	reset             bool
+	answer            string
 
 	mu    sync.Mutex
 	conns int
-	// arrivals counts the connections on which bytes of the cut task came.
+	// arrivals counts how often bytes of the interrupted task arrived.
 	arrivals int
 }
 
-func (c *cutter) serve() {
+func (c *faultyRunner) serve() {
 	for {
 		conn, err := c.Accept()
 		if err != nil {
@@ -180,19 +184,19 @@
 	}
 }
 
-func (c *cutter) handle(conn *net.TCPConn, first bool) {
+func (c *faultyRunner) handle(conn *net.TCPConn, first bool) {
 	defer func() { _ = conn.Close() }()
 	if !first {
-		c.count(conn)
+		c.respondAll(conn)
 		return
 	}
-	for range c.warm {
+	for range c.precedingRequests {
 		if !readRequest(conn) {
 			return
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
-	got, _ := io.ReadFull(conn, make([]byte, c.keep))
+	got, _ := io.ReadFull(conn, make([]byte, c.readBytes))
 	if got > 0 {
 		c.mu.Lock()
 		c.arrivals++
@@ -204,8 +208,9 @@
 	}
 }
 
-// count answers every request of a connection that is not cut.
-func (c *cutter) count(conn net.Conn) {
+// respondAll responds to every request of a connection that is not broken, and
+// counts them.
+func (c *faultyRunner) respondAll(conn net.Conn) {
 	for readRequest(conn) {
 		c.mu.Lock()
 		c.arrivals++
@@ -214,7 +219,8 @@
 	}
 }
 
-// bodyEnd ends every payload of the test, so that a request's end is seen.
+// bodyEnd is the suffix of every payload here, by which the end of a request is
+// recognised.
 const bodyEnd = "<end>"
 
 func readRequest(conn net.Conn) bool {
@@ -229,19 +235,19 @@
 	return true
 }
 
-// The connection to the runner breaks at every moment of a call: before, within
-// and after the request, within the answer, on a new or a reused connection. The
-// guard reports a loss; a transport that quietly sent the call again would run
-// the task twice. "Not run" may only be said when no byte arrived.
+// The connection to the runner breaks at any point of a call: before, during or
+// after the request, or during the response, on a new or a reused connection. The
+// guard must report a loss; a transport that silently retried would run the task
+// twice. "Not run" may be reported only if no byte arrived.
 func TestCallArrivesAtMostOnce(t *testing.T) {
-	moments := []int{0, 1, 15, 16, 40, 150, 200, 300, 310, 312}
-	for _, warm := range []int{0, 1, 3} {
-		for _, keep := range moments {
+	lengths := []int{0, 1, 15, 16, 40, 150, 200, 300, 310, 312}
+	for _, precedingRequests := range []int{0, 1, 3} {
+		for _, readBytes := range lengths {
 			for _, reset := range []bool{false, true} {
 				for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nContent-Le"} {
-					t.Run(fmt.Sprint(warm, keep, reset, len(answer)), func(t *testing.T) {
+					t.Run(fmt.Sprint(precedingRequests, readBytes, reset, len(answer)), func(t *testing.T) {
 						t.Parallel()
-						cutCall(t, &cutter{warm: warm, keep: keep, reset: reset, answer: answer})
+						runInterruptedCall(t, &faultyRunner{precedingRequests: precedingRequests, readBytes: readBytes, reset: reset, answer: answer})
 					})
 				}
 			}
@@ -249,7 +255,7 @@
 	}
 }
 
-func cutCall(t *testing.T, c *cutter) {
+func runInterruptedCall(t *testing.T, c *faultyRunner) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	c.Listener = l
@@ -257,7 +263,7 @@
 	go c.serve()
 	client := newClient(l.Addr().String(), 4)
 	defer client.Close()
-	for i := range c.warm {
+	for i := range c.precedingRequests {
 		out := client.Run(t.Context(), request(fmt.Sprint("warm/", i), bodyEnd))
 		assert.Equal(t, out.Verdict, runner.Completed, out.Message)
 	}
@@ -268,9 +274,9 @@
 	switch out.Verdict {
 	case runner.Lost:
 	case runner.Absent:
-		assert.Equal(t, c.arrivals, 0, "said not run, but bytes arrived")
+		assert.Equal(t, c.arrivals, 0, "reported as not run, but bytes arrived")
 	case runner.Completed:
-		// The break came before the call: it went over a new connection.
+		// The connection broke before the call, which was sent over a new one.
 		assert.Equal(t, c.arrivals, 1)
 	default:
 		t.Fatalf("verdict %v %s", out.Verdict, out.Message)
@@ -278,14 +284,14 @@
 }
 
 // A task is cancelled and its runner takes a while to stop. The slot must stay
-// taken until then, or the guard overfills the runner.
-func TestCancelWaitsForTheEnd(t *testing.T) {
-	begun, told, stop := make(chan struct{}), make(chan struct{}), make(chan struct{})
+// occupied until then, or the guard would overload the runner.
+func TestCancelWaitsForRunnerToStop(t *testing.T) {
+	started, cancelSeen, stop := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		close(begun)
+		close(started)
 		<-r.Context().Done()
-		close(told)
+		close(cancelSeen)
 		<-stop
 	}))
 	defer s.Close()
@@ -294,25 +300,25 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan runner.Outcome, 1)
 	go func() { ended <- newClient(s.Listener.Addr().String(), 1).Run(ctx, request("s/0", "in")) }()
-	<-begun
+	<-started
 	cancel()
-	<-told
+	<-cancelSeen
 	select {
 	case out := <-ended:
-		t.Fatalf("ended before the runner did: %v", out)
+		t.Fatalf("ended before the runner stopped: %v", out)
 	case <-time.After(50 * time.Millisecond):
 	}
 	finish()
 	assert.Equal(t, (<-ended).Verdict, runner.Cancelled)
 }
 
-// A runner takes no notice of a cancel, or of the run limit: after the grace
-// time the connection is broken, so that the slot is not held for ever.
-func TestDeafRunnerIsCutOff(t *testing.T) {
-	begun, stop := make(chan struct{}, 2), make(chan struct{})
+// A runner ignores a cancellation or the run limit. After the grace time the
+// connection must be closed, so that the slot is not occupied for ever.
+func TestUnresponsiveRunnerIsDisconnected(t *testing.T) {
+	started, stop := make(chan struct{}, 2), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-stop
 	}))
 	defer s.Close()
@@ -320,7 +326,7 @@
 	client := runner.New(runner.Options{Address: s.Listener.Addr().String(), Connections: 2, MaxAnswer: 1, CancelGrace: time.Millisecond})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-begun
+		<-started
 		cancel()
 	}()
 	assert.Equal(t, client.Run(ctx, request("s/0", "in")).Verdict, runner.Cancelled)
@@ -329,9 +335,9 @@
 	assert.Equal(t, client.Run(t.Context(), limited).Verdict, runner.RunLimit)
 }
 
-// A cancel crosses the end of its call, whose connection already serves the
-// next one. The next call must not be cut by it.
-func TestLateCancelHitsNoOtherCall(t *testing.T) {
+// A cancellation coincides with the end of its call, whose connection already
+// serves the next call. The next call must not be interrupted.
+func TestLateCancelAffectsNoOtherCall(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	}))
@@ -344,7 +350,7 @@
 		wg.Go(func() {
 			out := client.Run(t.Context(), request("kept/0", "in"))
 			if out.Verdict != runner.Completed {
-				t.Errorf("call cut by another's cancel: %v %s", out.Verdict, out.Message)
+				t.Errorf("call interrupted by the cancellation of another: %v %s", out.Verdict, out.Message)
 			}
 		})
 		time.Sleep(time.Duration(i) * time.Microsecond)
