--- a/guard/local/local.go
+++ b/guard/local/local.go
@@ -1,5 +1,5 @@
-// Package local serves a guard's interface on its own host: the runner's
-// announcements, health and metrics.
+// Package local serves a guard's HTTP interface on its own host: runner
+// announcements, health checks and metrics.
 package local
 
 import (
@@ -18,17 +18,18 @@
 
 const (
 	maxBody = 16 << 10
-	// The bounds of what a runner may announce.
+	// Bounds on the values that a runner may announce.
 	maxSlots       = 4096
 	maxConnections = 65536
 	maxName        = 128
 	minTTL         = time.Second
 	maxTTL         = 10 * time.Minute
-	// beats is how many announcements fit into one ttl.
-	beats = 3
+	// announcementsPerTTL is the number of announcements that a runner is asked
+	// to send within its TTL.
+	announcementsPerTTL = 3
 )
 
-// announcement is a runner's announcement in JSON.
+// announcement is the JSON body of a runner's announcement.
 type announcement struct {
 	Service     string            `json:"service"`
 	Address     settings.Address  `json:"address"`
@@ -39,22 +40,23 @@
 	Leaving     bool              `json:"leaving"`
 }
 
-// next is the answer to an announcement.
-type next struct {
+// announceResponse is the response to an announcement; Next is the time until the
+// next one.
+type announceResponse struct {
 	Next settings.Duration `json:"next"`
 }
 
-// failure is the body of an error.
-type failure struct {
-	Error problem `json:"error"`
+// errorBody is the body of an error response.
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-type problem struct {
+type errorDetail struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// Options of the interface.
+// Options configure the interface.
 type Options struct {
 	Registry *registration.Registry
 	Metrics  *telemetry.Metrics
@@ -63,7 +65,7 @@
 	Logger   *slog.Logger
 }
 
-// Handler serves the interface.
+// Handler returns the HTTP handler of the interface.
 func Handler(opts Options) http.Handler {
 	mux := http.NewServeMux()
 	telemetry.Handle(mux, opts.Metrics, opts.Ready)
@@ -76,21 +78,21 @@
 func announce(opts Options, w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		reply(w, http.StatusBadRequest, failure{problem{"unreadable", "send at most 16 KiB of JSON"}})
+		reply(w, http.StatusBadRequest, errorBody{errorDetail{"unreadable", "send at most 16 KiB of JSON"}})
 		return
 	}
 	a, err := decode(raw)
 	if err != nil {
-		reply(w, http.StatusUnprocessableEntity, failure{problem{"invalid", err.Error()}})
+		reply(w, http.StatusUnprocessableEntity, errorBody{errorDetail{"invalid", err.Error()}})
 		return
 	}
 	if err := opts.Registry.Announce(opts.Now(), a); err != nil {
-		eventRefused.Log(r.Context(), opts.Logger, slog.String("address", a.Address.String()),
+		eventRunnerRejected.Log(r.Context(), opts.Logger, slog.String("address", a.Address.String()),
 			slog.String("service", a.Service), slog.String("cause", err.Error()))
-		reply(w, status(err), failure{problem{"refused", err.Error()}})
+		reply(w, status(err), errorBody{errorDetail{"refused", err.Error()}})
 		return
 	}
-	reply(w, http.StatusOK, next{settings.Duration(a.TTL / beats)})
+	reply(w, http.StatusOK, announceResponse{settings.Duration(a.TTL / announcementsPerTTL)})
 }
 
 func status(err error) int {
@@ -100,7 +102,7 @@
 	return http.StatusUnprocessableEntity
 }
 
-// decode reads and checks an announcement.
+// decode parses and validates an announcement.
 func decode(raw []byte) (registration.Announcement, error) {
 	var m announcement
 	if err := settings.Decode(raw, &m); err != nil {
@@ -115,10 +117,10 @@
 		TTL:         m.TTL.Std(),
 		Leaving:     m.Leaving,
 	}
-	return a, check(a)
+	return a, validate(a)
 }
 
-func check(a registration.Announcement) error {
+func validate(a registration.Announcement) error {
 	switch {
 	case a.Service == "" || len(a.Service) > maxName:
 		return errors.New("service: a name of 1 to 128 bytes")
