--- a/guard/config/config.go
+++ b/guard/config/config.go
@@ -1,4 +1,4 @@
-// Package config holds a guard's settings.
+// Package config defines a guard's settings.
 package config
 
 import (
@@ -11,33 +11,36 @@
 
 // Settings of a guard. See docs/SETTINGS.md.
 type Settings struct {
-	// ID names the guard; no two guards share one.
+	// ID identifies the guard and is unique among guards.
 	ID string `json:"id" validate:"required,max=128"`
 	// Zone is the data centre of this host.
 	Zone string `json:"zone" validate:"required,max=128"`
-	// Service, when set, is the only one that a runner may announce.
+	// Service, if set, is the only service that a runner may announce.
 	Service string `json:"service" validate:"max=128"`
 	Listen  Listen `json:"listen"`
-	// Advertise is the address told to entries; left out, it is listen.internal.
+	// Advertise is the address that entries are given; if empty, it is
+	// listen.internal.
 	Advertise settings.Address `json:"advertise"`
-	// Balancers are the addresses that lead to some entry's internal interface.
+	// Balancers are addresses that lead to the internal interface of any entry.
 	Balancers []settings.Address `json:"balancers" validate:"required,min=1,max=16"`
-	// Secret is shared by the processes of the cluster; empty asks for none.
+	// Secret is shared by the processes of the cluster; if empty, none is
+	// required.
 	Secret string `json:"secret" validate:"max=512"`
-	// Queue is the number of tasks that may wait for a slot here.
+	// Queue is the maximum number of tasks that wait for a slot on this guard.
 	Queue int `json:"queue" validate:"min=0,max=1024"`
-	// SessionLease is how long an entry may be silent before its session ends.
+	// SessionLease is the time without a message from an entry after which its
+	// session ends.
 	SessionLease settings.Duration `json:"session_lease" validate:"required"`
-	// RunLimit bounds every task's run, whatever its contract says.
+	// RunLimit caps the run time of every task, whatever its contract allows.
 	RunLimit settings.Duration `json:"run_limit" validate:"required"`
-	// CancelGrace is how long a cancelled task may take to end by itself
-	// before its connection is broken and its slot given on.
+	// CancelGrace is the time that a cancelled task has to end before its
+	// connection is closed and its slot is given to another task.
 	CancelGrace settings.Duration `json:"cancel_grace" validate:"required"`
-	// DrainLimit bounds a graceful shutdown.
+	// DrainLimit is the maximum duration of a graceful shutdown.
 	DrainLimit settings.Duration `json:"drain_limit" validate:"required"`
-	// Linger is how long a shutdown waits, once nothing runs, for entries to
-	// acknowledge the last results. A reply that was sent may still be lost with
-	// its connection; only the acknowledgement shows that it arrived.
+	// Linger is the time that a shutdown waits, once no task runs, for entries to
+	// acknowledge the last results. A response that was sent can still be lost
+	// with its connection; only the acknowledgement shows that it arrived.
 	Linger settings.Duration `json:"linger"`
 	Limits Limits            `json:"limits"`
 	Log    Log               `json:"log"`
@@ -45,41 +48,44 @@
 
 // Listen holds the addresses the guard listens on.
 type Listen struct {
-	// Internal serves the entries.
+	// Internal is the address that serves the entries.
 	Internal settings.Address `json:"internal" validate:"required"`
-	// Local serves the runner, health checks and metrics on this host.
+	// Local is the address that serves the runner, health checks and metrics on
+	// this host.
 	Local settings.Address `json:"local" validate:"required"`
 }
 
-// Limits bound the guard's memory.
+// Limits bounds the guard's memory.
 type Limits struct {
-	// PayloadBytes bounds one task's payload, AnswerBytes one answer.
+	// PayloadBytes is the maximum size of a task's payload, AnswerBytes that of a
+	// runner's response.
 	PayloadBytes int64 `json:"payload_bytes" validate:"min=1024,max=268435456"`
 	AnswerBytes  int64 `json:"answer_bytes" validate:"min=1024,max=268435456"`
-	// RequestBytes bounds the requests held at a time.
+	// RequestBytes is the maximum total size of the requests in progress.
 	RequestBytes int64 `json:"request_bytes" validate:"min=65536"`
-	// ResultBytes bounds the results kept until they are acknowledged.
+	// ResultBytes is the maximum total size of the results kept until they are
+	// acknowledged.
 	ResultBytes int64 `json:"result_bytes" validate:"min=65536"`
-	// Sessions bounds the sessions of all entries.
+	// Sessions is the maximum number of sessions of all entries.
 	Sessions int `json:"sessions" validate:"min=1,max=65536"`
-	// Records bounds the starts that are not acknowledged yet.
+	// Records is the maximum number of starts that are not yet acknowledged.
 	Records int `json:"records" validate:"min=1024,max=16777216"`
 }
 
-// Log holds how to log.
+// Log configures logging.
 type Log struct {
 	Level  string `json:"level" validate:"oneof=debug info warn error"`
 	Format string `json:"format" validate:"oneof=json text"`
 }
 
-// Bounds of the durations.
+// Bounds on the durations.
 const (
-	minLease = time.Second
-	maxLease = 10 * time.Minute
-	maxSpan  = time.Hour
+	minLease    = time.Second
+	maxLease    = 10 * time.Minute
+	maxDuration = time.Hour
 )
 
-// Default returns the settings that a file may leave out.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Queue:        8,
@@ -100,7 +106,7 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (Settings, error) {
 	s := Default()
 	err := settings.Load(path, &s)
@@ -114,8 +120,8 @@
 		settings.Listener{Path: "listen.local", Address: s.Listen.Local},
 	)
 	if !s.Listen.Local.Addr().IsLoopback() {
-		// The local interface asks for no secret: whoever reaches it can name
-		// any address as this guard's runner.
+		// The local interface requires no secret: whoever can reach it can
+		// register any address as this guard's runner.
 		out = append(out, settings.Error{Path: "listen.local", Read: s.Listen.Local.String(), Allowed: "a loopback address such as 127.0.0.1:7102"})
 	}
 	if !s.Advertise.IsValid() && s.Listen.Internal.Addr().IsUnspecified() {
@@ -127,22 +133,22 @@
 	if s.Limits.RequestBytes < s.Limits.PayloadBytes+1<<20 {
 		out = append(out, settings.Error{Path: "limits.request_bytes", Read: "less than one payload", Allowed: "limits.payload_bytes and 1 MiB at least"})
 	}
-	out = append(out, span("session_lease", s.SessionLease, minLease, maxLease)...)
-	out = append(out, span("run_limit", s.RunLimit, time.Millisecond, maxSpan)...)
-	out = append(out, span("cancel_grace", s.CancelGrace, time.Millisecond, time.Minute)...)
-	out = append(out, span("drain_limit", s.DrainLimit, time.Millisecond, maxSpan)...)
-	out = append(out, span("linger", s.Linger, 0, time.Minute)...)
+	out = append(out, checkRange("session_lease", s.SessionLease, minLease, maxLease)...)
+	out = append(out, checkRange("run_limit", s.RunLimit, time.Millisecond, maxDuration)...)
+	out = append(out, checkRange("cancel_grace", s.CancelGrace, time.Millisecond, time.Minute)...)
+	out = append(out, checkRange("drain_limit", s.DrainLimit, time.Millisecond, maxDuration)...)
+	out = append(out, checkRange("linger", s.Linger, 0, time.Minute)...)
 	return out
 }
 
-func span(path string, d settings.Duration, least, most time.Duration) settings.Errors {
-	if d.Std() >= least && d.Std() <= most {
+func checkRange(path string, d settings.Duration, minimum, maximum time.Duration) settings.Errors {
+	if d.Std() >= minimum && d.Std() <= maximum {
 		return nil
 	}
-	return settings.Errors{{Path: path, Read: d.Std().String(), Allowed: "from " + least.String() + " to " + most.String()}}
+	return settings.Errors{{Path: path, Read: d.Std().String(), Allowed: "from " + minimum.String() + " to " + maximum.String()}}
 }
 
-// Example returns settings that start as they are on one host.
+// Example returns settings that can be used unchanged on a single host.
 func Example() Settings {
 	s := Default()
 	s.ID = "guard-1"
--- a/guard/config/config_test.go
+++ b/guard/config/config_test.go
@@ -29,8 +29,8 @@
 	assert.NilError(t, load(t, example(t)))
 }
 
-// An operator mistypes one setting: the error names its path before anything starts.
-func TestMistakesNameTheirPath(t *testing.T) {
+// Each invalid setting must be reported with its path before the guard starts.
+func TestErrorsNameThePathOfTheSetting(t *testing.T) {
 	cases := []struct{ old, mistake, path string }{
 		{`"zone":"zagreb"`, `"zone":""`, "zone"},
 		{`"local":"127.0.0.1:7102"`, `"local":"127.0.0.1:7101"`, "listen.local"},
