--- a/guard/cmd/almondguard/command.go
+++ b/guard/cmd/almondguard/command.go
@@ -20,7 +20,7 @@
 	"almondstand.dev/telemetry"
 )
 
-// metricsPrefix begins the name of every metric of a guard.
+// metricsPrefix is the prefix of all metric names of a guard.
 const metricsPrefix = "almondguard"
 
 func command() *cobra.Command {
@@ -38,15 +38,15 @@
 	var path string
 	c := &cobra.Command{
 		Use:   "run",
-		Short: "Run the guard until SIGTERM or SIGINT, then drain and end",
+		Short: "Run the guard until SIGTERM or SIGINT, then drain and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			fleet, err := settings.Has(path, capacitySection)
+			hasCapacity, err := settings.Has(path, capacitySection)
 			if err != nil {
 				return err
 			}
-			if fleet {
-				return runSide(c.Context(), path)
+			if hasCapacity {
+				return runCapacityGuard(c.Context(), path)
 			}
 			s, err := config.Load(path)
 			if err != nil {
@@ -60,7 +60,7 @@
 	return c
 }
 
-// runGuard runs a guard and the signals that end it.
+// runGuard runs a guard and handles the signals that stop it.
 func runGuard(ctx context.Context, s config.Settings) error {
 	logger, err := telemetry.NewLogger(os.Stderr, s.Log.Level, s.Log.Format)
 	if err != nil {
@@ -74,26 +74,27 @@
 	}
 	var g run.Group
 	g.Add(run.SignalHandler(ctx, os.Interrupt, syscall.SIGTERM))
-	serving, stop := context.WithCancel(ctx)
-	var served error
+	serveCtx, stop := context.WithCancel(ctx)
+	var serveErr error
 	g.Add(func() error {
-		served = n.Run(serving)
-		return served
+		serveErr = n.Run(serveCtx)
+		return serveErr
 	}, func(error) { stop() })
-	// The group returns the signal; the exit status tells how the drain went.
+	// The group returns the signal, but the exit status must reflect the result
+	// of the drain.
 	if err := g.Run(); !errors.Is(err, run.ErrSignal) {
 		return err
 	}
-	return served
+	return serveErr
 }
 
-// check checks a settings file of either kind.
-func check(path string) error {
-	fleet, err := settings.Has(path, capacitySection)
+// checkSettings validates a settings file of either kind.
+func checkSettings(path string) error {
+	hasCapacity, err := settings.Has(path, capacitySection)
 	if err != nil {
 		return err
 	}
-	if fleet {
+	if hasCapacity {
 		_, err = side.Load(path)
 		return err
 	}
@@ -109,7 +110,7 @@
 			Short: "Check a settings file",
 			Args:  cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				if err := check(args[0]); err != nil {
+				if err := checkSettings(args[0]); err != nil {
 					return err
 				}
 				_, err := fmt.Fprintln(c.OutOrStdout(), "ok")
--- a/guard/cmd/almondguard/docs_test.go
+++ b/guard/cmd/almondguard/docs_test.go
@@ -18,15 +18,16 @@
 
 const docs = "../../../docs"
 
-var update = flag.Bool("docs.update", false, "write the catalogue of events anew")
+var update = flag.Bool("docs.update", false, "rewrite the event catalogue")
 
-// This program imports every package of a guard, so that its catalogue is whole.
+// This program imports every package of a guard, so its event catalogue is
+// complete.
 func TestEventsCatalogue(t *testing.T) {
 	path := filepath.Join(docs, "EVENTS.md")
 	assert.NilError(t, eventlog.CheckFile(path, eventlog.Between(2000, 2999), eventlog.Between(4000, 4999), *update))
 }
 
-// Each field stands in the reference once, with its default.
+// Each field must appear in the reference once, with its default.
 func TestSettingsReference(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(docs, "SETTINGS.md"))
 	assert.NilError(t, err)
@@ -45,7 +46,7 @@
 	assert.NilError(t, settings.CheckReference(string(raw), "Guard on the operators' platform", side.Default()))
 }
 
-// The deployment's template renders settings that start.
+// The deployment's template must render valid settings.
 func TestDeployedSettings(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/guard.json.tmpl")
 	assert.NilError(t, err)
--- a/guard/cmd/almondguard/main.go
+++ b/guard/cmd/almondguard/main.go
@@ -1,4 +1,5 @@
-// Command almondguard is the process beside one runner: the only caller of it.
+// Command almondguard is the guard process beside one runner, and the only
+// process that calls that runner.
 package main
 
 import (
@@ -9,8 +10,8 @@
 )
 
 func main() {
-	// A hangup asks for a reload; one that comes before the process listens for
-	// it must not end it.
+	// SIGHUP requests a reload. One that arrives before the handler is installed
+	// must not terminate the process.
 	signal.Ignore(syscall.SIGHUP)
 	if err := command().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "almondguard:", err)
--- a/guard/cmd/almondguard/side.go
+++ b/guard/cmd/almondguard/side.go
@@ -14,12 +14,13 @@
 	"almondstand.dev/telemetry"
 )
 
-// capacitySection of a settings file holds the settings of a guard whose runner is
-// known by its capacity.
+// capacitySection is the section of a settings file for a guard whose runner
+// reports its resources instead of a number of slots.
 const capacitySection = "capacity"
 
-// runSide runs such a guard and the signals that reload and end it.
-func runSide(ctx context.Context, path string) error {
+// runCapacityGuard runs such a guard and handles the signals that reload and stop
+// it.
+func runCapacityGuard(ctx context.Context, path string) error {
 	s, err := side.Load(path)
 	if err != nil {
 		return err
@@ -34,29 +35,29 @@
 	logger = logger.With(slog.String("guard", s.ID))
 	slog.SetDefault(logger)
 	n := side.New(s, side.Options{Path: path, Logger: logger, Metrics: metrics})
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
 	var g run.Group
 	g.Add(run.SignalHandler(ctx, os.Interrupt, syscall.SIGTERM))
-	serving, stop := context.WithCancel(ctx)
+	serveCtx, stop := context.WithCancel(ctx)
 	g.Add(func() error {
 		for {
 			select {
-			case <-serving.Done():
+			case <-serveCtx.Done():
 				return nil
-			case <-hangups:
-				n.Reload(serving)
+			case <-reloadSignals:
+				n.Reload(serveCtx)
 			}
 		}
 	}, func(error) { stop() })
-	var served error
+	var serveErr error
 	g.Add(func() error {
-		served = n.Run(serving)
-		return served
+		serveErr = n.Run(serveCtx)
+		return serveErr
 	}, func(error) { stop() })
 	if err := g.Run(); !errors.Is(err, run.ErrSignal) {
 		return err
 	}
-	return served
+	return serveErr
 }
