--- a/guard/server/job.go
+++ b/guard/server/job.go
@@ -128,7 +128,7 @@
 	s.slotGoroutines.Add(1)
 	defer s.slotGoroutines.Add(-1)
 	for k != nil {
-		end := s.run(k)
+		end := s.runJob(k)
 		next := s.table.Release(k)
 		end()
 		k = next
@@ -137,7 +137,7 @@
 
 // runJob calls the runner for one job and returns the function that records its
 // end.
-func (s *Server) run(k *ticket) (end func()) {
+func (s *Server) runJob(k *ticket) (end func()) {
 	j := k.Value
 	j.stopBudgetTimer()
 	now := s.opts.Now()
@@ -164,7 +164,7 @@
 	s.calls.end(call, out.Verdict)
 	wait := now.Sub(j.arrived)
 	j.spec = nil
-	return func() { s.end(j, r, out, wait) }
+	return func() { s.recordEnd(j, r, out, wait) }
 }
 
 func request(j *job) runner.Request {
@@ -179,7 +179,7 @@
 }
 
 // recordEnd records the outcome of a call in the ledger.
-func (s *Server) end(j *job, r *registration.Runner, out runner.Outcome, wait time.Duration) {
+func (s *Server) recordEnd(j *job, r *registration.Runner, out runner.Outcome, wait time.Duration) {
 	switch out.Verdict {
 	case runner.Refused, runner.Busy:
 		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
--- a/guard/server/outcomes.go
+++ b/guard/server/outcomes.go
@@ -37,8 +37,8 @@
 
 // callSnapshot is a snapshot of callStats.
 type callSnapshot struct {
-	completed, failed uint64
-	failuresInRow     int
+	completed, failed   uint64
+	consecutiveFailures int
 }
 
 // begin returns the sequence number of a call that starts now.
@@ -92,5 +92,5 @@
 func (o *callStats) snapshot() callSnapshot {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return callSnapshot{completed: o.completed, failed: o.failed, failuresInRow: len(o.failures)}
+	return callSnapshot{completed: o.completed, failed: o.failed, consecutiveFailures: len(o.failures)}
 }
--- a/guard/server/outcomes_test.go
+++ b/guard/server/outcomes_test.go
@@ -17,7 +17,7 @@
 	o.end(callRecord{submission: "a", client: "x", call: o.begin()}, runner.Failed)
 	o.end(callRecord{submission: "b", client: "y", call: o.begin()}, runner.Lost)
 	o.end(old, runner.Completed)
-	assert.Equal(t, o.snapshot(), callSnapshot{completed: 1, failed: 2, failuresInRow: 2})
+	assert.Equal(t, o.snapshot(), callSnapshot{completed: 1, failed: 2, consecutiveFailures: 2})
 	o.end(callRecord{submission: "d", client: "x", call: o.begin()}, runner.Completed)
 	assert.Equal(t, o.snapshot(), callSnapshot{completed: 2, failed: 2})
 }
@@ -30,11 +30,11 @@
 	for _, v := range []runner.Verdict{runner.Failed, runner.Truncated, runner.Cancelled, runner.RunLimit} {
 		o.end(callRecord{submission: "a", client: "x", call: o.begin()}, v)
 	}
-	assert.Equal(t, o.snapshot(), callSnapshot{failed: 2, failuresInRow: 1})
+	assert.Equal(t, o.snapshot(), callSnapshot{failed: 2, consecutiveFailures: 1})
 	for _, submission := range []string{"b", "c", "d"} {
 		o.end(callRecord{submission: submission, client: "x", call: o.begin()}, runner.Failed)
 	}
-	assert.Equal(t, o.snapshot(), callSnapshot{failed: 5, failuresInRow: 2})
+	assert.Equal(t, o.snapshot(), callSnapshot{failed: 5, consecutiveFailures: 2})
 	o.end(callRecord{submission: "e", client: "y", call: o.begin()}, runner.Failed)
-	assert.Equal(t, o.snapshot().failuresInRow, 3)
+	assert.Equal(t, o.snapshot().consecutiveFailures, 3)
 }
--- a/guard/server/server.go
+++ b/guard/server/server.go
@@ -22,11 +22,11 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// maxResolveWait bounds how long a Resolve is held.
+// maxResolveWait bounds the time for which a Resolve call waits.
 const maxResolveWait = 30 * time.Second
 
-// drainPollInterval is the interval at which Drain checks for tasks that still
-// run.
+// drainPollInterval is the interval at which Drain checks for running tasks and
+// unacknowledged results.
 const drainPollInterval = 5 * time.Millisecond
 
 // Runners provides the runner that is currently registered.
@@ -155,7 +155,7 @@
 		RunnerPresent: l.Present,
 		Completed:     calls.completed,
 		Failed:        calls.failed,
-		FailedInRow:   uint32(calls.failuresInRow),
+		FailedInRow:   uint32(calls.consecutiveFailures),
 	}
 }
 
@@ -236,7 +236,7 @@
 	}
 }
 
-// removeCancelled removes a job from the queue that the ledger has ended.
+// removeCancelled removes from the queue a job that the ledger has ended.
 func (s *Server) removeCancelled(k *ticket) {
 	s.metrics.countRefusal(wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 	s.table.Remove(k)
