--- a/guard/node/node.go
+++ b/guard/node/node.go
@@ -32,8 +32,8 @@
 // ErrListen is returned if an address of the settings can't be listened on.
 var ErrListen = errors.New("guard: can't listen")
 
-// ErrCut is returned if the drain limit passed before every running task was
-// answered.
+// ErrCut is returned if the drain limit passed before every task's result was
+// returned.
 var ErrCut = errors.New("guard: shutdown cut short")
 
 const (
@@ -51,8 +51,8 @@
 	maxLocalConns    = 128
 
 	maxEntrySessions = 8
-	// sessionRecordShare is the divisor that gives the records one session may
-	// hold out of all.
+	// sessionRecordShare limits one session to 1/sessionRecordShare of all
+	// records.
 	sessionRecordShare = 4
 
 	readHeaderTimeout = 5 * time.Second
--- a/guard/side/side.go
+++ b/guard/side/side.go
@@ -48,7 +48,7 @@
 	Metrics *telemetry.Metrics
 }
 
-// Guard is the guard of one runner.
+// Guard is the guard process beside one runner.
 type Guard struct {
 	opts     Options
 	settings atomic.Pointer[Settings]
@@ -149,8 +149,8 @@
 	return err
 }
 
-// drain waits for the end of the outer context and then for running tasks to end,
-// for at most the grace period less drainReserve.
+// drain waits for the end of serveCtx and then for running tasks to end, for at
+// most the grace period less drainReserve.
 func (g *Guard) drain(serveCtx, runCtx context.Context) error {
 	select {
 	case <-serveCtx.Done():
