--- a/guard/server/server_test.go
+++ b/guard/server/server_test.go
@@ -528,7 +528,7 @@
 func TestOverloadNeverExceedsSlots(t *testing.T) {
 	const slots, perEntry = 3, 100
 	h := newHarness(t, slots, nil)
-	var startCount atomic.Int32
+	var completed atomic.Int32
 	var wg sync.WaitGroup
 	for _, entry := range []string{"e1", "e2"} {
 		session := h.hello(entry, 1)
@@ -538,7 +538,7 @@
 				r := h.start(request(session, seq, name, echo))
 				switch {
 				case r.GetState() == finished && r.GetResult().GetOk():
-					startCount.Add(1)
+					completed.Add(1)
 					assert.Check(t, string(r.GetResult().GetPayload()) == "payload of "+name)
 				case r.GetReason() != wirev1.RefusalReason_REFUSAL_REASON_QUEUE_FULL:
 					t.Errorf("%s: %v", name, r)
@@ -548,7 +548,7 @@
 	}
 	wg.Wait()
 	assert.Assert(t, h.runner.maxRunning <= slots, "%d at once", h.runner.maxRunning)
-	assert.Equal(t, len(h.runner.starts), int(startCount.Load()))
+	assert.Equal(t, len(h.runner.starts), int(completed.Load()))
 	assert.Equal(t, h.server.Load("").GetOthersOpen(), uint32(0))
 }
 
