--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,5 +1,5 @@
-// Package front serves callers: it reads a request, finds its contract and
-// answers with the job's outcome.
+// Package front is the HTTP handler for callers: it decodes a request, finds its
+// contract, runs the job and responds with its outcome.
 package front
 
 import (
@@ -20,18 +20,19 @@
 )
 
 const (
-	// defaultWait is the deadline of a request that names none, when its contract
-	// names none either.
-	defaultWait = 5 * time.Second
-	// defaultBody bounds a body when the configuration names no limit, bytes.
-	defaultBody = 256 << 10
-	// soon is told to a caller whom another entry, or this one in a moment, can serve.
+	// defaultTimeout is the timeout of a request if neither the request nor its contract
+	// sets one.
+	defaultTimeout = 5 * time.Second
+	// defaultMaxBody is the size limit of a body in bytes if the configuration sets none.
+	defaultMaxBody = 256 << 10
+	// soon is the Retry-After if another entry can serve the caller now, or this one
+	// in a moment.
 	soon = time.Second
-	// unsupportedRetry is told to a caller whose kind of job isn't carried.
+	// unsupportedRetry is the Retry-After for a kind of job that is not supported.
 	unsupportedRetry = time.Minute
 )
 
-// Config holds the configuration; see entry/follower.
+// Config provides the operator's configuration; see entry/follower.
 type Config interface {
 	Table() *route.Table
 	Fresh() bool
@@ -41,50 +42,50 @@
 type Jobs interface {
 	Submit(ctx context.Context, job work.Job, terms planner.Terms, deadline time.Duration) planner.Answer
 	Cancel(id string) bool
-	State(id string) (outcome planner.Outcome, begun, known bool)
+	State(id string) (outcome planner.Outcome, started, known bool)
 	Count(contract string) planner.Counts
 }
 
-// Front is the handler.
+// Front is the HTTP handler.
 type Front struct {
 	config Config
 	jobs   Jobs
 	logger *slog.Logger
-	// closing asks callers to open their next connection elsewhere; closed turns
-	// new work away.
+	// closing makes responses close their connections, so that callers open the next one
+	// to another entry. closed rejects new jobs.
 	closing, closed atomic.Bool
-	open            atomic.Int64
+	inFlight        atomic.Int64
 }
 
-// New returns a handler that takes work.
+// New returns a handler that accepts jobs.
 func New(c Config, j Jobs, logger *slog.Logger) *Front {
 	return &Front{config: c, jobs: j, logger: logger}
 }
 
-// Closing lets connections end after their next answer.
+// Closing makes every further response close its connection.
 func (f *Front) Closing() { f.closing.Store(true) }
 
-// Close turns new work away.
+// Close makes the handler reject new jobs.
 func (f *Front) Close() { f.closed.Store(true) }
 
-// Open counts the requests that are not answered yet.
-func (f *Front) Open() int { return int(f.open.Load()) }
+// Open returns the number of requests in flight.
+func (f *Front) Open() int { return int(f.inFlight.Load()) }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	f.open.Add(1)
-	defer f.open.Add(-1)
+	f.inFlight.Add(1)
+	defer f.inFlight.Add(-1)
 	if f.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	table := f.config.Table()
 	if table == nil {
-		f.turnAway(w, req, "no configuration yet")
+		f.rejectEarly(w, req, "no configuration yet")
 		return
 	}
 	contract := table.Find(req.Host, req.URL.Path)
 	if contract == nil {
-		f.unknown(w, req)
+		f.noContract(w, req)
 		return
 	}
 	id := strings.TrimPrefix(req.URL.Path, contract.Prefix)
@@ -104,12 +105,12 @@
 	}
 }
 
-// unknown answers a request for which there is no contract. An entry that has
-// not heard from the store lately may not know of a new contract, so it doesn't
-// say that there is none.
-func (f *Front) unknown(w http.ResponseWriter, req *http.Request) {
+// noContract responds to a request that matches no contract. An entry that has had no contact
+// with the store lately may not have a new contract yet, so it responds with 503 and
+// not with 404.
+func (f *Front) noContract(w http.ResponseWriter, req *http.Request) {
 	if !f.config.Fresh() {
-		f.turnAway(w, req, "configuration may be out of date")
+		f.rejectEarly(w, req, "configuration may be out of date")
 		return
 	}
 	ingress.WriteError(w, http.StatusNotFound, "no such queue", 0)
@@ -118,31 +119,31 @@
 func (f *Front) submit(w http.ResponseWriter, req *http.Request, table *route.Table, c *route.Contract, id string) {
 	arrived := uptime.Now()
 	if f.closed.Load() {
-		f.turnAway(w, req, "this entry is ending")
+		f.rejectEarly(w, req, "this entry is ending")
 		return
 	}
-	wait, named, err := ingress.Deadline(req)
+	timeout, present, err := ingress.Deadline(req)
 	if err != nil {
-		f.refuse(w, req, c, id, err)
+		f.rejectInvalid(w, req, c, id, err)
 		return
 	}
-	if !named {
-		wait = defaultWait
+	if !present {
+		timeout = defaultTimeout
 		if c.Timeout > 0 {
-			wait = c.Timeout
+			timeout = c.Timeout
 		}
 	}
 	limit := table.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	job, err := ingress.ReadJob(w, req, id, limit)
 	if err != nil {
-		f.refuse(w, req, c, id, err)
+		f.rejectInvalid(w, req, c, id, err)
 		return
 	}
-	answer := f.jobs.Submit(req.Context(), job, terms(c), arrived+wait)
-	f.answer(w, answer)
+	answer := f.jobs.Submit(req.Context(), job, terms(c), arrived+timeout)
+	f.writeOutcome(w, answer)
 }
 
 func terms(c *route.Contract) planner.Terms {
@@ -156,7 +157,7 @@
 	}
 }
 
-func (f *Front) answer(w http.ResponseWriter, a planner.Answer) {
+func (f *Front) writeOutcome(w http.ResponseWriter, a planner.Answer) {
 	switch a.Outcome {
 	case planner.Completed:
 		ingress.WriteState(w, ingress.Completed)
@@ -169,15 +170,15 @@
 	}
 }
 
-// turnAway answers a request that isn't looked into: nothing of it has run. Its line
-// names the job by the path's end, as the contract may not be known.
-func (f *Front) turnAway(w http.ResponseWriter, req *http.Request, why string) {
-	turnedAway.Log(req.Context(), f.logger, slog.String("job", path.Base(req.URL.Path)), slog.String("why", why))
+// rejectEarly rejects a request before its body is read: none of its tasks has run. The log
+// record takes the job ID from the end of the path, as the contract may not be known.
+func (f *Front) rejectEarly(w http.ResponseWriter, req *http.Request, why string) {
+	rejectedEarly.Log(req.Context(), f.logger, slog.String("job", path.Base(req.URL.Path)), slog.String("why", why))
 	ingress.WriteError(w, http.StatusServiceUnavailable, why, soon)
 }
 
-// refuse answers a request that can't be taken as it is.
-func (f *Front) refuse(w http.ResponseWriter, req *http.Request, c *route.Contract, id string, err error) {
+// rejectInvalid rejects an invalid or unsupported request.
+func (f *Front) rejectInvalid(w http.ResponseWriter, req *http.Request, c *route.Contract, id string, err error) {
 	badRequest.Log(req.Context(), f.logger, slog.String("job", id), slog.String("contract", c.Name), slog.String("error", err.Error()))
 	switch {
 	case errors.Is(err, ingress.ErrTooLarge):
@@ -192,7 +193,7 @@
 }
 
 func (f *Front) state(w http.ResponseWriter, id string) {
-	outcome, begun, known := f.jobs.State(id)
+	outcome, started, known := f.jobs.State(id)
 	switch {
 	case !known || outcome == planner.Refused || outcome == planner.Cancelled || outcome == planner.Expired:
 		ingress.WriteError(w, http.StatusGone, "no such job", 0)
@@ -200,7 +201,7 @@
 		ingress.WriteState(w, ingress.Completed)
 	case outcome == planner.Failed:
 		ingress.WriteState(w, ingress.Failed)
-	case begun:
+	case started:
 		ingress.WriteState(w, ingress.Running)
 	default:
 		ingress.WriteState(w, ingress.Queued)
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -18,7 +18,7 @@
 	"almondstand.dev/entry/explain"
 )
 
-// config is what the store gave.
+// config is a Config with fixed values.
 type config struct {
 	table *route.Table
 	fresh bool
@@ -27,7 +27,7 @@
 func (c *config) Table() *route.Table { return c.table }
 func (c *config) Fresh() bool         { return c.fresh }
 
-// noJobs takes none.
+// noJobs is a Jobs that runs no job.
 type noJobs struct{}
 
 func (noJobs) Submit(context.Context, work.Job, planner.Terms, time.Duration) planner.Answer {
@@ -37,16 +37,16 @@
 func (noJobs) State(string) (planner.Outcome, bool, bool) { return 0, false, false }
 func (noJobs) Count(string) planner.Counts                { return planner.Counts{} }
 
-// A caller reads 503 and its operator finds no line with its job: the entry turned it
-// away before looking into it. Each such refusal has one line that says why, and
-// almondstand explain tells it by the job's id.
-func TestTurnedAwayRequestsAreLogged(t *testing.T) {
+// Guards against rejecting a request with 503 before its body is read without logging the
+// job. Each such rejection must have one log line with the reason, and `almondstand
+// explain` must find it by the job's ID.
+func TestEarlyRejectionsAreLogged(t *testing.T) {
 	known := route.NewTable(1, route.Limits{}, []*route.Contract{{Name: "c", Host: "h.example", Prefix: "/q/", Service: "s"}})
 	for _, c := range []struct {
-		why   string
-		given config
-		path  string
-		ends  bool
+		why    string
+		config config
+		path   string
+		closed bool
 	}{
 		{"no configuration yet", config{}, "/q/", false},
 		{"configuration may be out of date", config{table: known}, "/new/", false},
@@ -54,8 +54,8 @@
 	} {
 		t.Run(c.why, func(t *testing.T) {
 			var log bytes.Buffer
-			f := New(&c.given, noJobs{}, slog.New(slog.NewJSONHandler(&log, nil)).With(slog.String("entry", "e1")))
-			if c.ends {
+			f := New(&c.config, noJobs{}, slog.New(slog.NewJSONHandler(&log, nil)).With(slog.String("entry", "e1")))
+			if c.closed {
 				f.Close()
 			}
 			req := httptest.NewRequest("POST", "http://h.example"+c.path+"00000000000000a7", strings.NewReader("{}"))
@@ -64,11 +64,11 @@
 			assert.Equal(t, w.Code, 503)
 			assert.Assert(t, w.Header().Get("Retry-After") != "")
 			var line map[string]any
-			assert.NilError(t, json.Unmarshal(log.Bytes(), &line), "one line, and no other: %s", log.String())
+			assert.NilError(t, json.Unmarshal(log.Bytes(), &line), "exactly one line is expected: %s", log.String())
 			assert.Equal(t, line["job"], "00000000000000a7")
-			story, err := explain.Read("00000000000000a7", &log)
+			explanation, err := explain.Read("00000000000000a7", &log)
 			assert.NilError(t, err)
-			assert.Assert(t, strings.Contains(story.Cause, c.why), story.Cause)
+			assert.Assert(t, strings.Contains(explanation.Cause, c.why), explanation.Cause)
 		})
 	}
 }
