--- a/entry/caller/caller.go
+++ b/entry/caller/caller.go
@@ -1,6 +1,5 @@
-// Package caller submits jobs over the callers' interface. It keeps one
-// submission id for one job: whatever is lost on the way is asked for again
-// under the same id, so the job runs once.
+// Package caller is a client of the callers' API. It submits a job under one submission
+// ID and retries lost requests and responses under the same ID, so that the job runs once.
 package caller
 
 import (
@@ -16,38 +15,40 @@
 	"time"
 )
 
-// Errors of a submission that has no final answer.
+// Errors of a submission without a valid final response.
 var (
-	// ErrNoAddress means that no address was given.
+	// ErrNoAddress means that Options has no address.
 	ErrNoAddress = errors.New("no callers' address given")
-	// ErrGaveUp means that the time was up before a final answer came. Result
-	// says what is known.
+	// ErrGaveUp means that the context ended before a final response arrived. Result
+	// holds the last known state.
 	ErrGaveUp = errors.New("no final answer in time")
-	// ErrNotWhole means that an answer's payload doesn't match its length or digest.
+	// ErrNotWhole means that a response is malformed, or that a payload in it doesn't match
+	// its length or digest.
 	ErrNotWhole = errors.New("answer is not whole")
 )
 
 const (
 	dialTimeout = 2 * time.Second
-	// firstPause and lastPause bound the pause after a lost call; it doubles.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 2 * time.Second
-	// DefaultAttempt is how long one attempt waits for its answer.
-	DefaultAttempt = 20 * time.Second
-	maxAnswer      = 1 << 30 // bytes
+	// initialBackoff and maxBackoff are the initial and the maximum backoff after a failed
+	// request; it doubles in between.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// DefaultAttempt is the default timeout of one attempt.
+	DefaultAttempt   = 20 * time.Second
+	maxResponseBytes = 1 << 30 // bytes
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
-	// Addresses are IP and port of entries, or of a balancer, used in turn.
+	// Addresses are the addresses (IP:port) of entries or of a load balancer, used in turn.
 	Addresses []string
 	Token     string
-	// Attempt bounds one attempt. A connection can go silent for good while new
-	// ones work; asking again under the same id joins the job that runs.
+	// Attempt is the timeout of one attempt. A connection can stop delivering data while
+	// new ones work; a retry under the same ID joins the running job.
 	Attempt time.Duration
-	// OnWait, when set, is told of each pause before the job is asked for again.
+	// OnWait, if set, is called before each wait for a retry.
 	OnWait func(reason string, pause time.Duration)
-	// Jitter returns a number in [0,1) that spreads the pauses.
+	// Jitter returns a random number in [0,1) that spreads the retries.
 	Jitter func() float64
 }
 
@@ -72,16 +73,16 @@
 	return &Client{opts: opts, http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}}}
 }
 
-// reply is one HTTP answer.
-type reply struct {
+// response is an HTTP response.
+type response struct {
 	status     int
 	body       []byte
 	retryAfter time.Duration
 }
 
-// Submit mints an id, submits the job and stays with it until its final answer
-// or until ctx ends. The error is ErrGaveUp, ErrNoAddress or ErrNotWhole; any
-// answer of the entries is a Result.
+// Submit obtains a submission ID, submits the job and retries until a final response
+// arrives or ctx ends. The error is ErrGaveUp, ErrNoAddress or ErrNotWhole; an error
+// response of an entry is not an error but a Result.
 func (c *Client) Submit(ctx context.Context, job []byte) (Result, error) {
 	if len(c.opts.Addresses) == 0 {
 		return Result{}, ErrNoAddress
@@ -90,16 +91,16 @@
 	return s.run(ctx)
 }
 
-// submission is the way of one job.
+// submission is the state of one job's submission.
 type submission struct {
 	client *Client
 	job    []byte
 	id     string
-	// known is the newest that is known of the job.
-	known    Result
-	attempts int
-	turn     int
-	pause    time.Duration
+	// known is the last known state of the job.
+	known        Result
+	attempts     int
+	addressIndex int
+	pause        time.Duration
 }
 
 func (s *submission) run(ctx context.Context) (Result, error) {
@@ -111,43 +112,43 @@
 			}
 			continue
 		}
-		result, err := readResult(r.status, r.body)
+		result, err := decodeResult(r.status, r.body)
 		if err != nil {
 			return s.known, err
 		}
 		result.Attempts = s.attempts
-		if !s.again(r, &result) {
+		if !s.shouldRetry(r, &result) {
 			return result, nil
 		}
 		s.known = result
-		if s.wait(ctx, result.Message, s.asTold(r.retryAfter)) != nil {
+		if s.wait(ctx, result.Message, s.retryDelay(r.retryAfter)) != nil {
 			return s.known, ErrGaveUp
 		}
 	}
 }
 
-// attempt mints an id if there is none, then submits under it.
-func (s *submission) attempt(ctx context.Context) (reply, error) {
+// attempt obtains a submission ID if there is none yet, then submits the job under it.
+func (s *submission) attempt(ctx context.Context) (response, error) {
 	if s.id == "" {
 		r, err := s.send(ctx, http.MethodPost, "/v1/submissions", nil)
 		if err != nil || r.status != http.StatusOK {
 			return r, err
 		}
-		if s.id, err = mintedID(r.body); err != nil {
-			return reply{}, err
+		if s.id, err = decodeSubmissionID(r.body); err != nil {
+			return response{}, err
 		}
 	}
 	s.attempts++
 	r, err := s.send(ctx, http.MethodPut, "/v1/submissions/"+s.id, s.job)
 	if err != nil && s.known.Ran == RanNo {
-		// The request may have arrived although its answer did not.
+		// The request may have been received although no response arrived.
 		s.known = Result{Submission: s.id, Ran: RanUnknown, Message: "the answer was lost"}
 	}
 	return r, err
 }
 
-// again reports whether the answer asks for another attempt.
-func (s *submission) again(r reply, result *Result) bool {
+// shouldRetry reports whether the response asks for a retry.
+func (s *submission) shouldRetry(r response, result *Result) bool {
 	if r.retryAfter <= 0 {
 		return false
 	}
@@ -157,21 +158,23 @@
 		return false
 	}
 	if result.Code == codeDraining && result.Ran == RanNo {
-		// The id would end with the entry; the job has not run, so another id is safe.
+		// The ID becomes invalid when its entry shuts down. The job has not run, so a new
+		// ID can't make it run twice.
 		s.id = ""
 	}
 	return true
 }
 
-// asTold spreads clients that were told the same pause.
-func (s *submission) asTold(retryAfter time.Duration) time.Duration {
+// retryDelay returns the server's Retry-After plus jitter, which spreads the retries of clients
+// that got the same value.
+func (s *submission) retryDelay(retryAfter time.Duration) time.Duration {
 	s.pause = 0
 	return retryAfter + time.Duration(s.client.opts.Jitter()*float64(retryAfter)/4)
 }
 
 func (s *submission) backoff() time.Duration {
-	s.turn++
-	s.pause = min(max(2*s.pause, firstPause), lastPause)
+	s.addressIndex++
+	s.pause = min(max(2*s.pause, initialBackoff), maxBackoff)
 	return s.pause/2 + time.Duration(s.client.opts.Jitter()*float64(s.pause)/2)
 }
 
@@ -187,38 +190,38 @@
 	}
 }
 
-func (s *submission) send(ctx context.Context, method, path string, body []byte) (reply, error) {
+func (s *submission) send(ctx context.Context, method, path string, body []byte) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.client.opts.Attempt)
 	defer cancel()
 	addresses := s.client.opts.Addresses
-	url := "http://" + addresses[s.turn%len(addresses)] + path
+	url := "http://" + addresses[s.addressIndex%len(addresses)] + path
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+s.client.opts.Token)
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := s.client.http.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{status: resp.StatusCode, body: raw, retryAfter: retryAfter(resp.Header)}, nil
+	return response{status: resp.StatusCode, body: raw, retryAfter: retryAfter(resp.Header)}, nil
 }
 
-func mintedID(body []byte) (string, error) {
-	var minted struct {
+func decodeSubmissionID(body []byte) (string, error) {
+	var issued struct {
 		Submissions []string `json:"submissions"`
 	}
-	if err := json.Unmarshal(body, &minted); err != nil {
+	if err := json.Unmarshal(body, &issued); err != nil {
 		return "", err
 	}
-	if len(minted.Submissions) == 0 {
+	if len(issued.Submissions) == 0 {
 		return "", fmt.Errorf("mint answered no id")
 	}
-	return minted.Submissions[0], nil
+	return issued.Submissions[0], nil
 }
--- a/entry/caller/caller_test.go
+++ b/entry/caller/caller_test.go
@@ -19,20 +19,20 @@
 	"almondstand.dev/entry/caller"
 )
 
-// script answers each PUT with the next step and mints ids in order.
+// script is a server that handles each PUT with the next step and issues IDs in sequence.
 type script struct {
-	mu    sync.Mutex
-	steps []http.HandlerFunc
-	ids   []string // of the PUTs, as they came
-	mints int
+	mu     sync.Mutex
+	steps  []http.HandlerFunc
+	ids    []string // of the PUT requests, in order of arrival
+	issued int
 }
 
 func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.Method == http.MethodPost {
 		s.mu.Lock()
-		s.mints++
-		n := s.mints
+		s.issued++
+		n := s.issued
 		s.mu.Unlock()
 		_, _ = fmt.Fprintf(w, `{"submissions":["id%d"]}`, n)
 		return
@@ -45,13 +45,13 @@
 	step(w, r)
 }
 
-func complete(w http.ResponseWriter, _ *http.Request) {
+func respondComplete(w http.ResponseWriter, _ *http.Request) {
 	sum := sha256.Sum256([]byte("wear ok"))
 	_, _ = fmt.Fprintf(w, `{"submission":"x","outcome":"complete","tasks":[{"payload":%q,"length":7,"digest":%q,"run_time":"51ms"}]}`,
 		base64.StdEncoding.EncodeToString([]byte("wear ok")), hex.EncodeToString(sum[:]))
 }
 
-func refuse(status int, code, ran, retryAfterMs string) http.HandlerFunc {
+func respondWithError(status int, code, ran, retryAfterMs string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if retryAfterMs != "" {
 			w.Header().Set("Retry-After-Ms", retryAfterMs)
@@ -61,7 +61,7 @@
 	}
 }
 
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
@@ -81,34 +81,34 @@
 	return result, s, err
 }
 
-func TestCompleteAnswer(t *testing.T) {
-	result, _, err := submit(t, time.Minute, complete)
+func TestCompleteResponse(t *testing.T) {
+	result, _, err := submit(t, time.Minute, respondComplete)
 	assert.NilError(t, err)
 	assert.Assert(t, result.Complete)
 	assert.Equal(t, string(result.Tasks[0].Payload), "wear ok")
 }
 
-// The caller loses its connection, is told that the owner is silent, and holds
-// a connection that says nothing any more. Each time the job may be running, so
-// it asks again under the same id and never mints another.
-func TestLossRepeatsTheSameID(t *testing.T) {
+// Guards against running a job twice. A broken connection, an error response saying that
+// the owner is unresponsive, and a hanging connection all leave open whether the job is
+// running, so the client must retry under the same ID and never obtain another.
+func TestLossRetriesWithTheSameID(t *testing.T) {
 	result, s, err := submit(t, time.Minute,
-		cut, refuse(http.StatusServiceUnavailable, "owner_silent", "unknown", "1"), hang, complete)
+		abort, respondWithError(http.StatusServiceUnavailable, "owner_silent", "unknown", "1"), hang, respondComplete)
 	assert.NilError(t, err)
 	assert.Assert(t, result.Complete)
 	assert.Equal(t, result.Attempts, 4)
 	assert.DeepEqual(t, s.ids, []string{"id1", "id1", "id1", "id1"})
 }
 
-// The owner is shutting down and says truly that the job has not run. Its ids
-// end with it, so the job goes on under another one.
-func TestDrainingEntryTakesAnotherID(t *testing.T) {
-	_, s, err := submit(t, time.Minute, refuse(http.StatusServiceUnavailable, "draining", "no", "1"), complete)
+// An owner that is shutting down reports that the job has not run. Its IDs become invalid
+// with it, so the job is submitted again under a new ID.
+func TestDrainingEntryLeadsToNewID(t *testing.T) {
+	_, s, err := submit(t, time.Minute, respondWithError(http.StatusServiceUnavailable, "draining", "no", "1"), respondComplete)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, s.ids, []string{"id1", "id2"})
 }
 
-func TestFinalAnswersAreNotRepeated(t *testing.T) {
+func TestFinalResponsesAreNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		status    int
 		code, ran string
@@ -118,7 +118,7 @@
 		{http.StatusUnprocessableEntity, "job_too_large", "no"},
 		{http.StatusTooManyRequests, "over_quota", "no"},
 	} {
-		result, s, err := submit(t, time.Minute, refuse(c.status, c.code, c.ran, ""))
+		result, s, err := submit(t, time.Minute, respondWithError(c.status, c.code, c.ran, ""))
 		assert.NilError(t, err)
 		assert.Equal(t, result.Code, c.code)
 		assert.Equal(t, string(result.Ran), c.ran)
@@ -126,8 +126,8 @@
 	}
 }
 
-func TestGivingUpTellsWhatIsKnown(t *testing.T) {
-	result, _, err := submit(t, 200*time.Millisecond, refuse(http.StatusTooManyRequests, "backlog", "no", "60000"))
+func TestTimeoutReturnsLastKnownState(t *testing.T) {
+	result, _, err := submit(t, 200*time.Millisecond, respondWithError(http.StatusTooManyRequests, "backlog", "no", "60000"))
 	assert.ErrorIs(t, err, caller.ErrGaveUp)
 	assert.Equal(t, result.Ran, caller.RanNo)
 	result, _, err = submit(t, 200*time.Millisecond, hang)
@@ -135,7 +135,7 @@
 	assert.Equal(t, result.Ran, caller.RanUnknown)
 }
 
-func TestAlteredAnswerIsRefused(t *testing.T) {
+func TestCorruptPayloadIsRejected(t *testing.T) {
 	_, _, err := submit(t, time.Minute, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"outcome":"complete","tasks":[{"payload":"AAAA","length":3,"digest":"00"}]}`)
 	})
--- a/entry/caller/result.go
+++ b/entry/caller/result.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Ran says whether a job or task started.
+// Ran tells whether a job or task has started.
 type Ran string
 
 // Values of Ran.
@@ -20,10 +20,10 @@
 	RanUnknown Ran = "unknown"
 )
 
-// codeDraining is the code of an entry that is shutting down.
+// codeDraining is the error code of an entry that is shutting down.
 const codeDraining = "draining"
 
-// Result is what an entry answered.
+// Result is the response of an entry.
 type Result struct {
 	Submission string `json:"submission"`
 	Complete   bool   `json:"complete"`
@@ -33,24 +33,24 @@
 	Message string `json:"message,omitempty"`
 	Ran     Ran    `json:"ran"`
 	Tasks   []Task `json:"tasks,omitempty"`
-	// Attempts counts how often the job was submitted under its id.
+	// Attempts is the number of requests that submitted the job.
 	Attempts int `json:"attempts"`
 }
 
 // Task is one task of a result.
 type Task struct {
-	// Payload, Length, Digest (SHA-256, hex) and RunTime are set when the job is
+	// Payload, Length, Digest (SHA-256, hex) and RunTime are set if the job is
 	// complete.
 	Payload []byte `json:"payload,omitempty"`
 	Length  int    `json:"length,omitempty"`
 	Digest  string `json:"digest,omitempty"`
 	RunTime string `json:"run_time,omitempty"`
-	// Ran and Code are set when it is not.
+	// Ran and Code are set if the job is not complete.
 	Ran  Ran    `json:"ran,omitempty"`
 	Code string `json:"code,omitempty"`
 }
 
-// body is the union of the bodies that an entry may answer.
+// body is the union of the response bodies of an entry.
 type body struct {
 	Submission string `json:"submission"`
 	Error      *struct {
@@ -62,9 +62,9 @@
 	Tasks []Task `json:"tasks"`
 }
 
-// readResult reads an answer; the payloads of a complete one are checked
-// against their lengths and digests.
-func readResult(status int, raw []byte) (Result, error) {
+// decodeResult decodes a response. It verifies the payloads of a complete job against
+// their lengths and digests.
+func decodeResult(status int, raw []byte) (Result, error) {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return Result{}, fmt.Errorf("%w: status %d: %w", ErrNotWhole, status, err)
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// retryAfter reads the pause that an answer asks for, the finer header first.
+// retryAfter returns the retry delay that a response asks for. Retry-After-Ms, which has the
+// finer resolution, takes precedence over Retry-After.
 func retryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(h.Get("Retry-After-Ms"), 10, 64); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
