--- a/entry/cmd/almondstand/docs_test.go
+++ b/entry/cmd/almondstand/docs_test.go
@@ -25,20 +25,21 @@
 	examples = "../../../examples"
 )
 
-var update = flag.Bool("docs.update", false, "write the catalogue of events anew")
+var update = flag.Bool("docs.update", false, "update the event catalogue")
 
-// owned are the numbers of the events of an entry.
+// owned reports whether the event number belongs to an entry.
 func owned(number int) bool {
 	return eventlog.Between(1000, 1999)(number) || eventlog.Between(3000, 4999)(number)
 }
 
-// This program imports every package of an entry, so that its catalogue is whole.
+// TestEventsCatalogue compares docs/EVENTS.md with the events defined. This program imports
+// every package of an entry, so all events of an entry are registered.
 func TestEventsCatalogue(t *testing.T) {
 	path := filepath.Join(docs, "EVENTS.md")
 	assert.NilError(t, eventlog.CheckFile(path, owned, owned, *update))
 }
 
-// Each field stands in the reference once, with its default.
+// TestSettingsReference checks that the reference lists each field once, with its default.
 func TestSettingsReference(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(docs, "SETTINGS.md"))
 	assert.NilError(t, err)
@@ -53,7 +54,7 @@
 	assert.NilError(t, err)
 	var out bytes.Buffer
 	assert.Equal(t, command.Execute(t.Context(), entry(), []string{"settings", "example"}, &out, &out), 0)
-	assert.Equal(t, string(raw), out.String(), "examples/entry.json is not what `settings example` prints")
+	assert.Equal(t, string(raw), out.String(), "examples/entry.json differs from the output of `settings example`")
 }
 
 func TestExampleContracts(t *testing.T) {
@@ -68,12 +69,13 @@
 	}
 }
 
-// An operator who leaves the data centre out, clashes two ports and writes a
-// number without its unit reads all three faults in one line, and nothing starts.
-func TestFaultySettingsAreListed(t *testing.T) {
+// Checks that the entry command rejects invalid settings (a missing data centre, two
+// listeners on one port, a duration without a unit), starts nothing and lists every fault
+// in one line.
+func TestSettingsErrorsAreListed(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(examples, "entry.json"))
 	assert.NilError(t, err)
-	faulty := func(change func(map[string]any)) string {
+	errorOutput := func(change func(map[string]any)) string {
 		var s map[string]any
 		assert.NilError(t, json.Unmarshal(raw, &s))
 		change(s)
@@ -86,15 +88,15 @@
 		assert.Equal(t, strings.Count(errOut.String(), "\n"), 1)
 		return errOut.String()
 	}
-	assert.Assert(t, strings.Contains(faulty(func(s map[string]any) { delete(s, "zone") }), "zone: missing; allowed: a value (required)"))
-	text := faulty(func(s map[string]any) { s["drain_limit"] = "30"; s["zonne"] = "x" })
+	assert.Assert(t, strings.Contains(errorOutput(func(s map[string]any) { delete(s, "zone") }), "zone: missing; allowed: a value (required)"))
+	text := errorOutput(func(s map[string]any) { s["drain_limit"] = "30"; s["zonne"] = "x" })
 	assert.Assert(t, strings.Contains(text, `drain_limit: read "30"`) && strings.Contains(text, "zonne: read an unknown field"), text)
-	text = faulty(func(s map[string]any) {
+	text = errorOutput(func(s map[string]any) {
 		s["listen"].(map[string]any)["operators"] = "0.0.0.0:7003"
 		delete(s, "advertise")
 	})
 	assert.Assert(t, strings.Contains(text, "advertise.operators: missing"), text)
-	text = faulty(func(s map[string]any) { s["listen"].(map[string]any)["operators"] = "127.0.0.1:7001" })
+	text = errorOutput(func(s map[string]any) { s["listen"].(map[string]any)["operators"] = "127.0.0.1:7001" })
 	assert.Assert(t, strings.Contains(text, "listen.operators") && strings.Contains(text, "listen.callers listens on 127.0.0.1:7001"), text)
 }
 
@@ -104,7 +106,7 @@
 	assert.NilError(t, settings.CheckReference(string(raw), "Entry on the operators' platform", edge.Default()))
 }
 
-// The deployment's template renders settings that start.
+// TestDeployedSettings checks that the deployment template renders valid settings.
 func TestDeployedSettings(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/entry.json.tmpl")
 	assert.NilError(t, err)
--- a/entry/cmd/almondstand/edge.go
+++ b/entry/cmd/almondstand/edge.go
@@ -14,11 +14,11 @@
 	"almondstand.dev/telemetry"
 )
 
-// metricsPrefix begins the name of every metric of such an entry.
+// metricsPrefix is the prefix of all metric names of an entry in capacity mode.
 const metricsPrefix = "almondstand"
 
-// runEdge runs an entry of runners known by their capacity, and the signals
-// that reload and end it.
+// runEdge runs an entry whose runners report their resource capacity (capacity mode). It
+// reloads the settings on SIGHUP, and drains and stops on SIGINT or SIGTERM.
 func runEdge(ctx context.Context, path string) error {
 	s, err := edge.Load(path)
 	if err != nil {
--- a/entry/cmd/almondstand/entry.go
+++ b/entry/cmd/almondstand/entry.go
@@ -18,26 +18,26 @@
 	"almondstand.dev/telemetry"
 )
 
-// entry wires the entry process into the command line.
+// entry connects the entry process to the command line.
 func entry() command.Entry {
 	return command.Entry{
-		Run:     runEither,
-		Check:   check,
+		Run:     runByMode,
+		Check:   checkSettings,
 		Example: func() any { return example() },
 	}
 }
 
-// capacitySection of a settings file holds the settings of an entry whose runners
-// are known by their capacity.
+// capacitySection is the section of a settings file for an entry whose runners report
+// their resource capacity. Its presence selects that mode.
 const capacitySection = "capacity"
 
-// check checks a settings file of either kind.
-func check(path string) error {
-	fleet, err := settings.Has(path, capacitySection)
+// checkSettings validates a settings file of either mode.
+func checkSettings(path string) error {
+	capacityMode, err := settings.Has(path, capacitySection)
 	if err != nil {
 		return err
 	}
-	if fleet {
+	if capacityMode {
 		_, err = edge.Load(path)
 		return err
 	}
@@ -45,13 +45,13 @@
 	return err
 }
 
-// runEither runs the kind of entry that the settings are for.
-func runEither(ctx context.Context, path string) error {
-	fleet, err := settings.Has(path, capacitySection)
+// runByMode runs an entry in the mode that the settings select.
+func runByMode(ctx context.Context, path string) error {
+	capacityMode, err := settings.Has(path, capacitySection)
 	if err != nil {
 		return err
 	}
-	if fleet {
+	if capacityMode {
 		return runEdge(ctx, path)
 	}
 	return runEntry(ctx, path)
@@ -68,7 +68,7 @@
 		return err
 	}
 	logger = logger.With(slog.String("entry", s.ID))
-	// Libraries log through the default logger, in the same form then.
+	// Libraries use the default logger; this gives their records the same format.
 	slog.SetDefault(logger)
 	n, err := node.New(s, node.Options{Logger: logger})
 	if err != nil {
@@ -82,17 +82,18 @@
 		served = n.Run(serving)
 		return served
 	}, func(error) { stop() })
-	// The group returns the signal; the exit status tells how the drain went.
+	// On a signal the group returns ErrSignal; the result of draining determines the exit
+	// status.
 	if err := g.Run(); !errors.Is(err, run.ErrSignal) {
 		return err
 	}
 	return served
 }
 
-// exampleDigest stands for the SHA-256 of a token that nobody holds.
+// exampleDigest is a placeholder for the SHA-256 of a token. No known token matches it.
 var exampleDigest = strings.Repeat("0", 64)
 
-// example returns settings with every field, for one host.
+// example returns settings with all fields, for a single host.
 func example() node.Settings {
 	s := node.Default()
 	s.ID = "entry-1"
--- a/entry/cmd/almondstand/main.go
+++ b/entry/cmd/almondstand/main.go
@@ -1,5 +1,5 @@
-// Command almondstand dispatches sub-second tasks under contracts: it runs an
-// entry, and it is the command line of operators and callers.
+// Command almondstand dispatches sub-second tasks under contracts. It runs an
+// entry, and it is the command-line client for operators and callers.
 package main
 
 import (
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	// A hangup asks for a reload; one that comes before the process listens for
-	// it must not end it.
+	// SIGHUP requests a reload. It must not terminate the process when it arrives
+	// before the handler is installed.
 	signal.Ignore(syscall.SIGHUP)
 	os.Exit(command.Execute(context.Background(), entry(), os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/entry/cmd/almondstand/metrics_test.go
+++ b/entry/cmd/almondstand/metrics_test.go
@@ -11,9 +11,9 @@
 	"almondstand.dev/entry/node"
 )
 
-// Two parts of an entry give one name to metrics with different labels. The
-// second is rejected at the start, and an operator's dashboard lacks it.
-func TestMetricsDoNotClash(t *testing.T) {
+// Guards against two packages of an entry registering metrics with the same name but
+// different labels: the second would be rejected at startup and missing from dashboards.
+func TestMetricNamesDoNotCollide(t *testing.T) {
 	var log bytes.Buffer
 	logger := slog.New(slog.NewTextHandler(&log, nil))
 	old := slog.Default()
