--- a/contract/check.go
+++ b/contract/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Bounds of the fields.
+// Limits of the fields.
 const (
 	MaxRate       = 1_000_000 // tasks per second
 	MaxBurst      = 1_000_000 // tasks
@@ -19,11 +19,11 @@
 	MaxRunLimit   = Duration(time.Minute)
 	MaxServices   = 100
 	MaxTokens     = 32
-	// MaxChange bounds the change id, in bytes.
+	// MaxChange is the maximum length of the change ID in bytes.
 	MaxChange = 64
 )
 
-// NamePattern is the form of a customer's and of a service's name.
+// NamePattern is the regular expression for the names of client accounts and services.
 const NamePattern = "[a-z0-9-]{1,64}"
 
 var (
@@ -50,7 +50,7 @@
 	allowChange    = fmt.Sprintf("at most %d bytes, set by the writer", MaxChange)
 )
 
-// Check returns an *Invalid that lists every field out of its bounds, or nil.
+// Check returns an *Invalid that lists every invalid field, or nil.
 func (c *Contract) Check() error {
 	var p problems
 	c.check(&p)
@@ -80,7 +80,7 @@
 }
 
 func (c *Contract) checkLimits(p *problems) {
-	// Written so that NaN fails too.
+	// The comparison is negated so that NaN is rejected too.
 	if !(c.Rate > 0 && c.Rate <= MaxRate) {
 		p.add("rate", strconv.FormatFloat(c.Rate, 'g', -1, 64), allowRate)
 	}
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -1,10 +1,9 @@
-// Package contract defines what an operator promises one customer, its JSON
-// form and its checks. Every limit the system keeps for a customer follows
+// Package contract defines the contract between an operator and a client account, its
+// JSON format and its validation. All limits enforced for a client account follow
 // from its contract.
 //
-// Fields that may be left out, and what they then are: state "active", urgency
-// 5, run_limit "10s", objective 0.999, token_digests none. All others must be
-// written.
+// Optional fields and their defaults: state "active", urgency 5, run_limit "10s",
+// objective 0.999, token_digests empty. All other fields except change are required.
 package contract
 
 import (
@@ -14,17 +13,17 @@
 	"time"
 )
 
-// State says whether work is accepted under a contract.
+// State tells whether work is accepted under a contract.
 type State string
 
 // States of a contract. A contract is retired and never deleted, so that the
-// revision of its key never goes down.
+// revision of its key never decreases.
 const (
 	Active  State = "active"
 	Retired State = "retired"
 )
 
-// Values of fields that were left out.
+// Defaults of optional fields.
 const (
 	DefaultState     = Active
 	DefaultUrgency   = 5
@@ -32,10 +31,10 @@
 	DefaultObjective = 0.999
 )
 
-// Duration is a time span written in JSON as a Go duration such as "250ms".
+// Duration is a duration that is encoded in JSON as a Go duration string such as "250ms".
 type Duration time.Duration
 
-// UnmarshalJSON reads a quoted Go duration.
+// UnmarshalJSON decodes a Go duration string.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -49,60 +48,59 @@
 	return nil
 }
 
-// MarshalJSON writes a quoted Go duration.
+// MarshalJSON encodes a Go duration string.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.String()) }
 
-// String returns the Go form, such as "250ms".
+// String returns the duration in Go's format, such as "250ms".
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Std returns the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Contract is the promise made to one customer.
+// Contract is the contract of one client account.
 type Contract struct {
-	// Customer names the customer; it is part of the key in the store.
+	// Customer is the name of the client account. It is part of the key in the store.
 	Customer string `json:"customer"`
 	State    State  `json:"state"`
-	// Rate is the sustained number of task starts bought, per second.
+	// Rate is the sustained rate of task starts bought, per second.
 	Rate float64 `json:"rate"`
-	// Burst is the number of tasks that may be submitted at once above Rate.
+	// Burst is the number of tasks that may be submitted at once in excess of Rate.
 	Burst int `json:"burst"`
-	// InFlight is the number of accepted and unfinished tasks allowed.
+	// InFlight is the maximum number of tasks accepted and not yet finished.
 	InFlight int `json:"in_flight"`
-	// Urgency weighs this customer against others, from 1 to MaxUrgency.
+	// Urgency is the weight of this client account relative to others, from 1 to MaxUrgency.
 	Urgency int `json:"urgency"`
-	// AnswerTime is how long an answer may take.
+	// AnswerTime is the latency target of responses.
 	AnswerTime Duration `json:"answer_time"`
-	// RunLimit is the longest run allowed for one task.
+	// RunLimit is the maximum run time of a task.
 	RunLimit Duration `json:"run_limit"`
-	// Objective is the share of answers that must arrive within AnswerTime;
-	// the burn report measures against it.
+	// Objective is the fraction of responses that must arrive within AnswerTime (the SLO).
+	// The burn report is computed against it.
 	Objective float64 `json:"objective"`
-	// Services lists the services the customer may use.
+	// Services lists the services that the client account may use.
 	Services []string `json:"services"`
-	// TokenDigests are SHA-256 digests, in lower-case hex, of the customer's
+	// TokenDigests are the SHA-256 digests, in lower-case hex, of the client account's
 	// bearer tokens.
 	TokenDigests []string `json:"token_digests"`
-	// Change identifies the write that made this version, so that a write whose
-	// answer was lost is recognised when it is read back. Set by the writer.
+	// Change identifies the write of this version. If the response to a write is lost, the
+	// writer reads the contract back and recognises its own write by it. Set by the writer.
 	Change string `json:"change,omitempty"`
 }
 
-// AllowsService reports whether the customer may use the service.
+// AllowsService reports whether the client account may use the service.
 func (c *Contract) AllowsService(name string) bool {
 	return slices.Contains(c.Services, name)
 }
 
-// Encode returns the canonical JSON: two contracts with the same meaning have
-// the same bytes.
+// Encode returns the canonical JSON: equivalent contracts have identical bytes.
 func (c Contract) Encode() ([]byte, error) {
 	c.Services = sorted(c.Services)
 	c.TokenDigests = sorted(c.TokenDigests)
 	return json.Marshal(c)
 }
 
-// Same reports whether two contracts promise the same. The change that wrote
-// them is not compared.
+// Same reports whether two contracts are equal apart from the order of their lists and
+// Change.
 func (c Contract) Same(other Contract) bool {
 	c.Change, other.Change = "", ""
 	a, errA := c.Encode()
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -14,11 +14,11 @@
 
 const digest = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
-const good = `{"customer":"karlovac","rate":25.5,"burst":100,"in_flight":50,
+const valid = `{"customer":"karlovac","rate":25.5,"burst":100,"in_flight":50,
 	"answer_time":"2s","services":["teardown","torque"],"token_digests":["` + digest + `"]}`
 
 func TestDecodeFillsDefaults(t *testing.T) {
-	c, err := contract.Decode([]byte(good))
+	c, err := contract.Decode([]byte(valid))
 	assert.NilError(t, err)
 	assert.Equal(t, c.State, contract.Active)
 	assert.Equal(t, c.Urgency, 5)
@@ -29,7 +29,7 @@
 	assert.Assert(t, !c.AllowsService("dispatch"))
 }
 
-func TestDecodeNamesEachProblem(t *testing.T) {
+func TestDecodeReportsEachProblem(t *testing.T) {
 	cases := map[string]struct{ old, new, path string }{
 		"unknown field":     {`"burst":100`, `"burst":100,"brust":1`, "brust"},
 		"other case":        {`"burst":100`, `"burst":100,"Burst":1`, "Burst"},
@@ -62,8 +62,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(good, c.old, c.new, 1)
-			assert.Assert(t, text != good)
+			text := strings.Replace(valid, c.old, c.new, 1)
+			assert.Assert(t, text != valid)
 			_, err := contract.Decode([]byte(text))
 			var invalid *contract.Invalid
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
@@ -74,9 +74,9 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsNoObject(t *testing.T) {
-	for _, text := range []string{"", "null", "[]", "7", "{", good + "x", good + good, `{"a"}`,
-		strings.Repeat("[", 1<<16+1), strings.Replace(good, "karlovac", "karlo\xffvac", 1)} {
+func TestDecodeRejectsNonObjects(t *testing.T) {
+	for _, text := range []string{"", "null", "[]", "7", "{", valid + "x", valid + valid, `{"a"}`,
+		strings.Repeat("[", 1<<16+1), strings.Replace(valid, "karlovac", "karlo\xffvac", 1)} {
 		_, err := contract.Decode([]byte(text))
 		var invalid *contract.Invalid
 		assert.Assert(t, errors.As(err, &invalid), "%.40q", text)
@@ -96,7 +96,7 @@
 }
 
 func TestSameIgnoresOrderAndChange(t *testing.T) {
-	a, err := contract.Decode([]byte(good))
+	a, err := contract.Decode([]byte(valid))
 	assert.NilError(t, err)
 	b := a
 	b.Services = []string{"torque", "teardown"}
@@ -106,10 +106,10 @@
 	assert.Assert(t, !a.Same(b))
 }
 
-// FuzzDecode holds that the decoder never panics, that every refusal is typed
-// and says something, and that what it accepts is written and read back alike.
+// FuzzDecode checks that the decoder never panics, that every error is a non-empty
+// *Invalid, and that a contract that decodes is unchanged by encoding and decoding it.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(valid))
 	for _, seed := range []string{`{}`, `{"customer":null}`, `{"rate":1e999}`, `{"services":[[]]}`,
 		`{"answer_time":"-1ns"}`, `{"a":1,"a":2}`, "{\"customer\":\"\\u0000\"}", `[{}]`, `{"token_digests":{}}`} {
 		f.Add([]byte(seed))
@@ -123,14 +123,14 @@
 			return
 		}
 		assert.NilError(t, c.Check())
-		written, err := c.Encode()
+		encoded, err := c.Encode()
 		assert.NilError(t, err)
-		again, err := contract.Decode(written)
+		decodedAgain, err := contract.Decode(encoded)
 		assert.NilError(t, err)
-		assert.Assert(t, again.Same(c))
-		rewritten, err := again.Encode()
+		assert.Assert(t, decodedAgain.Same(c))
+		encodedAgain, err := decodedAgain.Encode()
 		assert.NilError(t, err)
-		assert.Equal(t, string(rewritten), string(written))
-		assert.Assert(t, json.Valid(written))
+		assert.Equal(t, string(encodedAgain), string(encoded))
+		assert.Assert(t, json.Valid(encoded))
 	})
 }
--- a/contract/decode.go
+++ b/contract/decode.go
@@ -10,15 +10,15 @@
 	"unicode/utf8"
 )
 
-// MaxSize bounds the JSON text of one contract, in bytes.
+// MaxSize is the maximum size of a contract's JSON in bytes.
 const MaxSize = 64 << 10
 
-// Decode reads one contract strictly: an unknown or repeated field, a wrong
-// type, a missing field, a value out of bounds and text after the end are all
-// refused. The error is an *Invalid that lists every problem.
+// Decode decodes a contract strictly: it rejects unknown, repeated and missing fields,
+// wrong types, values out of range and data after the JSON object. The error is an
+// *Invalid that lists every problem.
 func Decode(text []byte) (Contract, error) {
 	var p problems
-	fields := split(text, &p)
+	fields := splitFields(text, &p)
 	if p.err() != nil && fields == nil {
 		return Contract{}, p.err()
 	}
@@ -28,7 +28,7 @@
 		RunLimit:  DefaultRunLimit,
 		Objective: DefaultObjective,
 	}
-	c.fill(fields, &p)
+	c.setFields(fields, &p)
 	c.check(&p)
 	if err := p.err(); err != nil {
 		return Contract{}, err
@@ -36,16 +36,16 @@
 	return c, nil
 }
 
-// split takes the text apart into its fields. It returns nil when the text is
-// no JSON object.
-func split(text []byte, p *problems) map[string]json.RawMessage {
+// splitFields returns the fields of the JSON object in text, or nil if text is not a JSON
+// object.
+func splitFields(text []byte, p *problems) map[string]json.RawMessage {
 	const allowed = "one JSON object in UTF-8"
 	if len(text) > MaxSize {
 		p.add("", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d bytes", MaxSize))
 		return nil
 	}
-	// The JSON decoder replaces bytes that are not UTF-8, so that what was
-	// checked would differ from what was written.
+	// The JSON decoder replaces invalid UTF-8, so the contract that was checked would
+	// differ from the text.
 	if !utf8.Valid(text) {
 		p.add("", "bytes that are not UTF-8", allowed)
 		return nil
@@ -57,12 +57,12 @@
 	}
 	fields := map[string]json.RawMessage{}
 	for dec.More() {
-		name, raw, err := next(dec)
+		name, raw, err := nextField(dec)
 		if err != nil {
 			p.add("", err.Error(), allowed)
 			return nil
 		}
-		if _, twice := fields[name]; twice {
+		if _, duplicate := fields[name]; duplicate {
 			p.add(name, "the field twice", "each field once")
 		}
 		fields[name] = raw
@@ -78,7 +78,7 @@
 	return fields
 }
 
-func next(dec *json.Decoder) (string, json.RawMessage, error) {
+func nextField(dec *json.Decoder) (string, json.RawMessage, error) {
 	key, err := dec.Token()
 	if err != nil {
 		return "", nil, err
@@ -90,19 +90,19 @@
 	return key.(string), raw, nil
 }
 
-// fieldNames are the known fields, in the order of the type.
+// fieldNames lists the known fields in the order of their declaration in Contract.
 var fieldNames = []string{
 	"customer", "state", "rate", "burst", "in_flight", "urgency", "answer_time",
 	"run_limit", "objective", "services", "token_digests", "change",
 }
 
-func (c *Contract) fill(fields map[string]json.RawMessage, p *problems) {
+func (c *Contract) setFields(fields map[string]json.RawMessage, p *problems) {
 	for _, name := range sortedKeys(fields) {
 		if !slices.Contains(fieldNames, name) {
 			p.add(name, "an unknown field", strings.Join(fieldNames, ", "))
 		}
 	}
-	r := reader{fields: fields, problems: p}
+	r := fieldReader{fields: fields, problems: p}
 	read(r, "customer", &c.Customer, required, allowName)
 	read(r, "state", &c.State, optional, allowState)
 	read(r, "rate", &c.Rate, required, allowRate)
@@ -133,12 +133,12 @@
 	optional presence = false
 )
 
-type reader struct {
+type fieldReader struct {
 	fields   map[string]json.RawMessage
 	problems *problems
 }
 
-func read[T any](r reader, name string, into *T, need presence, allowed string) {
+func read[T any](r fieldReader, name string, target *T, need presence, allowed string) {
 	raw, present := r.fields[name]
 	if !present {
 		if need == required {
@@ -146,13 +146,13 @@
 		}
 		return
 	}
-	// A null would leave the field as it was, and an element null an empty
-	// name: both read as something the operator did not write.
+	// Unmarshalling null would leave the field unchanged, and a null element of a list
+	// would become an empty name: neither is what the operator wrote.
 	if hasNull(raw) {
 		r.problems.add(name, string(raw), allowed)
 		return
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
+	if err := json.Unmarshal(raw, target); err != nil {
 		r.problems.add(name, string(raw), allowed)
 	}
 }
--- a/contract/invalid.go
+++ b/contract/invalid.go
@@ -5,23 +5,22 @@
 	"strings"
 )
 
-// Problem is one field that can't be accepted.
+// Problem describes one invalid field.
 type Problem struct {
-	// Path names the field, such as "services[2]"; empty for the whole text.
+	// Path is the path of the field, such as "services[2]"; empty for the text as a whole.
 	Path string `json:"path"`
-	// Read is what was found, shortened.
+	// Read is the value found, truncated.
 	Read string `json:"read"`
-	// Allowed says what may stand there.
+	// Allowed describes the valid values.
 	Allowed string `json:"allowed"`
 }
 
-// Invalid is the error of a contract that can't be accepted. It lists every
-// problem found.
+// Invalid is the error for an invalid contract. It lists every problem found.
 type Invalid struct {
 	Problems []Problem `json:"problems"`
 }
 
-// Error names all problems in one line.
+// Error implements error. It lists all problems in one line.
 func (e *Invalid) Error() string {
 	parts := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -34,7 +33,7 @@
 	return "invalid contract: " + strings.Join(parts, "; ")
 }
 
-// problems collects at most one problem for each path.
+// problems collects problems, at most one for each path.
 type problems struct {
 	list []Problem
 	seen map[string]bool
@@ -48,7 +47,7 @@
 		p.seen = map[string]bool{}
 	}
 	p.seen[path] = true
-	p.list = append(p.list, Problem{Path: path, Read: shorten(read), Allowed: allowed})
+	p.list = append(p.list, Problem{Path: path, Read: truncate(read), Allowed: allowed})
 }
 
 func (p *problems) err() error {
@@ -58,12 +57,12 @@
 	return &Invalid{Problems: p.list}
 }
 
-// maxShown bounds what an error repeats of the input, in bytes.
-const maxShown = 80
+// maxQuotedBytes is the maximum length of a quoted input value in an error, in bytes.
+const maxQuotedBytes = 80
 
-func shorten(s string) string {
-	if len(s) <= maxShown {
+func truncate(s string) string {
+	if len(s) <= maxQuotedBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxShown], "") + "..."
+	return strings.ToValidUTF8(s[:maxQuotedBytes], "") + "..."
 }
--- a/contract/route/route.go
+++ b/contract/route/route.go
@@ -1,6 +1,5 @@
-// Package route finds the contract that holds for a request. The operator's
-// configuration is decoded once into a Table, which is never changed: readers
-// take the newest one by an atomic pointer.
+// Package route maps requests to contracts. The operator's configuration is decoded into
+// an immutable Table; readers load the latest one through an atomic pointer.
 package route
 
 import (
@@ -9,26 +8,26 @@
 	"time"
 )
 
-// Contract is what the operator promises one customer's callers, and the
-// service that runs the customer's tasks.
+// Contract holds the terms for one client account's callers, and the service that runs
+// the client account's tasks.
 type Contract struct {
 	Name    string
 	Host    string
 	Prefix  string
 	Service string
-	// Urgency orders contracts; 0 comes first.
+	// Urgency is the contract's priority; 0 is the highest.
 	Urgency int
-	// MaxAttempts bounds the failed runs of a task; at least 1.
+	// MaxAttempts is the maximum number of failed runs of a task; at least 1.
 	MaxAttempts int
-	// Stretch times the longest chain of work and Allowance more is the time
-	// in which an answer is wanted.
+	// Stretch and Allowance give the target latency of a job: Stretch times the run time
+	// of its critical path, plus Allowance.
 	Stretch   float64
 	Allowance time.Duration
-	// Timeout bounds a request; zero when the contract names none.
+	// Timeout is the timeout of a request; zero if the contract sets none.
 	Timeout time.Duration
 }
 
-// Limits bound what the ingress reads.
+// Limits are the limits of the ingress HTTP server.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -38,7 +37,7 @@
 
 // Table is one version of the operator's configuration.
 type Table struct {
-	// Version rises with each change that the operator makes.
+	// Version increases with each change by the operator.
 	Version int64
 	Limits  Limits
 	byHost  map[string][]*Contract
@@ -52,15 +51,15 @@
 		host := strings.ToLower(c.Host)
 		t.byHost[host] = append(t.byHost[host], c)
 	}
-	for _, of := range t.byHost {
-		// The longest prefix first, so that the first match is the one to use.
-		sort.SliceStable(of, func(i, j int) bool { return len(of[i].Prefix) > len(of[j].Prefix) })
+	for _, matches := range t.byHost {
+		// The longest prefix comes first, so that the first match is the longest.
+		sort.SliceStable(matches, func(i, j int) bool { return len(matches[i].Prefix) > len(matches[j].Prefix) })
 	}
 	return t
 }
 
-// Find returns the contract of the longest prefix with which the path begins,
-// or nil. The host may carry a port.
+// Find returns the contract with the longest prefix that matches the path, or nil. The
+// host may include a port.
 func (t *Table) Find(host, path string) *Contract {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
