--- a/settings/decode.go
+++ b/settings/decode.go
@@ -13,31 +13,31 @@
 	"strings"
 )
 
-// maxRead bounds how much of a faulty value an error repeats, in bytes.
-const maxRead = 80
+// maxQuotedBytes is the maximum length of a quoted input value in an error, in bytes.
+const maxQuotedBytes = 80
 
-// ErrNotPointer means that Decode was given something it can't fill.
+// ErrNotPointer means that the target of Decode is not a pointer to a struct.
 var ErrNotPointer = errors.New("settings: decode needs a pointer to a struct")
 
-// ErrUnreadable means that the settings file can't be read.
+// ErrUnreadable means that reading the settings file failed.
 var ErrUnreadable = errors.New("settings: file can't be read")
 
-// Checker is a settings type with checks that tags can't express. Paths are
-// relative to the root.
+// Checker is implemented by settings types with constraints that `validate` tags can't
+// express. The paths in the errors are relative to the root.
 type Checker interface {
 	Check() Errors
 }
 
-// Load reads a settings file into a pointer to a struct; see Decode.
-func Load(path string, into any) error {
+// Load decodes a settings file into a pointer to a struct; see Decode.
+func Load(path string, target any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	return Decode(raw, into)
+	return Decode(raw, target)
 }
 
-// Has reports whether the settings file, a JSON object, has the field at its root.
+// Has reports whether the JSON object in the settings file has the field at its root.
 func Has(path, field string) (bool, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -47,18 +47,18 @@
 	if err := checkSyntax(raw); err != nil {
 		return false, err
 	}
-	// What is no object has no fields; Decode says what is wrong with it.
+	// A value that is not an object has no fields; Decode reports that error.
 	_ = json.Unmarshal(raw, &root)
 	_, has := root[field]
 	return has, nil
 }
 
-// Decode reads JSON into a pointer to a struct. Fields that the JSON leaves
-// out keep their value, so that defaults are set beforehand. Every fault is
-// listed in Errors: unknown and repeated fields, wrong types and units, broken
-// `validate` tags, and what the type's own Check finds.
-func Decode(raw []byte, into any) error {
-	v := reflect.ValueOf(into)
+// Decode decodes JSON into a pointer to a struct. Fields missing from the JSON keep
+// their value, so defaults can be set beforehand. Errors lists all errors of the first
+// step that finds any: syntax; unknown and repeated fields, wrong types and missing
+// units; violated `validate` tags; errors from the type's Check.
+func Decode(raw []byte, target any) error {
+	v := reflect.ValueOf(target)
 	if v.Kind() != reflect.Pointer || v.IsNil() || v.Elem().Kind() != reflect.Struct {
 		return ErrNotPointer
 	}
@@ -70,21 +70,21 @@
 	if len(d.errs) > 0 {
 		return d.errs
 	}
-	if errs := validateTags(into); len(errs) > 0 {
+	if errs := validateTags(target); len(errs) > 0 {
 		return errs
 	}
-	if c, ok := into.(Checker); ok {
+	if c, ok := target.(Checker); ok {
 		return c.Check().orNil()
 	}
 	return nil
 }
 
-// checkSyntax refuses text that is not exactly one JSON value, and names the
+// checkSyntax rejects text that is not exactly one JSON value. The error contains the
 // line and the column.
 func checkSyntax(raw []byte) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	var one json.RawMessage
-	err := dec.Decode(&one)
+	var value json.RawMessage
+	err := dec.Decode(&value)
 	if err == nil {
 		_, err = dec.Token()
 		if errors.Is(err, io.EOF) {
@@ -100,7 +100,7 @@
 	return Errors{{Path: position(raw, offset), Read: err.Error(), Allowed: "one JSON object"}}
 }
 
-// position renders an offset as "line L column C".
+// position formats an offset as "line L column C".
 func position(raw []byte, offset int64) string {
 	before := raw[:min(offset, int64(len(raw)))]
 	line := 1 + bytes.Count(before, []byte("\n"))
@@ -108,11 +108,11 @@
 	return fmt.Sprintf("line %d column %d", line, column)
 }
 
-// decoder fills a value and collects every fault.
+// decoder decodes a value and collects all errors.
 type decoder struct{ errs Errors }
 
-func (d *decoder) fail(path, read, allowed string) {
-	d.errs = append(d.errs, Error{Path: path, Read: shorten(read), Allowed: allowed})
+func (d *decoder) addError(path, read, allowed string) {
+	d.errs = append(d.errs, Error{Path: path, Read: truncate(read), Allowed: allowed})
 }
 
 // value decodes one JSON value into v.
@@ -137,17 +137,17 @@
 
 func (d *decoder) custom(path string, raw json.RawMessage, u json.Unmarshaler) {
 	if isNull(raw) {
-		d.fail(path, "null", "a value, or leave the field out")
+		d.addError(path, "null", "a value, or leave the field out")
 		return
 	}
 	if err := u.UnmarshalJSON(raw); err != nil {
-		d.fail(path, string(raw), err.Error())
+		d.addError(path, string(raw), err.Error())
 	}
 }
 
 func (d *decoder) scalar(path string, raw json.RawMessage, v reflect.Value) {
 	if isNull(raw) || json.Unmarshal(raw, v.Addr().Interface()) != nil {
-		d.fail(path, string(raw), kindName(v.Kind()))
+		d.addError(path, string(raw), validValues(v.Kind()))
 	}
 }
 
@@ -161,7 +161,7 @@
 func (d *decoder) list(path string, raw json.RawMessage, v reflect.Value) {
 	var items []json.RawMessage
 	if isNull(raw) || json.Unmarshal(raw, &items) != nil {
-		d.fail(path, string(raw), "a list")
+		d.addError(path, string(raw), "a list")
 		return
 	}
 	out := reflect.MakeSlice(v.Type(), len(items), len(items))
@@ -195,7 +195,7 @@
 	for _, m := range members {
 		field, known := fields[m.name]
 		if !known {
-			d.fail(join(path, m.name), "an unknown field", "one of "+names(fields))
+			d.addError(join(path, m.name), "an unknown field", "one of "+joinNames(fields))
 			continue
 		}
 		d.value(join(path, m.name), m.raw, field)
@@ -208,13 +208,13 @@
 	raw  json.RawMessage
 }
 
-// members splits a JSON object. A name given twice is a fault: the standard
-// decoder would silently take the last one.
+// members returns the members of a JSON object. A repeated name is an error: the standard
+// decoder would silently use the last value.
 func (d *decoder) members(path string, raw json.RawMessage) ([]member, bool) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	first, err := dec.Token()
 	if err != nil || first != json.Delim('{') {
-		d.fail(path, string(raw), "an object")
+		d.addError(path, string(raw), "an object")
 		return nil, false
 	}
 	var out []member
@@ -224,11 +224,11 @@
 		name, isName := token.(string)
 		m := member{name: name}
 		if err != nil || !isName || dec.Decode(&m.raw) != nil {
-			d.fail(path, string(raw), "an object")
+			d.addError(path, string(raw), "an object")
 			return nil, false
 		}
 		if seen[name] {
-			d.fail(join(path, name), "the field twice", "each field once")
+			d.addError(join(path, name), "the field twice", "each field once")
 			continue
 		}
 		seen[name] = true
@@ -237,15 +237,15 @@
 	return out, true
 }
 
-// collectFields lists the fields of a struct by their JSON name; those of an
-// embedded struct without a name count as its own.
-func collectFields(v reflect.Value, into map[string]reflect.Value) {
+// collectFields maps the JSON names of a struct's fields to the fields. Fields of an
+// embedded struct without a JSON name are included as the struct's own.
+func collectFields(v reflect.Value, fields map[string]reflect.Value) {
 	t := v.Type()
 	for i := range t.NumField() {
 		field := t.Field(i)
 		name := jsonName(field)
 		if field.Anonymous && name == "" && field.Type.Kind() == reflect.Struct {
-			collectFields(v.Field(i), into)
+			collectFields(v.Field(i), fields)
 			continue
 		}
 		if !field.IsExported() || name == "-" {
@@ -254,7 +254,7 @@
 		if name == "" {
 			name = field.Name
 		}
-		into[name] = v.Field(i)
+		fields[name] = v.Field(i)
 	}
 }
 
@@ -263,7 +263,7 @@
 	return name
 }
 
-func names(fields map[string]reflect.Value) string {
+func joinNames(fields map[string]reflect.Value) string {
 	all := make([]string, 0, len(fields))
 	for name := range fields {
 		all = append(all, name)
@@ -281,16 +281,16 @@
 
 func isNull(raw json.RawMessage) bool { return string(bytes.TrimSpace(raw)) == "null" }
 
-func shorten(read string) string {
+func truncate(read string) string {
 	read = strings.Join(strings.Fields(read), " ")
-	if len(read) <= maxRead {
+	if len(read) <= maxQuotedBytes {
 		return read
 	}
-	return read[:maxRead] + "... (" + strconv.Itoa(len(read)) + " bytes)"
+	return read[:maxQuotedBytes] + "... (" + strconv.Itoa(len(read)) + " bytes)"
 }
 
-// kindName says in words what a JSON field of the kind may hold.
-func kindName(k reflect.Kind) string {
+// validValues describes the JSON values that are valid for the kind.
+func validValues(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "a string"
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Error is one fault in a settings file.
+// Error is one error in a settings file.
 type Error struct {
-	// Path leads to the field from the root, such as "listen.callers".
+	// Path is the path of the field from the root, such as "listen.callers".
 	Path string
-	// Read is what the file holds there; empty when nothing does.
+	// Read is the value in the file; empty if the field is missing.
 	Read string
-	// Allowed says what the field may hold.
+	// Allowed describes the valid values.
 	Allowed string
 }
 
@@ -27,10 +27,10 @@
 	return fmt.Sprintf("%s: read %s; allowed: %s", path, e.Read, e.Allowed)
 }
 
-// Errors lists every fault found in one settings file.
+// Errors lists the errors found in one settings file.
 type Errors []Error
 
-// Error implements error, in one line.
+// Error implements error. It lists all errors in one line.
 func (e Errors) Error() string {
 	parts := make([]string, len(e))
 	for i, one := range e {
@@ -39,7 +39,7 @@
 	return "settings: " + strings.Join(parts, " | ")
 }
 
-// orNil turns an empty list into a nil error.
+// orNil returns the list as an error, nil if it is empty.
 func (e Errors) orNil() error {
 	if len(e) == 0 {
 		return nil
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -5,25 +5,25 @@
 	"reflect"
 )
 
-// Field is one field of a settings type, for its reference in the docs.
+// Field is one field of a settings type, for the reference documentation.
 type Field struct {
-	// Path leads to the field from the root, such as "listen.callers".
+	// Path is the path of the field from the root, such as "listen.callers".
 	Path string
 	// Value is the field's value as JSON.
 	Value string
 }
 
-// Fields lists the fields of a struct in the order of their declaration; those
-// of a nested struct in place of the struct.
-func Fields(of any) []Field {
-	v := reflect.ValueOf(of)
+// Fields returns the fields of a struct in the order of declaration, with nested structs
+// flattened.
+func Fields(settings any) []Field {
+	v := reflect.ValueOf(settings)
 	for v.Kind() == reflect.Pointer {
 		v = v.Elem()
 	}
 	return appendFields(nil, "", v)
 }
 
-func appendFields(to []Field, path string, v reflect.Value) []Field {
+func appendFields(fields []Field, path string, v reflect.Value) []Field {
 	t := v.Type()
 	for i := range t.NumField() {
 		field := t.Field(i)
@@ -31,16 +31,16 @@
 		if !field.IsExported() || name == "" || name == "-" {
 			continue
 		}
-		at := join(path, name)
+		fieldPath := join(path, name)
 		if _, custom := v.Field(i).Interface().(json.Marshaler); field.Type.Kind() == reflect.Struct && !custom {
-			to = appendFields(to, at, v.Field(i))
+			fields = appendFields(fields, fieldPath, v.Field(i))
 			continue
 		}
 		raw, err := json.Marshal(v.Field(i).Interface())
 		if err != nil {
 			raw = []byte(err.Error())
 		}
-		to = append(to, Field{Path: at, Value: string(raw)})
+		fields = append(fields, Field{Path: fieldPath, Value: string(raw)})
 	}
-	return to
+	return fields
 }
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -11,8 +11,8 @@
 	"almondstand.dev/settings"
 )
 
-// Whatever a file holds, reading it ends in settings that can be written and
-// read back the same, or in a list of faults.
+// FuzzDecode checks that any input either decodes to settings that are unchanged by
+// encoding and decoding them, or yields a non-empty list of errors.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"zone":"z","listen":"127.0.0.1:1","seeds":["[::1]:2"],"shares":{"a":1},"extra":{"wait":"1m","tasks":1}}`))
 	f.Add([]byte(`{"zone":null,"limits":{"limits":{}},"seeds":[{}],"shares":[],"extra":null}`))
@@ -26,13 +26,13 @@
 			assert.Assert(t, errors.As(err, &list) && len(list) > 0, "%v", err)
 			return
 		}
-		written, err := json.Marshal(s)
+		encoded, err := json.Marshal(s)
 		assert.NilError(t, err)
-		back := defaults()
+		decoded := defaults()
 		if s.Extra == nil || s.Seeds == nil || s.Shares == nil {
-			return // null is how Go writes them, and is refused in a file
+			return // Go encodes these as null, which Decode rejects
 		}
-		assert.NilError(t, settings.Decode(written, back), "%s", written)
-		assert.Assert(t, reflect.DeepEqual(back, s), "%s", written)
+		assert.NilError(t, settings.Decode(encoded, decoded), "%s", encoded)
+		assert.Assert(t, reflect.DeepEqual(decoded, s), "%s", encoded)
 	})
 }
--- a/settings/ports.go
+++ b/settings/ports.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Listener is an address that a process listens on, with its path in the settings.
+// Listener is a listen address with the path of its settings field.
 type Listener struct {
 	Path    string
 	Address Address
 }
 
-// CheckPorts lists listeners that would take the same port. Port 0 lets the
-// kernel choose and never clashes.
+// CheckPorts returns an error for each listener that conflicts with an earlier one. Port 0
+// lets the kernel choose a port and never conflicts.
 func CheckPorts(listeners ...Listener) Errors {
 	var out Errors
 	for i, later := range listeners {
 		for _, earlier := range listeners[:i] {
-			if clash(earlier.Address, later.Address) {
+			if conflict(earlier.Address, later.Address) {
 				out = append(out, Error{
 					Path:    later.Path,
 					Read:    later.Address.String(),
@@ -27,9 +27,9 @@
 	return out
 }
 
-// clash reports whether two listeners can't both be opened. An unspecified
-// address such as 0.0.0.0 takes the port on every address.
-func clash(a, b Address) bool {
+// conflict reports whether two listen addresses conflict. An unspecified address such as
+// 0.0.0.0 conflicts with every address on the same port.
+func conflict(a, b Address) bool {
 	if a.Port() == 0 || a.Port() != b.Port() {
 		return false
 	}
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// ErrReference means that a reference page and the settings differ.
+// ErrReference means that the reference documentation does not match the settings.
 var ErrReference = errors.New("settings: the reference differs")
 
-// referenceRow is a line of a reference's table: field, default, meaning.
+// referenceRow matches a row of a reference table: field, default, meaning.
 var referenceRow = regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\| (required|`[^|]*`) \\| .+ \\|$")
 
-// CheckReference holds a reference page to the settings: below the heading
-// "## section" each field stands once, with its default.
+// CheckReference checks the reference documentation against the settings: the section
+// with the heading "## section" must list each field once, with its default.
 func CheckReference(page, section string, defaults any) error {
 	_, after, found := strings.Cut(page, "## "+section+"\n")
 	if !found {
@@ -22,21 +22,21 @@
 	}
 	text, _, _ := strings.Cut(after, "\n## ")
 	documented := map[string]string{}
-	var faults []error
+	var errs []error
 	for _, m := range referenceRow.FindAllStringSubmatch(text, -1) {
-		if _, twice := documented[m[1]]; twice {
-			faults = append(faults, fmt.Errorf("%w: %s stands twice", ErrReference, m[1]))
+		if _, duplicate := documented[m[1]]; duplicate {
+			errs = append(errs, fmt.Errorf("%w: %s is listed twice", ErrReference, m[1]))
 		}
 		documented[m[1]] = strings.Trim(m[2], "`")
 	}
 	for _, f := range Fields(defaults) {
 		if got, ok := documented[f.Path]; !ok || got != "required" && got != f.Value {
-			faults = append(faults, fmt.Errorf("%w: %s: read %q, the default is %q", ErrReference, f.Path, got, f.Value))
+			errs = append(errs, fmt.Errorf("%w: %s: read %q, the default is %q", ErrReference, f.Path, got, f.Value))
 		}
 		delete(documented, f.Path)
 	}
 	for path := range documented {
-		faults = append(faults, fmt.Errorf("%w: %s doesn't exist", ErrReference, path))
+		errs = append(errs, fmt.Errorf("%w: %s does not exist", ErrReference, path))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads settings files: JSON, every field checked before
-// anything starts. Each error names the path of the field, what was read and
-// what is allowed.
+// Package settings decodes and validates JSON settings files. Each error contains the
+// path of the field, the value found and the valid values.
 package settings
 
 import (
@@ -11,10 +10,10 @@
 	"time"
 )
 
-// Duration is a time span written in JSON as a Go duration such as "250ms".
+// Duration is a duration that is encoded in JSON as a Go duration string such as "250ms".
 type Duration time.Duration
 
-// UnmarshalJSON reads a quoted Go duration.
+// UnmarshalJSON decodes a Go duration string.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -28,7 +27,8 @@
 	return nil
 }
 
-// MarshalJSON writes a quoted Go duration, "1m" in place of "1m0s".
+// MarshalJSON encodes a Go duration string without trailing zero units: "1m" instead of
+// "1m0s".
 func (d Duration) MarshalJSON() ([]byte, error) {
 	s := time.Duration(d).String()
 	if strings.HasSuffix(s, "m0s") {
@@ -40,13 +40,13 @@
 	return json.Marshal(s)
 }
 
-// Std returns the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Address is an IP and a port, such as "10.0.0.7:7001".
+// Address is an IP address and a port, such as "10.0.0.7:7001".
 type Address struct{ netip.AddrPort }
 
-// UnmarshalJSON reads a quoted IP and port; "" is no address.
+// UnmarshalJSON decodes an "IP:port" string; the empty string means no address.
 func (a *Address) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// MarshalJSON writes a quoted IP and port, "" for no address.
+// MarshalJSON encodes an "IP:port" string, the empty string if there is no address.
 func (a Address) MarshalJSON() ([]byte, error) {
 	if !a.IsValid() {
 		return []byte(`""`), nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -54,37 +54,37 @@
 	assert.Equal(t, s.Extra.Wait.Std(), 20*time.Millisecond)
 }
 
-func TestDecodeNamesTheFault(t *testing.T) {
-	const good = `"zone":"zagreb","listen":"127.0.0.1:7001"`
+func TestDecodeReportsTheError(t *testing.T) {
+	const valid = `"zone":"zagreb","listen":"127.0.0.1:7001"`
 	cases := []struct {
 		name, raw string
 		want      settings.Error
 	}{
-		{"unknown field", `{` + good + `,"limits":{"waitt":"1s"}}`,
+		{"unknown field", `{` + valid + `,"limits":{"waitt":"1s"}}`,
 			settings.Error{Path: "limits.waitt", Read: "an unknown field", Allowed: "one of tasks, wait"}},
-		{"field twice", `{` + good + `,"level":"info","level":"warn"}`,
+		{"field twice", `{` + valid + `,"level":"info","level":"warn"}`,
 			settings.Error{Path: "level", Read: "the field twice", Allowed: "each field once"}},
-		{"case matters", `{` + good + `,"Level":"info"}`,
+		{"case matters", `{` + valid + `,"Level":"info"}`,
 			settings.Error{Path: "Level", Read: "an unknown field", Allowed: "one of admin, extra, level, limits, listen, seeds, shares, zone"}},
-		{"wrong type", `{` + good + `,"limits":{"tasks":"7"}}`,
+		{"wrong type", `{` + valid + `,"limits":{"tasks":"7"}}`,
 			settings.Error{Path: "limits.tasks", Read: `"7"`, Allowed: "a whole number"}},
-		{"null", `{` + good + `,"limits":{"tasks":null}}`,
+		{"null", `{` + valid + `,"limits":{"tasks":null}}`,
 			settings.Error{Path: "limits.tasks", Read: "null", Allowed: "a whole number"}},
-		{"no unit", `{` + good + `,"limits":{"wait":"250"}}`,
+		{"no unit", `{` + valid + `,"limits":{"wait":"250"}}`,
 			settings.Error{Path: "limits.wait", Read: `"250"`, Allowed: `duration "250": write a number and a unit of ms, s, m or h`}},
-		{"host name", `{` + good + `,"seeds":["10.0.0.1:1","example:1"]}`,
+		{"host name", `{` + valid + `,"seeds":["10.0.0.1:1","example:1"]}`,
 			settings.Error{Path: "seeds[1]", Read: `"example:1"`, Allowed: `address "example:1": write an IP number and a port, such as "10.0.0.7:7001"`}},
-		{"over the bound", `{` + good + `,"limits":{"wait":"2m"}}`,
+		{"over the bound", `{` + valid + `,"limits":{"wait":"2m"}}`,
 			settings.Error{Path: "limits.wait", Read: "2m0s", Allowed: "at most 1m"}},
 		{"missing", `{"listen":"127.0.0.1:7001"}`,
 			settings.Error{Path: "zone", Allowed: "a value (required)"}},
 		{"missing address", `{"zone":"zagreb"}`,
 			settings.Error{Path: "listen", Allowed: "a value (required)"}},
-		{"not in the list", `{` + good + `,"level":"loud"}`,
+		{"not in the list", `{` + valid + `,"level":"loud"}`,
 			settings.Error{Path: "level", Read: `"loud"`, Allowed: "one of info, warn"}},
-		{"in a pointer", `{` + good + `,"extra":{"wait":"20ms","tasks":0}}`,
+		{"in a pointer", `{` + valid + `,"extra":{"wait":"20ms","tasks":0}}`,
 			settings.Error{Path: "extra.tasks", Read: "0", Allowed: "at least 1"}},
-		{"port clash", `{` + good + `,"admin":"0.0.0.0:7001"}`,
+		{"port clash", `{` + valid + `,"admin":"0.0.0.0:7001"}`,
 			settings.Error{Path: "admin", Read: "0.0.0.0:7001", Allowed: "a port of its own: listen listens on 127.0.0.1:7001"}},
 		{"syntax", "{\n \"zone\" 1}",
 			settings.Error{Path: "line 2 column 9", Read: "invalid character '1' after object key", Allowed: "one JSON object"}},
@@ -102,15 +102,15 @@
 	}
 }
 
-// An operator with three mistakes sees all three at once, not one a restart.
-func TestDecodeListsEveryFault(t *testing.T) {
+// Checks that three errors in a file are reported at once, not one per restart.
+func TestDecodeListsAllErrors(t *testing.T) {
 	err := settings.Decode([]byte(`{"zone":7,"listen":"x","nope":1}`), defaults())
 	var errs settings.Errors
 	assert.Assert(t, errors.As(err, &errs))
 	assert.Equal(t, len(errs), 3)
 }
 
-func TestPortZeroNeverClashes(t *testing.T) {
+func TestPortZeroNeverConflicts(t *testing.T) {
 	var a settings.Address
 	assert.NilError(t, json.Unmarshal([]byte(`"127.0.0.1:0"`), &a))
 	assert.Equal(t, len(settings.CheckPorts(
@@ -127,15 +127,15 @@
 	assert.ErrorIs(t, settings.Load(path, sample{}), settings.ErrNotPointer)
 }
 
-func TestFieldsNamesEveryPath(t *testing.T) {
+func TestFieldsListsAllPaths(t *testing.T) {
 	all := settings.Fields(defaults())
 	assert.Equal(t, len(all), 9)
 	assert.Equal(t, all[4], settings.Field{Path: "limits.wait", Value: `"1s"`})
 }
 
-// A file that a program wrote from its settings must be read back the same,
-// also where an optional address is not set.
-func TestWrittenSettingsAreReadBack(t *testing.T) {
+// Checks that encoding and decoding settings leaves them unchanged, including an optional
+// address that is not set.
+func TestEncodedSettingsDecodeUnchanged(t *testing.T) {
 	s := defaults()
 	s.Zone = "zagreb"
 	s.Limits.Wait = settings.Duration(time.Minute)
@@ -144,13 +144,13 @@
 	s.Seeds, s.Shares = []settings.Address{s.Listen}, map[string]float64{"a": 1}
 	raw, err := json.Marshal(s)
 	assert.NilError(t, err)
-	var back sample
-	assert.NilError(t, settings.Decode(raw, &back), "%s", raw)
-	assert.Assert(t, !back.Admin.IsValid())
-	assert.Equal(t, back.Listen, s.Listen)
+	var decoded sample
+	assert.NilError(t, settings.Decode(raw, &decoded), "%s", raw)
+	assert.Assert(t, !decoded.Admin.IsValid())
+	assert.Equal(t, decoded.Listen, s.Listen)
 }
 
-func TestDurationIsWrittenShort(t *testing.T) {
+func TestDurationEncodingOmitsZeroUnits(t *testing.T) {
 	for _, text := range []string{"1m", "1h", "1h30m", "1m30s", "250ms", "0s", "2h0m5s"} {
 		var d settings.Duration
 		assert.NilError(t, json.Unmarshal([]byte(`"`+text+`"`), &d))
@@ -160,28 +160,28 @@
 	}
 }
 
-// A reference page is held to the settings: a field that is missing, stands
-// twice, has another default or doesn't exist is told; a page without fault isn't.
+// Checks that CheckReference reports a field that is missing, listed twice, has a wrong
+// default or does not exist, and accepts a correct page.
 func TestCheckReference(t *testing.T) {
 	defaults := struct {
 		Queue int    `json:"queue"`
 		Zone  string `json:"zone"`
 	}{Queue: 8}
 	const head, queue, zone = "# Settings\n\n## Guard\n", "| `queue` | `8` | tasks |\n", "| `zone` | required | a name |\n"
-	for _, c := range []struct{ page, fault string }{
+	for _, c := range []struct{ page, errText string }{
 		{head + queue + zone + "\n## Other\n| `x` | `1` | not of this section |\n", ""},
 		{head + queue, "zone: read"},
-		{head + queue + zone + zone, "zone stands twice"},
+		{head + queue + zone + zone, "zone is listed twice"},
 		{head + "| `queue` | `9` | tasks |\n" + zone, `queue: read "9", the default is "8"`},
-		{head + queue + zone + "| `queu` | `8` | tasks |\n", "queu doesn't exist"},
+		{head + queue + zone + "| `queu` | `8` | tasks |\n", "queu does not exist"},
 		{"# Settings\n", "no section Guard"},
 	} {
 		err := settings.CheckReference(c.page, "Guard", defaults)
-		if c.fault == "" {
+		if c.errText == "" {
 			assert.NilError(t, err)
 			continue
 		}
 		assert.ErrorIs(t, err, settings.ErrReference)
-		assert.ErrorContains(t, err, c.fault)
+		assert.ErrorContains(t, err, c.errText)
 	}
 }
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -11,8 +11,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// checker is made once: the validator caches what it learns of each type.
-var checker = sync.OnceValue(func() *validator.Validate {
+// sharedValidator returns the shared validator: it caches the metadata of each struct type.
+var sharedValidator = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		if name := jsonName(f); name != "" && name != "-" {
@@ -20,14 +20,14 @@
 		}
 		return f.Name
 	})
-	v.RegisterCustomTypeFunc(plainDuration, Duration(0))
-	v.RegisterCustomTypeFunc(plainAddress, Address{})
+	v.RegisterCustomTypeFunc(durationValue, Duration(0))
+	v.RegisterCustomTypeFunc(addressValue, Address{})
 	return v
 })
 
-func plainDuration(v reflect.Value) any { return time.Duration(v.Int()) }
+func durationValue(v reflect.Value) any { return time.Duration(v.Int()) }
 
-func plainAddress(v reflect.Value) any {
+func addressValue(v reflect.Value) any {
 	a, ok := v.Interface().(Address)
 	if !ok || !a.IsValid() {
 		return ""
@@ -35,24 +35,24 @@
 	return a.String()
 }
 
-// validateTags checks the `validate` tags of a struct.
-func validateTags(into any) Errors {
-	err := checker().Struct(into)
+// validateTags checks a struct against its `validate` tags.
+func validateTags(target any) Errors {
+	err := sharedValidator().Struct(target)
 	if err == nil {
 		return nil
 	}
-	var faults validator.ValidationErrors
-	if !errors.As(err, &faults) {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) {
 		return Errors{{Read: err.Error(), Allowed: "a struct with valid tags"}}
 	}
-	out := make(Errors, 0, len(faults))
-	for _, f := range faults {
+	out := make(Errors, 0, len(violations))
+	for _, f := range violations {
 		out = append(out, Error{Path: relative(f.Namespace()), Read: readValue(f), Allowed: allowed(f)})
 	}
 	return out
 }
 
-// relative drops the name of the root type from a validator's path.
+// relative removes the name of the root type from the validator's path.
 func relative(namespace string) string {
 	_, path, _ := strings.Cut(namespace, ".")
 	return path
@@ -63,12 +63,12 @@
 		return ""
 	}
 	if s, ok := f.Value().(string); ok {
-		return shorten(fmt.Sprintf("%q", s))
+		return truncate(fmt.Sprintf("%q", s))
 	}
-	return shorten(fmt.Sprint(f.Value()))
+	return truncate(fmt.Sprint(f.Value()))
 }
 
-// allowed puts a broken tag in words.
+// allowed describes the valid values according to the violated tag.
 func allowed(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
@@ -101,7 +101,7 @@
 	}
 }
 
-// unit says what a bound counts: characters of a string, entries of a list.
+// unit returns the unit of a limit: characters for strings, entries for lists and maps.
 func unit(f validator.FieldError) string {
 	switch f.Kind() {
 	case reflect.String:
