--- a/eventlog/catalogue.go
+++ b/eventlog/catalogue.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// head begins an event's section in the catalogue.
-var head = regexp.MustCompile(`(?m)^### (\d+) `)
+// sectionHeading matches the heading of an event's section in the catalogue.
+var sectionHeading = regexp.MustCompile(`(?m)^### (\d+) `)
 
-// Render writes the sections of a catalogue, by number.
+// Render returns the catalogue sections of the events, in the order given.
 func Render(events []Event) string {
 	var b strings.Builder
 	for _, e := range events {
@@ -26,11 +26,11 @@
 	return fmt.Sprintf("### %d `%s`\n\nLevel %s. %s\n\nWhat to do: %s\n\n", e.Number, e.Name, e.Level, e.Meaning, e.Action)
 }
 
-// Update returns the catalogue's text with the sections of every number that
-// owns accepts replaced by those of events. Several programs share one
-// catalogue; each knows its own events only.
+// Update returns the catalogue text with all sections whose number owns accepts
+// replaced by the sections of events. Several programs share one catalogue, and each
+// program registers only its own events.
 func Update(doc string, events []Event, owns func(number int) bool) string {
-	intro, sections := split(doc)
+	intro, sections := splitSections(doc)
 	for number := range sections {
 		if owns(number) {
 			delete(sections, number)
@@ -54,37 +54,39 @@
 	return b.String()
 }
 
-// split takes a catalogue apart into what stands before the first event and
-// the sections by number.
-func split(doc string) (intro string, sections map[int]string) {
+// splitSections splits a catalogue into the introduction before the first event and the
+// sections by event number.
+func splitSections(doc string) (intro string, sections map[int]string) {
 	sections = map[int]string{}
-	at := head.FindAllStringSubmatchIndex(doc, -1)
-	if len(at) == 0 {
+	headings := sectionHeading.FindAllStringSubmatchIndex(doc, -1)
+	if len(headings) == 0 {
 		return doc, sections
 	}
-	for i, m := range at {
+	for i, m := range headings {
 		end := len(doc)
-		if i+1 < len(at) {
-			end = at[i+1][0]
+		if i+1 < len(headings) {
+			end = headings[i+1][0]
 		}
 		number, _ := strconv.Atoi(doc[m[2]:m[3]])
 		sections[number] += doc[m[0]:end]
 	}
-	return doc[:at[0][0]], sections
+	return doc[:headings[0][0]], sections
 }
 
-// Between returns an owner of the numbers from first to last.
+// Between returns a function that reports whether a number is in the range from first to
+// last, inclusive.
 func Between(first, last int) func(number int) bool {
 	return func(number int) bool { return number >= first && number <= last }
 }
 
-// ErrCatalogue means that a catalogue file and the events differ.
-var ErrCatalogue = errors.New("eventlog: the catalogue differs")
+// ErrCatalogue means that a catalogue file does not match the registered events, or that
+// an event lacks a text or has another program's number.
+var ErrCatalogue = errors.New("eventlog: catalogue mismatch")
 
-// CheckFile holds a catalogue file to the events of this program: each has a
-// meaning, an action and a number that owned or shared accepts, and the
-// sections that owned accepts are those of the events. With write the file's
-// sections are brought up to date.
+// CheckFile checks the events of this program and a catalogue file: each event must have
+// a meaning, an action and a number that owned or shared accepts, and the file's sections
+// that owned accepts must match the events. If write is true, outdated sections of the
+// file are rewritten instead.
 func CheckFile(path string, owned, shared func(number int) bool, write bool) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -96,12 +98,12 @@
 			return fmt.Errorf("%w: event %d %s: its number is another program's, or its text is missing", ErrCatalogue, e.Number, e.Name)
 		}
 	}
-	want := Update(string(raw), events, owned)
-	if want == string(raw) {
+	expected := Update(string(raw), events, owned)
+	if expected == string(raw) {
 		return nil
 	}
 	if write {
-		return os.WriteFile(path, []byte(want), 0o644)
+		return os.WriteFile(path, []byte(expected), 0o644)
 	}
 	return fmt.Errorf("%w: %s: run the test with -docs.update", ErrCatalogue, path)
 }
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -14,11 +14,11 @@
 )
 
 var (
-	first  = eventlog.Define(11, "test.first", slog.LevelWarn, "It broke.", "Mend it.")
-	second = eventlog.Define(12, "test.second", slog.LevelDebug, "It works.", "None.")
+	first  = eventlog.Define(11, "test.first", slog.LevelWarn, "The part failed.", "Replace the part.")
+	second = eventlog.Define(12, "test.second", slog.LevelDebug, "The part works.", "None.")
 )
 
-func TestLogCarriesTheNumber(t *testing.T) {
+func TestLogIncludesEventNumber(t *testing.T) {
 	var out bytes.Buffer
 	logger := slog.New(slog.NewTextHandler(&out, nil))
 	second.Log(context.Background(), logger)
@@ -39,30 +39,30 @@
 	}
 }
 
-// Two programs write one catalogue: each replaces its own sections, drops those
-// it no longer defines and leaves the other's.
-func TestUpdateSharesOneCatalogue(t *testing.T) {
+// Checks that two programs can share one catalogue: each replaces its own sections, removes
+// those of events that it no longer defines, and keeps the other program's.
+func TestUpdateKeepsSectionsOfOtherPrograms(t *testing.T) {
 	doc := "# Events\n\n" + eventlog.Render([]eventlog.Event{
 		{Number: 11, Name: "test.old", Meaning: "Old.", Action: "None."},
 		{Number: 19, Name: "test.gone", Meaning: "Gone.", Action: "None."},
 		{Number: 21, Name: "other.kept", Meaning: "Kept.", Action: "None."},
 	})
-	mine := eventlog.Between(10, 19)
-	updated := eventlog.Update(doc, eventlog.Catalogue(), mine)
-	want := "# Events\n\n" + eventlog.Render([]eventlog.Event{first, second,
+	ownNumbers := eventlog.Between(10, 19)
+	updated := eventlog.Update(doc, eventlog.Catalogue(), ownNumbers)
+	expected := "# Events\n\n" + eventlog.Render([]eventlog.Event{first, second,
 		{Number: 21, Name: "other.kept", Meaning: "Kept.", Action: "None."}})
-	assert.Equal(t, updated, want)
-	assert.Equal(t, eventlog.Update(updated, eventlog.Catalogue(), mine), updated)
+	assert.Equal(t, updated, expected)
+	assert.Equal(t, eventlog.Update(updated, eventlog.Catalogue(), ownNumbers), updated)
 }
 
-// A catalogue file that lacks an event, or an event outside a program's numbers,
-// is a fault; brought up to date, the file passes.
+// Checks that CheckFile reports a catalogue file that lacks an event and an event outside
+// the program's number range, and that it accepts the file after updating it.
 func TestCheckFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "EVENTS.md")
 	assert.NilError(t, os.WriteFile(path, []byte("# Events\n\n"), 0o600))
-	mine, none := eventlog.Between(10, 19), eventlog.Between(0, 0)
-	assert.ErrorIs(t, eventlog.CheckFile(path, mine, none, false), eventlog.ErrCatalogue)
-	assert.ErrorIs(t, eventlog.CheckFile(path, eventlog.Between(12, 19), none, true), eventlog.ErrCatalogue)
-	assert.NilError(t, eventlog.CheckFile(path, mine, none, true))
-	assert.NilError(t, eventlog.CheckFile(path, mine, none, false))
+	ownNumbers, noNumbers := eventlog.Between(10, 19), eventlog.Between(0, 0)
+	assert.ErrorIs(t, eventlog.CheckFile(path, ownNumbers, noNumbers, false), eventlog.ErrCatalogue)
+	assert.ErrorIs(t, eventlog.CheckFile(path, eventlog.Between(12, 19), noNumbers, true), eventlog.ErrCatalogue)
+	assert.NilError(t, eventlog.CheckFile(path, ownNumbers, noNumbers, true))
+	assert.NilError(t, eventlog.CheckFile(path, ownNumbers, noNumbers, false))
 }
