--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// Lines of one event that are written in a second. A busy entry ends some 100
-// jobs a second and places their tasks with some 300 orders; warnings tell of
-// refusals and failures, and keep their lines longest.
+// Limits of log lines per event and second. A busy entry completes about 100 jobs a second
+// and sends about 300 requests to start their tasks. Warnings report rejections and
+// failures, so they have the higher limit.
 const (
-	infoBudget = 400
-	warnBudget = 1200
-	window     = time.Second
+	infoLimit = 400
+	warnLimit = 1200
+	window    = time.Second
 )
 
-// Budget is a handler that bounds the lines of each event. What it leaves out
-// is counted, and said in a line of its own.
+// Budget is a slog.Handler that limits the rate of lines of each event. It counts the
+// lines dropped and logs the counts in a separate record.
 type Budget struct {
 	inner slog.Handler
-	state *budgetState
+	state *limiterState
 }
 
-type budgetState struct {
-	mu    sync.Mutex
-	began time.Time
-	lines map[int64]int
-	left  map[int64]int
-	total int64
+type limiterState struct {
+	mu           sync.Mutex
+	windowStart  time.Time
+	lines        map[int64]int
+	dropped      map[int64]int
+	totalDropped int64
 }
 
-// NewBudget returns a handler in front of another.
+// NewBudget returns a rate limiter that passes records on to inner.
 func NewBudget(inner slog.Handler) *Budget {
-	return &Budget{inner: inner, state: &budgetState{lines: map[int64]int{}, left: map[int64]int{}}}
+	return &Budget{inner: inner, state: &limiterState{lines: map[int64]int{}, dropped: map[int64]int{}}}
 }
 
-// LeftOut counts the lines left out so far.
+// LeftOut returns the number of lines dropped so far.
 func (b *Budget) LeftOut() int64 {
 	b.state.mu.Lock()
 	defer b.state.mu.Unlock()
-	return b.state.total
+	return b.state.totalDropped
 }
 
 // Enabled implements slog.Handler.
@@ -61,12 +61,12 @@
 
 // Handle implements slog.Handler.
 func (b *Budget) Handle(ctx context.Context, r slog.Record) error {
-	number := eventOf(r)
-	allowed, summary := b.state.take(r.Time, number, r.Level)
+	number := eventNumber(r)
+	allowed, summary := b.state.allow(r.Time, number, r.Level)
 	if summary != "" {
-		note := slog.NewRecord(r.Time, linesLeftOut.Level, linesLeftOut.Name, 0)
-		note.AddAttrs(slog.Int("event", linesLeftOut.Number), slog.String("by_event", summary))
-		if err := b.inner.Handle(ctx, note); err != nil {
+		record := slog.NewRecord(r.Time, linesDropped.Level, linesDropped.Name, 0)
+		record.AddAttrs(slog.Int("event", linesDropped.Number), slog.String("by_event", summary))
+		if err := b.inner.Handle(ctx, record); err != nil {
 			return err
 		}
 	}
@@ -76,8 +76,8 @@
 	return b.inner.Handle(ctx, r)
 }
 
-// eventOf returns a record's number, 0 for a record that is no event.
-func eventOf(r slog.Record) (number int64) {
+// eventNumber returns the event number of a record, 0 if it has none.
+func eventNumber(r slog.Record) (number int64) {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key != "event" {
 			return true
@@ -88,33 +88,33 @@
 	return number
 }
 
-// take reports whether a line may be written, and what the window that has
-// ended left out.
-func (s *budgetState) take(now time.Time, number int64, level slog.Level) (allowed bool, summary string) {
+// allow reports whether a line may be written. At the start of a new window it also returns
+// a summary of the lines dropped in the previous one.
+func (s *limiterState) allow(now time.Time, number int64, level slog.Level) (allowed bool, summary string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.began) >= window || now.Before(s.began) {
+	if now.Sub(s.windowStart) >= window || now.Before(s.windowStart) {
 		summary = s.summary()
-		s.began = now
+		s.windowStart = now
 		clear(s.lines)
-		clear(s.left)
+		clear(s.dropped)
 	}
-	limit := infoBudget
+	limit := infoLimit
 	if level >= slog.LevelWarn {
-		limit = warnBudget
+		limit = warnLimit
 	}
 	s.lines[number]++
 	if s.lines[number] <= limit {
 		return true, summary
 	}
-	s.left[number]++
-	s.total++
+	s.dropped[number]++
+	s.totalDropped++
 	return false, summary
 }
 
-func (s *budgetState) summary() string {
+func (s *limiterState) summary() string {
 	var parts []string
-	for number, n := range s.left {
+	for number, n := range s.dropped {
 		parts = append(parts, fmt.Sprintf("%d:%d", number, n))
 	}
 	sort.Strings(parts)
--- a/telemetry/control.go
+++ b/telemetry/control.go
@@ -10,15 +10,15 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// headerOverhead is what one header line costs beside its name and value:
-// ": " and the line end, in bytes.
+// headerOverhead is the size of a header line in bytes without its name and value:
+// ": " and CRLF.
 const headerOverhead = 4
 
 const statusLine = len("HTTP/1.1 200 OK\r\n\r\n")
 
-// Control counts a process's control traffic by kind: everything but the
-// callers' requests and the starts of tasks. Bytes are those of TCP's payload,
-// worked out from each message. It is safe for concurrent use.
+// Control counts a process's control traffic by kind: everything except the
+// callers' requests and the starts of tasks. Bytes are TCP payload bytes, computed
+// from each message. It is safe for concurrent use.
 type Control struct {
 	scope tally.Scope
 	kinds sync.Map // string to *Kind
@@ -28,13 +28,13 @@
 // control_calls, control_bytes_sent and control_bytes_received with the tag kind.
 func NewControl(scope tally.Scope) *Control { return &Control{scope: scope} }
 
-// Kind is the traffic of one kind, such as "store" or "exchange".
+// Kind counts the traffic of one kind, such as "store" or "exchange".
 type Kind struct {
 	calls, sent, received                     atomic.Int64
 	callCounter, sentCounter, receivedCounter tally.Counter
 }
 
-// Kind returns the counters of a kind; a caller on a frequent path keeps them.
+// Kind returns the counters of a kind. Code on a hot path should keep the result.
 func (c *Control) Kind(name string) *Kind {
 	if k, ok := c.kinds.Load(name); ok {
 		return k.(*Kind)
@@ -48,14 +48,14 @@
 	return k.(*Kind)
 }
 
-// Call counts one call and its bytes.
+// Call adds one call and its bytes.
 func (k *Kind) Call(sent, received int64) {
 	k.calls.Add(1)
 	k.callCounter.Inc(1)
 	k.Bytes(sent, received)
 }
 
-// Bytes counts bytes that belong to a call counted already.
+// Bytes adds bytes of a call that was already counted.
 func (k *Kind) Bytes(sent, received int64) {
 	k.sent.Add(sent)
 	k.received.Add(received)
@@ -63,7 +63,7 @@
 	k.receivedCounter.Inc(received)
 }
 
-// Traffic is the count of one kind since the start of the process.
+// Traffic is the total of one kind since the process started.
 type Traffic struct {
 	Kind     string `json:"kind"`
 	Calls    int64  `json:"calls"`
@@ -71,7 +71,7 @@
 	Received int64  `json:"received_bytes"`
 }
 
-// Snapshot returns the counts of all kinds, by name.
+// Snapshot returns the totals of all kinds, sorted by name.
 func (c *Control) Snapshot() []Traffic {
 	var all []Traffic
 	c.kinds.Range(func(name, value any) bool {
@@ -88,9 +88,9 @@
 	return all
 }
 
-// Transport counts what a client sends and receives, as the protocol carries it:
-// HTTP/2 compresses headers that a connection has carried before, HTTP/1.1
-// repeats them. kind names a request; "" leaves it out.
+// Transport returns a RoundTripper that counts the bytes a client sends and receives on the
+// connection: HTTP/2 compresses headers already sent on the same connection, HTTP/1.1
+// repeats them. kind returns the kind of a request; requests of kind "" are not counted.
 func (c *Control) Transport(next http.RoundTripper, kind func(*http.Request) string) http.RoundTripper {
 	return &countingTransport{control: c, next: next, kind: kind}
 }
@@ -110,36 +110,37 @@
 	k := t.control.Kind(name)
 	k.Call(0, 0)
 	var use connUse
-	// A transport must not change the request it is given: this is a copy.
-	r = use.follow(r)
+	// A RoundTripper must not modify the request; trackConn returns a copy.
+	r = use.trackConn(r)
 	if r.Body != nil && r.Body != http.NoBody {
 		r.Body = &countingBody{ReadCloser: r.Body, count: func(n int64) { k.Bytes(n, 0) }}
 	}
 	resp, err := t.next.RoundTrip(r)
 	if err != nil {
-		if use.taken.Load() {
+		if use.gotConn.Load() {
 			k.Bytes(requestHead(r), 0)
 		}
 		return nil, err
 	}
 	if resp.ProtoMajor == 2 {
-		k.Bytes(requestFrames(r, use.first.Load()), answerFrames(resp.Header, use.first.Load()))
+		k.Bytes(requestFrames(r, use.first.Load()), responseFrames(resp.Header, use.first.Load()))
 	} else {
-		k.Bytes(requestHead(r), answerHead(resp.Header))
+		k.Bytes(requestHead(r), responseHead(resp.Header))
 	}
 	resp.Body = &countingBody{ReadCloser: resp.Body, count: func(n int64) { k.Bytes(0, n) }}
 	return resp, nil
 }
 
-// CloseIdleConnections is called by http.Client, which could not reach the
-// transport behind this one otherwise.
+// CloseIdleConnections forwards the call to the wrapped transport, which http.Client can't
+// reach otherwise.
 func (t *countingTransport) CloseIdleConnections() {
 	if c, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
-// Handler counts what a server receives and sends; see Transport and ConnContext.
+// Handler returns an http.Handler that counts the bytes a server receives and sends; see
+// Transport and ConnContext.
 func (c *Control) Handler(next http.Handler, kind func(*http.Request) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := kind(r)
@@ -158,9 +159,9 @@
 		counting := &countingWriter{ResponseWriter: w, kind: k}
 		next.ServeHTTP(counting, r)
 		if r.ProtoMajor == 2 {
-			k.Bytes(answerFrames(w.Header(), first), 0)
+			k.Bytes(responseFrames(w.Header(), first), 0)
 		} else {
-			k.Bytes(answerHead(w.Header()), 0)
+			k.Bytes(responseHead(w.Header()), 0)
 		}
 	})
 }
@@ -187,23 +188,24 @@
 	return n, err
 }
 
-// Flush implements http.Flusher, which a streaming handler asks for directly.
+// Flush implements http.Flusher, which streaming handlers use directly.
 func (w *countingWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
 
-// Unwrap lets http.ResponseController reach the server's writer.
+// Unwrap gives http.ResponseController access to the server's writer.
 func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// requestHead and answerHead are sizes over HTTP/1.1 without the body.
+// requestHead returns the size of an HTTP/1.1 request without its body; responseHead that of
+// a response.
 func requestHead(r *http.Request) int64 {
 	line := len(r.Method) + len(r.URL.RequestURI()) + len(" "+" HTTP/1.1\r\n\r\n")
 	host := len("Host") + len(r.Host) + headerOverhead
 	return int64(line+host) + headerBytes(r.Header, addedToRequest)
 }
 
-func answerHead(h http.Header) int64 { return int64(statusLine) + headerBytes(h, addedToAnswer) }
+func responseHead(h http.Header) int64 { return int64(statusLine) + headerBytes(h, addedToResponse) }
 
 func headerBytes(h http.Header, added map[string]string) int64 {
 	n := 0
-	each(h, added, func(name, value string) { n += len(name) + len(value) + headerOverhead })
+	eachField(h, added, func(name, value string) { n += len(name) + len(value) + headerOverhead })
 	return int64(n)
 }
--- a/telemetry/control_test.go
+++ b/telemetry/control_test.go
@@ -16,7 +16,7 @@
 	"almondstand.dev/telemetry"
 )
 
-// meteredListener counts the bytes of its connections.
+// meteredListener counts the bytes read and written on its connections.
 type meteredListener struct {
 	net.Listener
 	in, out atomic.Int64
@@ -44,11 +44,12 @@
 	return n, err
 }
 
-// An operator compares `report control` with the budget of 3 KB/s. Headers added
-// up as HTTP/1.1 writes them showed three to four times what HTTP/2 sends, so a
-// node looked over its budget that was not. Both ends must count near what a
-// connection carries, on one that is kept and on one for each call.
-func TestControlCountsWhatTheConnectionCarries(t *testing.T) {
+// Guards against overstating control traffic: operators compare `report control` with the
+// budget of 3 KB/s. Adding up headers at their HTTP/1.1 size gave three to four times the
+// bytes that HTTP/2 sends, so a node within its budget seemed to exceed it. The counts of
+// both ends must be close to the bytes on the connection, both for a kept connection and
+// for one connection per call.
+func TestControlCountsBytesOnTheConnection(t *testing.T) {
 	const calls = 60
 	for _, c := range []struct {
 		name   string
--- a/telemetry/frames.go
+++ b/telemetry/frames.go
@@ -8,40 +8,40 @@
 	"sync/atomic"
 )
 
-// Sizes of HTTP/2 as net/http writes it, in bytes. TCP's own headers and the
-// pings of idle connections belong to no call and are left out.
+// Sizes of HTTP/2 frames as net/http writes them, in bytes. TCP headers and the pings of
+// idle connections belong to no call and are not counted.
 const (
-	frameHead = 9
-	// A connection opens with the client's preface, SETTINGS and a window, and the
-	// server's SETTINGS and a window; each end acknowledges the other's.
-	clientOpening = 24 + frameHead + 4*6 + frameHead + 4 + frameHead
-	serverOpening = frameHead + 5*6 + frameHead + 4 + frameHead
-	// pseudoFields are :method, :scheme, :authority and :path; the values of the
-	// last two are literals in a connection's first request.
+	frameHeader = 9
+	// A connection starts with the client's preface, SETTINGS and WINDOW_UPDATE, and the
+	// server's SETTINGS and WINDOW_UPDATE; each end acknowledges the other's SETTINGS.
+	clientPreface = 24 + frameHeader + 4*6 + frameHeader + 4 + frameHeader
+	serverPreface = frameHeader + 5*6 + frameHeader + 4 + frameHeader
+	// pseudoFields is the number of pseudo-header fields: :method, :scheme, :authority and
+	// :path. The values of the last two are literals in a connection's first request.
 	pseudoFields = 4
 	statusField  = 1
 )
 
-// Fields that net/http adds by itself and shows only to the other end, with
-// values of a typical length.
+// Header fields that net/http adds on its own and that are visible only at the receiver,
+// with values of typical length.
 var (
-	addedToRequest = map[string]string{"User-Agent": "Go-http-client/2.0", "Content-Length": "100"}
-	addedToAnswer  = map[string]string{"Date": "Thu, 01 Jan 2026 00:00:00 GMT", "Content-Length": "100"}
+	addedToRequest  = map[string]string{"User-Agent": "Go-http-client/2.0", "Content-Length": "100"}
+	addedToResponse = map[string]string{"Date": "Thu, 01 Jan 2026 00:00:00 GMT", "Content-Length": "100"}
 )
 
-// changing are the fields whose value differs from call to call, so that no
-// table of a connection holds it.
-var changing = map[string]bool{"Date": true, "Connect-Timeout-Ms": true}
+// volatileFields lists the header fields whose value differs in each call, so that the HPACK
+// dynamic table of the connection does not contain it.
+var volatileFields = map[string]bool{"Date": true, "Connect-Timeout-Ms": true}
 
-// static are the names that HPACK knows from the start.
-var static = map[string]bool{
+// staticNames lists the header names in HPACK's static table.
+var staticNames = map[string]bool{
 	"Authorization": true, "Content-Length": true, "Content-Type": true, "Date": true, "User-Agent": true,
 }
 
 type connKey struct{}
 
-// ConnContext is for http.Server.ConnContext: Handler then tells the first
-// request of a connection, whose headers go out in full, from later ones.
+// ConnContext is for http.Server.ConnContext. It lets Handler distinguish the first request
+// of a connection, whose headers are sent in full, from later ones.
 func ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, new(atomic.Bool))
 }
@@ -52,54 +52,55 @@
 	return known && !used.Swap(true)
 }
 
-// connUse learns which connection a client's request took.
-type connUse struct{ taken, first atomic.Bool }
+// connUse records whether a client's request got a connection and whether it was a new one.
+type connUse struct{ gotConn, first atomic.Bool }
 
-func (u *connUse) follow(r *http.Request) *http.Request {
+func (u *connUse) trackConn(r *http.Request) *http.Request {
 	return r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
-			u.taken.Store(true)
+			u.gotConn.Store(true)
 			u.first.Store(!i.Reused)
 		},
 	}))
 }
 
-// requestFrames is a request's size over HTTP/2 without its body's bytes.
+// requestFrames returns the size of a request over HTTP/2 without the bytes of its body.
 func requestFrames(r *http.Request, first bool) int64 {
-	n := frameHead + pseudoFields + fieldBytes(r.Header, addedToRequest, first)
+	n := frameHeader + pseudoFields + fieldBytes(r.Header, addedToRequest, first)
 	if first {
-		n += clientOpening + literal(r.URL.RequestURI()) + literal(r.Host)
+		n += clientPreface + literal(r.URL.RequestURI()) + literal(r.Host)
 	}
-	return int64(n + frameHead)
+	return int64(n + frameHeader)
 }
 
-// answerFrames is an answer's size over HTTP/2 without its body's bytes.
-func answerFrames(h http.Header, first bool) int64 {
-	n := frameHead + statusField + fieldBytes(h, addedToAnswer, first)
+// responseFrames returns the size of a response over HTTP/2 without the bytes of its body.
+func responseFrames(h http.Header, first bool) int64 {
+	n := frameHeader + statusField + fieldBytes(h, addedToResponse, first)
 	if first {
-		n += serverOpening
+		n += serverPreface
 	}
-	return int64(n + frameHead)
+	return int64(n + frameHeader)
 }
 
-// fieldBytes is the size of header fields: in full when the connection hasn't
-// carried them yet, one byte for each of those that it has.
+// fieldBytes returns the size of header fields: in full if they were not sent on the
+// connection before, otherwise one byte for each.
 func fieldBytes(h http.Header, added map[string]string, first bool) int {
 	n := 0
-	each(h, added, func(name, value string) {
+	eachField(h, added, func(name, value string) {
 		n++
-		if first && !static[name] {
+		if first && !staticNames[name] {
 			n += literal(name)
 		}
-		if first || changing[name] {
+		if first || volatileFields[name] {
 			n += literal(value)
 		}
 	})
 	return n
 }
 
-// each visits the fields of a message, those that net/http adds included.
-func each(h http.Header, added map[string]string, visit func(name, value string)) {
+// eachField calls visit for each header field of a message, including those that net/http
+// adds.
+func eachField(h http.Header, added map[string]string, visit func(name, value string)) {
 	for name, values := range h {
 		for _, value := range values {
 			visit(name, value)
@@ -112,8 +113,8 @@
 	}
 }
 
-// literal is the size of a text with its length.
+// literal returns the size of a string literal with its length prefix.
 func literal(text string) int { return 1 + huffman(len(text)) }
 
-// huffman is about the size of so many characters under HPACK's code.
+// huffman returns the approximate size of a string under HPACK's Huffman code.
 func huffman(characters int) int { return (characters*3 + 3) / 4 }
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -7,13 +7,13 @@
 	"log/slog"
 )
 
-// Formats of a log.
+// Log formats.
 const (
 	FormatJSON = "json"
 	FormatText = "text"
 )
 
-// ErrLogSettings means that a logger's level or format is not known.
+// ErrLogSettings means that the log level or format is invalid.
 var ErrLogSettings = errors.New("telemetry: log settings")
 
 // NewLogger returns a logger that writes records of the level (debug, info,
@@ -34,8 +34,8 @@
 	}
 }
 
-// NewOutput returns a JSON logger whose volume is bounded for each event and
-// whose writing never blocks. close writes the last lines.
+// NewOutput returns a JSON logger that limits the lines of each event and never blocks on
+// its output. closeOutput flushes the remaining lines.
 func NewOutput(w io.Writer, level string, m *Metrics) (logger *slog.Logger, closeOutput func(), err error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -43,6 +43,6 @@
 	}
 	queue := NewQueue(w)
 	budget := NewBudget(slog.NewJSONHandler(queue, &slog.HandlerOptions{Level: l}))
-	m.lines = func() int64 { return queue.Dropped() + budget.LeftOut() }
+	m.droppedLines = func() int64 { return queue.Dropped() + budget.LeftOut() }
 	return slog.New(budget), queue.Close, nil
 }
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -12,30 +12,30 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often counters and gauges reach the reporter. Zero
-// would turn the reporting off: every counter would be scraped as absent.
+// reportInterval is how often counters and gauges are passed to the reporter. Zero
+// disables reporting: every counter would be missing from scrapes.
 const reportInterval = time.Second
 
-// Buckets of a timer: from 0.5 ms, doubling, to about 65 s.
+// Histogram buckets of timers: from 0.5 ms to about 65 s, doubling.
 const (
 	firstBucket  = 0.0005 // seconds
 	bucketFactor = 2
 	bucketCount  = 18
 )
 
-// Metrics is a process's root scope and the handler that serves it.
+// Metrics is a process's root scope and the HTTP handler for scrapes.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
-	// lines counts the log lines left out, nil when nobody counts them.
-	lines func() int64
+	// droppedLines returns the number of log lines dropped; nil if they are not counted.
+	droppedLines func() int64
 }
 
 // Close stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// NewMetrics returns metrics under the given prefix, with a registry of its own.
+// NewMetrics returns metrics with the given name prefix and their own registry.
 func NewMetrics(prefix string) *Metrics {
 	reporter := tallyprom.NewReporter(tallyprom.Options{
 		Registerer:              prometheus.NewRegistry(),
@@ -47,23 +47,23 @@
 		Prefix:         prefix,
 		CachedReporter: reporter,
 		Separator:      tallyprom.DefaultSeparator,
-		// Names that the scrape format forbids would be rejected one by one.
+		// Without sanitizing, each name that is invalid in the scrape format would be rejected.
 		SanitizeOptions:        &tallyprom.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// LinesLeftOut counts the log lines left out.
+// LinesLeftOut returns the number of log lines dropped.
 func (m *Metrics) LinesLeftOut() int64 {
-	if m.lines == nil {
+	if m.droppedLines == nil {
 		return 0
 	}
-	return m.lines()
+	return m.droppedLines()
 }
 
-// logRejected replaces the reporter's panic: a metric that clashes with
-// another must not end a process that holds its callers' jobs.
+// logRejected replaces the reporter's panic: a metric name conflict must not terminate a
+// process that holds its callers' jobs.
 func logRejected(err error) {
 	metricRejected.Log(context.Background(), slog.Default(), slog.String("error", err.Error()))
 }
--- a/telemetry/process.go
+++ b/telemetry/process.go
@@ -12,25 +12,25 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// processInterval is the pause between two readings of a process's use.
+// processInterval is the interval between two samples of resource usage.
 const processInterval = 2 * time.Second
 
-// Usage is what a process has used of its host.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// CPU is the processor time of all threads since the start.
+	// CPU is the CPU time of all threads since the process started.
 	CPU time.Duration
-	// RSS is the resident memory, in bytes; 0 where it can't be read.
+	// RSS is the resident set size in bytes; 0 if it can't be read.
 	RSS int64
-	// Goroutines counts the live ones.
+	// Goroutines is the number of live goroutines.
 	Goroutines int
 }
 
-// ReadUsage reads this process's use (getrusage and /proc/self/statm).
+// ReadUsage returns this process's resource usage (getrusage and /proc/self/statm).
 func ReadUsage() Usage {
 	return Usage{CPU: cpuTime(), RSS: residentBytes(), Goroutines: runtime.NumGoroutine()}
 }
 
-// Process keeps the gauges process_cpu_seconds, process_resident_bytes and
+// Process updates the gauges process_cpu_seconds, process_resident_bytes and
 // process_goroutines of a scope.
 type Process struct {
 	cpu, rss, goroutines tally.Gauge
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -8,62 +8,63 @@
 )
 
 const (
-	// queueBytes bounds what waits to be written, bytes: some 2,000 lines, two
-	// seconds' worth of a busy entry.
-	queueBytes = 512 << 10
-	// gather is how long lines are gathered for one write: a system call a line
-	// would cost more than the line.
-	gather = 40 * time.Millisecond
-	// lastWrite bounds the wait for the last lines when a process ends.
-	lastWrite = 300 * time.Millisecond
+	// maxBufferedBytes is the buffer size in bytes: about 2,000 lines, which a busy entry
+	// writes in two seconds.
+	maxBufferedBytes = 512 << 10
+	// batchDelay is how long lines are batched for one write: a system call per line
+	// would cost more than producing the line.
+	batchDelay = 40 * time.Millisecond
+	// flushTimeout bounds the wait for the final flush when a process exits.
+	flushTimeout = 300 * time.Millisecond
 )
 
-// Queue is a writer that never blocks. A reader of standard output that has
-// stopped would otherwise stop every request that logs; it costs lines instead,
-// and these are counted.
+// Queue is a buffered io.Writer that never blocks. Otherwise a stalled reader of standard
+// output would block every request that logs. When the buffer is full, lines are
+// dropped and counted.
 type Queue struct {
-	to   io.Writer
-	wake chan struct{}
-	done chan struct{}
-	end  chan struct{}
+	out      io.Writer
+	notEmpty chan struct{}
+	done     chan struct{}
+	closing  chan struct{}
 
-	mu      sync.Mutex
-	waiting []byte
-	dropped atomic.Int64
+	mu       sync.Mutex
+	buffered []byte
+	dropped  atomic.Int64
 }
 
-// NewQueue returns a queue that writes to w until it is closed.
+// NewQueue returns a queue that writes to w in the background until it is closed.
 func NewQueue(w io.Writer) *Queue {
-	q := &Queue{to: w, wake: make(chan struct{}, 1), done: make(chan struct{}), end: make(chan struct{})}
+	q := &Queue{out: w, notEmpty: make(chan struct{}, 1), done: make(chan struct{}), closing: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write takes whole lines; it implements io.Writer and never fails.
+// Write implements io.Writer. b must consist of whole lines. Write never fails.
 func (q *Queue) Write(b []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting)+len(b) > queueBytes {
+	if len(q.buffered)+len(b) > maxBufferedBytes {
 		q.dropped.Add(1)
 		return len(b), nil
 	}
-	q.waiting = append(q.waiting, b...)
+	q.buffered = append(q.buffered, b...)
 	select {
-	case q.wake <- struct{}{}:
+	case q.notEmpty <- struct{}{}:
 	default:
 	}
 	return len(b), nil
 }
 
-// Dropped counts the lines left out because nobody read.
+// Dropped returns the number of lines dropped because the buffer was full, which happens if
+// the output is not read.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close writes what waits, unless nobody reads.
+// Close flushes the buffer. It gives up after flushTimeout if the output blocks.
 func (q *Queue) Close() {
-	close(q.end)
+	close(q.closing)
 	select {
 	case <-q.done:
-	case <-time.After(lastWrite):
+	case <-time.After(flushTimeout):
 	}
 }
 
@@ -71,24 +72,24 @@
 	defer close(q.done)
 	var batch []byte
 	for {
-		ended := false
+		closed := false
 		select {
-		case <-q.wake:
+		case <-q.notEmpty:
 			select {
-			case <-time.After(gather):
-			case <-q.end:
+			case <-time.After(batchDelay):
+			case <-q.closing:
 			}
-		case <-q.end:
-			ended = true
+		case <-q.closing:
+			closed = true
 		}
 		q.mu.Lock()
-		batch, q.waiting = q.waiting, batch[:0]
+		batch, q.buffered = q.buffered, batch[:0]
 		q.mu.Unlock()
 		if len(batch) > 0 {
-			// Nothing can be done about an output that fails.
-			_, _ = q.to.Write(batch)
+			// There is no way to report that the log output fails.
+			_, _ = q.out.Write(batch)
 		}
-		if ended {
+		if closed {
 			return
 		}
 	}
--- a/telemetry/stall/stall_test.go
+++ b/telemetry/stall/stall_test.go
@@ -9,28 +9,28 @@
 
 const ms = time.Millisecond
 
-// Guards against a stall that is missed by whoever runs before the next beat, and against
-// one that is counted twice.
-func TestStallCountsBeforeTheNextBeat(t *testing.T) {
+// Guards against missing a stall in code that runs before the next sample, and against
+// counting one twice.
+func TestStallIsCountedBeforeNextSample(t *testing.T) {
 	var now time.Duration
 	m := &Meter{now: func() time.Duration { return now }}
 	assert.Equal(t, m.Total(), time.Duration(0))
-	m.beat()
-	now += beatInterval + 2000*ms
+	m.sample()
+	now += sampleInterval + 2000*ms
 	assert.Equal(t, m.Total(), 2000*ms)
-	m.beat()
+	m.sample()
 	assert.Equal(t, m.Total(), 2000*ms)
-	now += beatInterval
+	now += sampleInterval
 	assert.Equal(t, m.Total(), 2000*ms)
 }
 
-// Guards against ordinary timer lateness that adds up to a stall.
-func TestLateBeatsAreNoStall(t *testing.T) {
+// Guards against normal timer delays adding up to a stall.
+func TestNormalTimerDelayIsNoStall(t *testing.T) {
 	var now time.Duration
 	m := &Meter{now: func() time.Duration { return now }}
 	for range 100 {
-		m.beat()
-		now += beatInterval + tolerance
+		m.sample()
+		now += sampleInterval + tolerance
 	}
 	assert.Equal(t, m.Total(), time.Duration(0))
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry serves a process's metrics and health, counts its control
-// traffic and builds its logger.
+// Package telemetry provides a process's metrics and health endpoints, counts its control
+// traffic and creates its logger.
 package telemetry
 
 import (
@@ -8,16 +8,16 @@
 	"sync/atomic"
 )
 
-// Ready is the readiness of a process. It turns false first when draining.
+// Ready is the readiness of a process. Draining starts by setting it to false.
 type Ready struct{ ready atomic.Bool }
 
-// Set changes the readiness.
+// Set sets the readiness.
 func (r *Ready) Set(v bool) { r.ready.Store(v) }
 
 // Get returns the readiness.
 func (r *Ready) Get() bool { return r.ready.Load() }
 
-// Handle adds /healthz, /readyz and /metrics to a mux.
+// Handle registers /healthz, /readyz and /metrics on a mux.
 func Handle(mux *http.ServeMux, m *Metrics, ready *Ready) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "ok\n")
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -28,9 +28,9 @@
 	return resp.StatusCode, string(body)
 }
 
-// An operator scrapes /metrics and sees no counter at all: without a reporting
-// interval tally keeps counts to itself for ever.
-func TestCountersReachTheScrape(t *testing.T) {
+// Guards against scrapes of /metrics without any counter: without a reporting interval tally
+// never passes counts to the reporter.
+func TestScrapeIncludesCounters(t *testing.T) {
 	m := telemetry.NewMetrics("almond")
 	defer func() { _ = m.Close() }()
 	mux := http.NewServeMux()
@@ -104,7 +104,8 @@
 		assert.NilError(t, resp.Body.Close())
 		assert.Equal(t, string(body), "0123456789")
 	}
-	// The server's last count comes after the client has its answer.
+	// The server updates its counts after the client has received the response; closing the
+	// server waits for that.
 	s.Close()
 	for _, c := range []*telemetry.Control{client, server} {
 		all := c.Snapshot()
--- a/telemetry/uptime/sleep.go
+++ b/telemetry/uptime/sleep.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Sleep pauses for a span; false when the context ended first. Without a span it
-// returns at once.
+// Sleep waits for d. It returns false if the context ended first. If d is not positive, it
+// returns immediately.
 func Sleep(ctx context.Context, d time.Duration) bool { return SleepUnless(ctx, d, nil) }
 
-// SleepUnless pauses for a span or until the event; false when the context ended
-// first. Without a span it returns at once.
+// SleepUnless waits for d or until the event, whichever is first. It returns false if the
+// context ended first. If d is not positive, it returns immediately.
 func SleepUnless(ctx context.Context, d time.Duration, event <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/telemetry/uptime/uptime.go
+++ b/telemetry/uptime/uptime.go
@@ -1,7 +1,6 @@
-// Package uptime reads the clock that measures spans on one host. It also
-// counts the time for which the host was suspended, which Go's monotonic clock
-// leaves out: a process that sleeps through a caller's deadline would wake up
-// and believe that the caller still waits.
+// Package uptime provides a clock for durations on one host that, unlike Go's monotonic
+// clock, advances while the host is suspended. With the monotonic clock, a process that was
+// suspended past a caller's deadline would resume and assume that the caller still waits.
 package uptime
 
 import (
@@ -10,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-var started = time.Now()
+var processStart = time.Now()
 
-// Now returns the time since the host's start, suspended spans included.
+// Now returns the time since the host booted, including time in suspension.
 func Now() time.Duration {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		// Only a kernel without this clock refuses; the monotonic clock is then
-		// the nearest there is.
-		return time.Since(started)
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
+		// The call fails only on a kernel without this clock; the monotonic clock is
+		// the closest substitute.
+		return time.Since(processStart)
 	}
-	return time.Duration(at.Nano())
+	return time.Duration(now.Nano())
 }
