--- a/wire/fleetwire/entries.go
+++ b/wire/fleetwire/entries.go
@@ -6,15 +6,16 @@
 	"net/netip"
 )
 
-// EntriesPrefix begins the keys in the platform's store that name the live entries. Each
+// EntriesPrefix is the prefix of the keys of live entries in the platform's store. Each
 // value is the address at which an entry serves guards and other entries.
 const EntriesPrefix = "almondstand/entries/"
 
-// ErrAddress means a value that names no entry's address.
-var ErrAddress = errors.New("fleetwire: no address of an entry")
+// ErrAddress means that a value is not a valid address of an entry.
+var ErrAddress = errors.New("fleetwire: invalid entry address")
 
-// EntryAddress reads an entry's address, from the store or from another process. Other
-// programs may write there too; what names no host and port must reach no dialer.
+// EntryAddress parses and validates an entry's address that comes from the store or from
+// another process. Other programs may write to these keys too; a value that is not a valid
+// host and port must never be dialed.
 func EntryAddress(value string) (string, error) {
 	a, err := netip.ParseAddrPort(value)
 	if err != nil {
@@ -26,7 +27,8 @@
 	return a.String(), nil
 }
 
-// EntryAddresses reads several, and returns with them what is none of an entry's.
+// EntryAddresses parses several values. It returns the valid addresses and the malformed
+// values.
 func EntryAddresses(values []string) (addresses, malformed []string) {
 	for _, v := range values {
 		if a, err := EntryAddress(v); err == nil {
--- a/wire/fleetwire/entries_test.go
+++ b/wire/fleetwire/entries_test.go
@@ -7,12 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Another program writes among the entries' keys. What it writes must name nobody whom
-// guards dial, and the sound entries beside it stay.
-func TestForeignAddressesNameNoEntry(t *testing.T) {
-	good, bad := EntryAddresses([]string{"10.1.0.13:7720", "", "x", "10.1.0.13", "10.1.0.13:0", "0.0.0.0:7720", "224.0.0.1:7720", "host:7720", "10.1.0.14:7720"})
-	assert.DeepEqual(t, good, []string{"10.1.0.13:7720", "10.1.0.14:7720"})
-	assert.Equal(t, len(bad), 7)
+// Guards against guards dialing values that another program has written under the entries'
+// prefix. Invalid values must be rejected without affecting the valid ones.
+func TestInvalidEntryAddressesAreRejected(t *testing.T) {
+	valid, malformed := EntryAddresses([]string{"10.1.0.13:7720", "", "x", "10.1.0.13", "10.1.0.13:0", "0.0.0.0:7720", "224.0.0.1:7720", "host:7720", "10.1.0.14:7720"})
+	assert.DeepEqual(t, valid, []string{"10.1.0.13:7720", "10.1.0.14:7720"})
+	assert.Equal(t, len(malformed), 7)
 }
 
 func FuzzEntryAddress(f *testing.F) {
@@ -27,8 +27,8 @@
 		parsed, err := netip.ParseAddrPort(a)
 		assert.NilError(t, err)
 		assert.Assert(t, parsed.Port() != 0 && !parsed.Addr().IsUnspecified())
-		again, err := EntryAddress(a)
+		parsedAgain, err := EntryAddress(a)
 		assert.NilError(t, err)
-		assert.Equal(t, again, a)
+		assert.Equal(t, parsedAgain, a)
 	})
 }
--- a/wire/fleetwire/fleetwire.go
+++ b/wire/fleetwire/fleetwire.go
@@ -1,5 +1,5 @@
-// Package fleetwire turns the messages between entries and guards into the
-// types of the deciding packages and back, and holds the transport of both ends.
+// Package fleetwire converts between the messages of entries and guards and the types of
+// the scheduling packages, and provides the transport of both ends.
 package fleetwire
 
 import (
@@ -18,18 +18,18 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// Bounds of a connection between two processes.
+// Timeouts of a connection between two processes.
 const (
-	// DialTimeout is many times the way between data centres of one region, some
-	// milliseconds.
+	// DialTimeout is many times the network latency between data centres of one region,
+	// which is some milliseconds.
 	DialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose other end acknowledges nothing:
-	// otherwise the kernel would repeat the bytes for a quarter of an hour.
+	// unackedTimeout closes a connection whose other end does not acknowledge data:
+	// otherwise the kernel would retransmit for a quarter of an hour.
 	unackedTimeout = 2 * time.Second
 )
 
-// Transport is a transport of HTTP/2 without TLS. Each session takes one of its
-// own, so that a silent connection is given up with its session.
+// Transport is an HTTP/2 transport without TLS. Each session uses its own, so that an
+// unresponsive connection is closed together with its session.
 type Transport struct {
 	*http.Transport
 
@@ -38,11 +38,11 @@
 	closed bool
 }
 
-// NewTransport returns a transport without connections, which gives a new one so much
-// time to come about.
-func NewTransport(dial time.Duration) *Transport {
+// NewTransport returns a transport without connections. dialTimeout is the timeout for
+// opening one.
+func NewTransport(dialTimeout time.Duration) *Transport {
 	t := &Transport{}
-	dialer := &net.Dialer{Timeout: dial, Control: limitUnacked}
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	t.Transport = &http.Transport{
@@ -51,7 +51,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return conn, t.keep(conn)
+			return conn, t.track(conn)
 		},
 		Protocols:          protocols,
 		DisableCompression: true,
@@ -59,7 +59,7 @@
 	return t
 }
 
-func (t *Transport) keep(conn net.Conn) error {
+func (t *Transport) track(conn net.Conn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// Close breaks every connection, and with them every call. The end of a stream's
-// context alone does not end a Receive: the library notices it only between two
-// writes of the request's body, and a silent stream has none.
+// Close closes all connections and thereby aborts all calls. Cancelling a stream's
+// context alone does not unblock Receive: the library checks the context only between two
+// writes of the request body, and an idle stream has none.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	conns := t.conns
@@ -83,7 +83,7 @@
 	}
 }
 
-// NewServer returns a server of HTTP/2 without TLS, and of HTTP/1.
+// NewServer returns a server for HTTP/2 without TLS and for HTTP/1.
 func NewServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -91,56 +91,56 @@
 	return &http.Server{Handler: handler, Protocols: protocols, ReadHeaderTimeout: 5 * time.Second}
 }
 
-// Listen opens a listener whose connections end when their other end
-// acknowledges nothing.
+// Listen opens a listener. Its connections are closed if the other end does not
+// acknowledge data for unackedTimeout.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{Control: limitUnacked}
+	config := net.ListenConfig{Control: setUserTimeout}
 	return config.Listen(ctx, "tcp", address)
 }
 
-// gzipName is the compression that connect offers by itself.
+// gzipName is the compression that connect enables by default.
 const gzipName = "gzip"
 
-// NewHandler serves the fleet's calls. Messages go as they are: most have some 100
-// bytes, which gzip makes longer, and its writers took a fifth of an entry's
-// processor time and 0.8 MB each (six entries, 40 guards, 500 jobs a second: 1.24
-// to 1.45 ms a job before, 1.04 to 1.15 without).
+// NewHandler returns the handler of FleetService with compression disabled: most messages
+// have about 100 bytes, which gzip makes longer, and the gzip writers used a fifth of an
+// entry's CPU time and 0.8 MB each (six entries, 40 guards, 500 jobs a second: 1.24 to
+// 1.45 ms per job with gzip, 1.04 to 1.15 ms without).
 func NewHandler(service wirev1connect.FleetServiceHandler) (path string, handler http.Handler) {
 	return wirev1connect.NewFleetServiceHandler(service, connect.WithCompression(gzipName, nil, nil))
 }
 
-// NewClient calls the entry at an address.
+// NewClient returns a client of the entry at an address.
 func NewClient(client *http.Client, address string) wirev1connect.FleetServiceClient {
 	return wirev1connect.NewFleetServiceClient(client, "http://"+address, connect.WithAcceptCompression(gzipName, nil, nil))
 }
 
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
-	var failed error
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
-// Amounts for the wire.
+// Amounts converts resource amounts to the wire type.
 func Amounts(a work.Amounts) *wirev1.Amounts {
 	return &wirev1.Amounts{CpuMilli: a.CPUMilli, MemoryMb: a.MemoryMB, Gpus: a.GPUs}
 }
 
-// FromAmounts reads amounts; nil is none.
+// FromAmounts converts resource amounts from the wire type; nil means zero.
 func FromAmounts(a *wirev1.Amounts) work.Amounts {
 	return work.Amounts{CPUMilli: a.GetCpuMilli(), MemoryMB: a.GetMemoryMb(), GPUs: a.GetGpus()}
 }
 
-// Task names a task on the wire.
+// Task converts a task ID to the wire type.
 func Task(t work.TaskID) *wirev1.TaskName {
 	return &wirev1.TaskName{Job: t.Job, Step: uint32(t.Step), Index: uint32(t.Index)}
 }
 
-// FromRun reads a run's name.
+// FromRun converts a task name and an attempt from the wire to a run ID.
 func FromRun(t *wirev1.TaskName, attempt uint32) work.RunID {
 	return work.RunID{
 		Task:    work.TaskID{Job: t.GetJob(), Step: int(t.GetStep()), Index: int(t.GetIndex())},
