--- a/entry/caller/caller.go
+++ b/entry/caller/caller.go
@@ -21,10 +21,10 @@
 	ErrNoAddress = errors.New("no callers' address given")
 	// ErrGaveUp means that the context ended before a final response arrived. Result
 	// holds the last known state.
-	ErrGaveUp = errors.New("no final answer in time")
+	ErrGaveUp = errors.New("no final response in time")
 	// ErrNotWhole means that a response is malformed, or that a payload in it doesn't match
 	// its length or digest.
-	ErrNotWhole = errors.New("answer is not whole")
+	ErrNotWhole = errors.New("corrupt response")
 )
 
 const (
@@ -107,7 +107,7 @@
 	for {
 		r, err := s.attempt(ctx)
 		if err != nil {
-			if s.wait(ctx, "no answer: "+err.Error(), s.backoff()) != nil {
+			if s.wait(ctx, "no response: "+err.Error(), s.backoff()) != nil {
 				return s.known, ErrGaveUp
 			}
 			continue
@@ -221,7 +221,7 @@
 		return "", err
 	}
 	if len(issued.Submissions) == 0 {
-		return "", fmt.Errorf("mint answered no id")
+		return "", fmt.Errorf("response contains no submission ID")
 	}
 	return issued.Submissions[0], nil
 }
--- a/entry/cmd/almondstand/docs_test.go
+++ b/entry/cmd/almondstand/docs_test.go
@@ -70,7 +70,7 @@
 }
 
 // Checks that the entry command rejects invalid settings (a missing data centre, two
-// listeners on one port, a duration without a unit), starts nothing and lists every fault
+// listeners on one port, a duration without a unit), starts nothing and lists every error
 // in one line.
 func TestSettingsErrorsAreListed(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(examples, "entry.json"))
