--- a/standin/worker/judge.go
+++ b/standin/worker/judge.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// Judge holds the promises against what the runners see. One judge watches all
-// runners of a test.
+// Judge checks the platform's guarantees against the runs that the stand-in
+// runners observe. All runners of a test share one Judge.
 type Judge struct {
 	mu sync.Mutex
-	// running are the runs going on, by task.
-	running map[string][]Where
-	faults  []string
-	starts  int
-	done    map[string]int
-	began   time.Time
-	// refused are jobs that were turned away, with no attempt taken.
-	refused map[string]bool
-	ran     map[string]bool
+	// running maps each task to its current runs.
+	running    map[string][]Where
+	violations []string
+	starts     int
+	done       map[string]int
+	createdAt  time.Time
+	// rejectedJobs are jobs that were rejected without any attempt having been accepted.
+	rejectedJobs map[string]bool
+	startedJobs  map[string]bool
 }
 
-// Where a run goes on.
+// Where identifies a run and the runner process that executes it.
 type Where struct {
 	Runner   string
 	Instance string
-	// Born is when the runner's process was started.
+	// Born is the start time of the runner's process.
 	Born time.Time
 	Run  int
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a Judge without any recorded runs.
 func NewJudge() *Judge {
-	return &Judge{running: map[string][]Where{}, done: map[string]int{}, began: time.Now(), refused: map[string]bool{}, ran: map[string]bool{}}
+	return &Judge{running: map[string][]Where{}, done: map[string]int{}, createdAt: time.Now(), rejectedJobs: map[string]bool{}, startedJobs: map[string]bool{}}
 }
 
-func (j *Judge) fault(format string, args ...any) {
-	j.faults = append(j.faults, fmt.Sprintf("%7.3f s: ", time.Since(j.began).Seconds())+fmt.Sprintf(format, args...))
+func (j *Judge) addViolation(format string, args ...any) {
+	j.violations = append(j.violations, fmt.Sprintf("%7.3f s: ", time.Since(j.createdAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Fault takes note of a broken promise.
+// Fault records a violated guarantee.
 func (j *Judge) Fault(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.fault(format, args...)
+	j.addViolation(format, args...)
 }
 
-// started takes note of a run's begin. Two runs of one task at a time break the
-// promise that a task runs once.
-func (j *Judge) started(task string, w Where) {
+// runStarted records the start of a run. Two concurrent runs of one task violate the
+// guarantee that a task runs once.
+func (j *Judge) runStarted(task string, w Where) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts++
-	j.ran[jobOf(task)] = true
-	if others := j.running[task]; len(others) > 0 {
-		j.fault("task %s runs at %v and begins at %v", task, others, w)
+	j.startedJobs[jobOf(task)] = true
+	if current := j.running[task]; len(current) > 0 {
+		j.addViolation("task %s is running at %v and was started at %v as well", task, current, w)
 	}
 	j.running[task] = append(j.running[task], w)
 }
 
-func (j *Judge) ended(task string, w Where, how string) {
+func (j *Judge) runEnded(task string, w Where, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if how == Done {
+	if outcome == Done {
 		j.done[task]++
 	}
 	kept := j.running[task][:0]
@@ -77,45 +77,46 @@
 	}
 }
 
-// Completed holds a job's whole answer against the runners' records.
+// Completed checks a job that was reported as completed with all its tasks: the
+// runners must have recorded a successful run of each task.
 func (j *Judge) Completed(job string, tasks int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i := range tasks {
 		if task := fmt.Sprintf("%s.0.0.%d", job, i); j.done[task] == 0 {
-			j.fault("job %s was said to be completed, task %d has not ended done", job, i)
+			j.addViolation("job %s was reported as completed, but no run of task %d ended successfully", job, i)
 		}
 	}
 }
 
-// Refused takes note of a job of which every attempt was refused as not run.
+// Refused records a job all of whose attempts were rejected as not run.
 func (j *Judge) Refused(job string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.refused[job] = true
+	j.rejectedJobs[job] = true
 }
 
-// Faults returns the broken promises.
+// Faults returns the violated guarantees.
 func (j *Judge) Faults() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	all := append([]string(nil), j.faults...)
-	for job := range j.refused {
-		if j.ran[job] {
-			all = append(all, "job "+job+" was refused as not run, and a task of it began")
+	all := append([]string(nil), j.violations...)
+	for job := range j.rejectedJobs {
+		if j.startedJobs[job] {
+			all = append(all, "job "+job+" was rejected as not run, but one of its tasks was started")
 		}
 	}
 	return all
 }
 
-// Starts counts the runs begun.
+// Starts returns the number of runs that were started.
 func (j *Judge) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts
 }
 
-// Running counts the runs going on.
+// Running returns the number of tasks that have a run at the moment.
 func (j *Judge) Running() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/worker/orders.go
+++ b/standin/worker/orders.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-type orderBody struct {
+type requestBody struct {
 	Task  string `json:"task"`
 	Run   int    `json:"run_id"`
 	Spec  string `json:"task_spec"`
@@ -18,19 +18,20 @@
 	Wait  int64  `json:"wait_ms"`
 }
 
-type answer struct {
-	status  int
-	reason  string
-	view    bool
-	waiting time.Duration
+type response struct {
+	status   int
+	reason   string
+	listRuns bool
+	maxWait  time.Duration
 }
 
 const startPath = "/run-start"
 
-// order wraps an order's handler with the instance check and the faults.
-func (r *Runner) order(do func(orderBody) answer) http.HandlerFunc {
+// handle wraps a request handler with the check of the expected instance and the
+// injected faults.
+func (r *Runner) handle(do func(requestBody) response) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		var body orderBody
+		var body requestBody
 		if json.NewDecoder(req.Body).Decode(&body) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -38,7 +39,7 @@
 		r.mu.Lock()
 		f, dead := r.fault, r.dead
 		expected := req.Header.Get("X-Almondstand-Expected-Instance")
-		other := expected != "" && expected != r.instance
+		otherInstance := expected != "" && expected != r.instance
 		r.mu.Unlock()
 		switch {
 		case dead:
@@ -46,7 +47,7 @@
 		case f.Mute:
 			<-req.Context().Done()
 			return
-		case other:
+		case otherInstance:
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		case rand.Float64() < f.LateShare && (!f.LateStarts || req.URL.Path == startPath):
@@ -59,29 +60,29 @@
 			<-req.Context().Done()
 			return
 		}
-		r.write(w, req, body, do(body))
+		r.writeResponse(w, req, body, do(body))
 	}
 }
 
-func (r *Runner) write(w http.ResponseWriter, req *http.Request, body orderBody, a answer) {
-	if a.waiting > 0 {
-		r.await(req.Context(), body.Seen, a.waiting)
+func (r *Runner) writeResponse(w http.ResponseWriter, req *http.Request, body requestBody, a response) {
+	if a.maxWait > 0 {
+		r.waitForEndedRun(req.Context(), body.Seen, a.maxWait)
 	}
 	r.mu.Lock()
 	reply := map[string]any{"clock_ms": r.clock().Milliseconds()}
 	if a.reason != "" {
 		reply["reason"] = a.reason
 	}
-	if a.view {
-		r.nameBorn(reply)
-		running, ends := [][]any{}, [][]any{}
+	if a.listRuns {
+		r.addStartTime(reply)
+		running, endedRuns := [][]any{}, [][]any{}
 		for task, x := range r.runs {
 			running = append(running, []any{task, x.number, "", 100})
 		}
-		for _, e := range r.ends {
-			ends = append(ends, []any{e.seq, e.task, e.number, e.how, ""})
+		for _, e := range r.endedRuns {
+			endedRuns = append(endedRuns, []any{e.seq, e.task, e.number, e.outcome, ""})
 		}
-		reply["running"], reply["ended_runs"] = running, ends
+		reply["running"], reply["ended_runs"] = running, endedRuns
 	}
 	r.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
@@ -89,18 +90,19 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// await waits for an end that has not been seen.
-func (r *Runner) await(ctx context.Context, seen int64, limit time.Duration) {
+// waitForEndedRun waits until a run has ended that is newer than the last one that the
+// caller has seen, at most for the limit.
+func (r *Runner) waitForEndedRun(ctx context.Context, seen int64, limit time.Duration) {
 	over := time.After(limit)
 	for {
 		r.mu.Lock()
-		news, last := r.news, r.lastEnd
+		runEndedCh, last := r.runEndedCh, r.lastEndedSeq
 		r.mu.Unlock()
 		if last > seen {
 			return
 		}
 		select {
-		case <-news:
+		case <-runEndedCh:
 		case <-over:
 			return
 		case <-ctx.Done():
@@ -109,8 +111,9 @@
 	}
 }
 
-// fence checks an order's token. The lock is held.
-func (r *Runner) fence(token int64) bool {
+// checkFencingToken reports whether a request's fencing token is current, and records a
+// higher one. The caller holds the lock.
+func (r *Runner) checkFencingToken(token int64) bool {
 	if token < r.token {
 		return false
 	}
@@ -118,9 +121,9 @@
 	return true
 }
 
-func (r *Runner) extend(until int64) bool {
-	r.longest = max(r.longest, time.Duration(until)*time.Millisecond-r.clock())
-	u := min(time.Duration(until)*time.Millisecond, r.clock()+maxHold)
+func (r *Runner) extendLease(until int64) bool {
+	r.longestLease = max(r.longestLease, time.Duration(until)*time.Millisecond-r.clock())
+	u := min(time.Duration(until)*time.Millisecond, r.clock()+maxLease)
 	if u <= r.clock() {
 		return false
 	}
@@ -128,62 +131,62 @@
 	return true
 }
 
-// drainBound is the time after the acknowledgement of a report that the runner leaves from
-// which nothing may start there: the platform's drain_ms.
-const drainBound = 2 * time.Second
+// maxStartAfterDrainAck is how long tasks may still be started on the runner after its
+// report that it drains was acknowledged: the platform's drain_ms.
+const maxStartAfterDrainAck = 2 * time.Second
 
-func (r *Runner) start(b orderBody) answer {
+func (r *Runner) start(b requestBody) response {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.orders++
-	if r.dead || !r.fence(b.Token) {
-		return answer{status: http.StatusConflict, reason: "fence"}
+	r.startRequests++
+	if r.dead || !r.checkFencingToken(b.Token) {
+		return response{status: http.StatusConflict, reason: "fence"}
 	}
-	if !r.extend(b.Until) {
-		return answer{status: http.StatusConflict, reason: "late"}
+	if !r.extendLease(b.Until) {
+		return response{status: http.StatusConflict, reason: "late"}
 	}
 	if x := r.runs[b.Task]; x != nil && x.number == b.Run {
-		return answer{status: http.StatusOK}
+		return response{status: http.StatusOK}
 	}
-	if !r.leavingAt.IsZero() && time.Since(r.leavingAt) > drainBound {
-		r.Judge.Fault("runner %s starts %s, %v after its guard knew that it leaves", r.instance, b.Task, time.Since(r.leavingAt))
+	if !r.drainAckedAt.IsZero() && time.Since(r.drainAckedAt) > maxStartAfterDrainAck {
+		r.Judge.Fault("runner %s starts %s, %v after its guard acknowledged that the runner drains", r.instance, b.Task, time.Since(r.drainAckedAt))
 	}
-	if b.Run <= r.barred[b.Task] || r.runs[b.Task] != nil {
-		return answer{status: http.StatusConflict, reason: "old"}
+	if b.Run <= r.rejectedUpTo[b.Task] || r.runs[b.Task] != nil {
+		return response{status: http.StatusConflict, reason: "old"}
 	}
 	var spec Spec
 	if json.Unmarshal([]byte(b.Spec), &spec) != nil {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	x := &run{number: b.Run, cpu: spec.CPU}
 	r.runs[b.Task] = x
-	r.Judge.started(b.Task, r.where(x))
-	if used, most := r.used(), r.binding(); used > most {
-		r.Judge.Fault("runner %s has %d of %d thousandths of a core taken", r.instance, used, most)
+	r.Judge.runStarted(b.Task, r.where(x))
+	if used, limit := r.used(), r.capacityLimit(); used > limit {
+		r.Judge.Fault("runner %s uses %d of %d millicores", r.instance, used, limit)
 	}
-	span := time.Duration(spec.Ms) * time.Millisecond
+	duration := time.Duration(spec.Ms) * time.Millisecond
 	if r.fault.Slow > 0 {
-		span = time.Duration(float64(span) * r.fault.Slow)
+		duration = time.Duration(float64(duration) * r.fault.Slow)
 	}
 	if r.fault.Hang {
-		span = time.Hour
+		duration = time.Hour
 	}
-	how := Done
+	outcome := Done
 	if spec.Fails || rand.Float64() < r.fault.FailShare {
-		how = Failed
+		outcome = Failed
 	}
-	x.timer = time.AfterFunc(span, func() { r.finish(b.Task, x, how) })
+	x.timer = time.AfterFunc(duration, func() { r.finish(b.Task, x, outcome) })
 	if spec.CrashMs > 0 {
 		x.timer.Stop()
-		x.timer = time.AfterFunc(time.Duration(spec.CrashMs)*time.Millisecond, r.fall)
+		x.timer = time.AfterFunc(time.Duration(spec.CrashMs)*time.Millisecond, r.crashAndRestart)
 	}
-	return answer{status: http.StatusOK}
+	return response{status: http.StatusOK}
 }
 
-func (r *Runner) where(x *run) Where { return Where{r.address, r.instance, r.began, x.number} }
+func (r *Runner) where(x *run) Where { return Where{r.address, r.instance, r.processStart, x.number} }
 
-// finish ends a run, unless it has ended or its life is over.
-func (r *Runner) finish(task string, x *run, how string) {
+// finish ends a run, unless it has ended already or the process that ran it is gone.
+func (r *Runner) finish(task string, x *run, outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.runs[task] != x {
@@ -191,62 +194,62 @@
 	}
 	x.timer.Stop()
 	delete(r.runs, task)
-	r.barred[task] = max(r.barred[task], x.number)
-	r.lastEnd++
-	r.ends = append(r.ends, end{r.lastEnd, task, x.number, how})
-	r.Judge.ended(task, r.where(x), how)
-	close(r.news)
-	r.news = make(chan struct{})
+	r.rejectedUpTo[task] = max(r.rejectedUpTo[task], x.number)
+	r.lastEndedSeq++
+	r.endedRuns = append(r.endedRuns, endedRun{r.lastEndedSeq, task, x.number, outcome})
+	r.Judge.runEnded(task, r.where(x), outcome)
+	close(r.runEndedCh)
+	r.runEndedCh = make(chan struct{})
 }
 
-func (r *Runner) stop(b orderBody) answer {
+func (r *Runner) stop(b requestBody) response {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.dead || !r.fence(b.Token) {
-		return answer{status: http.StatusConflict, reason: "fence"}
+	if r.dead || !r.checkFencingToken(b.Token) {
+		return response{status: http.StatusConflict, reason: "fence"}
 	}
-	r.barred[b.Task] = max(r.barred[b.Task], b.Run)
+	r.rejectedUpTo[b.Task] = max(r.rejectedUpTo[b.Task], b.Run)
 	if x := r.runs[b.Task]; x != nil && x.number <= b.Run && !x.stopping {
 		x.stopping = true
-		time.AfterFunc(stopTime, func() { r.finish(b.Task, x, Stopped) })
+		time.AfterFunc(stopDuration, func() { r.finish(b.Task, x, Stopped) })
 	}
-	return answer{status: http.StatusOK}
+	return response{status: http.StatusOK}
 }
 
-func (r *Runner) hold(b orderBody) answer {
+func (r *Runner) poll(b requestBody) response {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.polls++
-	if r.dead || !r.fence(b.Token) {
-		return answer{status: http.StatusConflict, reason: "fence"}
+	if r.dead || !r.checkFencingToken(b.Token) {
+		return response{status: http.StatusConflict, reason: "fence"}
 	}
 	if b.Until > 0 {
-		r.extend(b.Until)
+		r.extendLease(b.Until)
 	}
-	kept := r.ends[:0]
-	for _, e := range r.ends {
+	unseen := r.endedRuns[:0]
+	for _, e := range r.endedRuns {
 		if e.seq > b.Seen {
-			kept = append(kept, e)
+			unseen = append(unseen, e)
 		}
 	}
-	r.ends = kept
-	return answer{status: http.StatusOK, view: true, waiting: time.Duration(b.Wait) * time.Millisecond}
+	r.endedRuns = unseen
+	return response{status: http.StatusOK, listRuns: true, maxWait: time.Duration(b.Wait) * time.Millisecond}
 }
 
-// lapse kills everything when the lease is over.
-func (r *Runner) lapse() {
+// expireLease ends all runs when the lease has expired.
+func (r *Runner) expireLease() {
 	r.mu.Lock()
 	if r.clock() < r.lease || len(r.runs) == 0 {
 		r.mu.Unlock()
 		return
 	}
-	var lapsed []string
+	var expired []string
 	for task := range r.runs {
-		lapsed = append(lapsed, task)
+		expired = append(expired, task)
 	}
 	runs := r.runs
 	r.mu.Unlock()
-	for _, task := range lapsed {
+	for _, task := range expired {
 		r.mu.Lock()
 		x := runs[task]
 		r.mu.Unlock()
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,7 @@
-// Package worker is a stand-in for a runner that tasks are started on and end
-// later: it grants leases, bars runs, fences older guards off, reports about
-// itself, and can leave orders unanswered and carry them out late.
+// Package worker is a stand-in for a runner with asynchronous runs: a start request
+// is acknowledged at once and the run ends later. It grants leases, rejects outdated
+// runs, fences off older guards and reports its state. Faults can be injected, such as
+// requests that get no response and take effect late.
 package worker
 
 import (
@@ -17,7 +18,7 @@
 	"time"
 )
 
-// How runs end.
+// Outcomes of runs.
 const (
 	Done    = "done"
 	Failed  = "failed"
@@ -26,39 +27,41 @@
 )
 
 const (
-	maxHold  = time.Second
-	stopTime = 30 * time.Millisecond
-	tick     = 5 * time.Millisecond
-	beat     = 300 * time.Millisecond
+	maxLease       = time.Second
+	stopDuration   = 30 * time.Millisecond
+	tickInterval   = 5 * time.Millisecond
+	reportInterval = 300 * time.Millisecond
 )
 
-// Spec is what a task's text says, as JSON: how long it runs and what it takes.
+// Spec is a task's specification, as JSON: how long it runs and which resources it needs.
 type Spec struct {
 	Ms  int   `json:"ms"`
 	CPU int64 `json:"cpu"`
-	// Fails has each run fail.
+	// Fails makes each run fail.
 	Fails bool `json:"fails"`
-	// CrashMs has the runner's process end so long after the start, milliseconds; zero for a
-	// sound task. It is back in another life after CrashBack.
+	// CrashMs makes the runner's process crash this many milliseconds after the start; zero
+	// for a task that doesn't crash it. The process restarts after CrashBack, under a new
+	// instance id unless the runner has KeepsID.
 	CrashMs int `json:"crash_ms"`
 }
 
-// CrashBack is how long a runner is away that a task crashed.
+// CrashBack is the time until a runner that a task crashed is restarted.
 const CrashBack = 1500 * time.Millisecond
 
-// Fault of a runner.
+// Fault describes the faults that are injected into a runner.
 type Fault struct {
-	// LateShare of the orders get no answer and are carried out after LateBy.
+	// LateShare is the fraction of requests that get no response and take effect after
+	// LateBy.
 	LateShare float64
 	LateBy    time.Duration
-	// LateStarts has only orders to start be late.
+	// LateStarts restricts LateShare to start requests.
 	LateStarts bool
-	// Slow times the run times, 0 means 1; Hang lets nothing end; FailShare of the
-	// runs fail.
+	// Slow is a factor for the run times, 0 means 1. Hang keeps runs from ending. FailShare
+	// is the fraction of runs that fail.
 	Slow      float64
 	Hang      bool
 	FailShare float64
-	// Mute answers no order and carries out none.
+	// Mute leaves all requests without a response and without effect.
 	Mute bool
 }
 
@@ -66,66 +69,66 @@
 	number int
 	cpu    int64
 	timer  *time.Timer
-	// stopping is true while a stop takes its time.
+	// stopping is true between a stop request and the end of the run.
 	stopping bool
 }
 
-type end struct {
-	seq    int64
-	task   string
-	number int
-	how    string
+type endedRun struct {
+	seq     int64
+	task    string
+	number  int
+	outcome string
 }
 
-// Runner is one stand-in; Reborn and Restart give it a new process.
+// Runner is one stand-in runner; Reborn and Restart give it a new process.
 type Runner struct {
 	Service string
 	Zone    string
 	CPU     int64
 	Judge   *Judge
-	// Control is where reports go.
+	// Control is the address that reports are sent to.
 	Control string
-	// Advertise is the address that reports name; empty for the runner's own.
+	// Advertise is the address given in reports; empty for the runner's own.
 	Advertise string
-	// Unborn leaves out when the process was started.
+	// Unborn omits the start time of the process from reports and run listings.
 	Unborn bool
-	// KeepsID has the runner come back under its id after a task crashed it.
+	// KeepsID makes the runner restart with the same instance id after a task crashed it.
 	KeepsID bool
 
 	mu sync.Mutex
-	// cpu is what the runner says that it has, and past what it had before.
-	cpu     int64
-	past    []said
-	address string
-	server  *http.Server
-	// listening is false while no process is there.
-	listening bool
-	began     time.Time
-	life      int
-	instance  string
-	fault     Fault
-	token     int64
-	lease     time.Duration
-	// longest is the longest lease asked for.
-	longest  time.Duration
-	runs     map[string]*run
-	barred   map[string]int
-	ends     []end
-	lastEnd  int64
-	news     chan struct{}
-	draining bool
-	// leavingAt is when the first report that the runner leaves was acknowledged.
-	leavingAt time.Time
-	seq       int64
-	dead      bool
-	crashes   int
-	closed    bool
-	// orders counts the start orders that have come, also those for a run that is there,
-	// polls the reads of what runs.
-	orders, polls int
-}
-
-// Listen opens the runner's address on the host.
+	// cpu is the capacity that the runner reports, pastCapacities are the values before.
+	cpu            int64
+	pastCapacities []pastCapacity
+	address        string
+	server         *http.Server
+	// listening is false while no process runs.
+	listening    bool
+	processStart time.Time
+	incarnation  int
+	instance     string
+	fault        Fault
+	token        int64
+	lease        time.Duration
+	// longestLease is the longest lease requested.
+	longestLease time.Duration
+	runs         map[string]*run
+	rejectedUpTo map[string]int
+	endedRuns    []endedRun
+	lastEndedSeq int64
+	runEndedCh   chan struct{}
+	draining     bool
+	// drainAckedAt is when the first report with the state draining was acknowledged.
+	drainAckedAt time.Time
+	seq          int64
+	dead         bool
+	crashes      int
+	closed       bool
+	// startRequests counts the start requests received, including those for a run that
+	// exists already; polls counts the requests for the run listing.
+	startRequests, polls int
+}
+
+// Listen makes the runner listen on a free port of the host.
 func (r *Runner) Listen(host string) error {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -133,60 +136,63 @@
 	}
 	r.address = l.Addr().String()
 	r.cpu = r.CPU
-	r.life = 1
+	r.incarnation = 1
 	r.reset()
 	r.serve(l)
 	return nil
 }
 
-// shrunkIn is the time after which a smaller capacity binds whoever starts tasks: two
-// reports, one of which may be lost, and the way.
-const shrunkIn = 3 * beat
+// capacityShrinkDelay is the time after which guards have to respect a reduced capacity:
+// two report intervals, as one report may be lost, and one more for the transmission.
+const capacityShrinkDelay = 3 * reportInterval
 
-// said is a capacity that the runner had until a moment.
-type said struct {
+// pastCapacity is a capacity that the runner reported until the given time.
+type pastCapacity struct {
 	cpu   int64
 	until time.Time
 }
 
-// SetCapacity has the runner say that it has parts of its whole capacity; its next report
-// tells.
+// SetCapacity changes the reported capacity to the fraction parts/whole of the full one,
+// from the next report on.
 func (r *Runner) SetCapacity(parts, whole int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.past = append(r.past, said{r.cpu, time.Now()})
+	r.pastCapacities = append(r.pastCapacities, pastCapacity{r.cpu, time.Now()})
 	r.cpu = r.CPU * int64(parts) / int64(whole)
 }
 
-// binding is what starts are held to: the most that the runner has had of late.
-func (r *Runner) binding() int64 {
-	r.past = slices.DeleteFunc(r.past, func(s said) bool { return time.Since(s.until) > shrunkIn })
-	most := r.cpu
-	for _, s := range r.past {
-		most = max(most, s.cpu)
+// capacityLimit is the capacity that starts must not exceed: the highest one reported
+// within capacityShrinkDelay.
+func (r *Runner) capacityLimit() int64 {
+	r.pastCapacities = slices.DeleteFunc(r.pastCapacities, func(s pastCapacity) bool { return time.Since(s.until) > capacityShrinkDelay })
+	limit := r.cpu
+	for _, s := range r.pastCapacities {
+		limit = max(limit, s.cpu)
 	}
-	return most
+	return limit
 }
 
-// serve takes orders. The lock is held, or nobody else is there yet.
+// serve accepts requests. The caller holds the lock, or no other goroutine uses the
+// runner yet.
 func (r *Runner) serve(l net.Listener) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+startPath, r.order(r.start))
-	mux.HandleFunc("POST /run-stop", r.order(r.stop))
-	mux.HandleFunc("POST /hold", r.order(r.hold))
+	mux.HandleFunc("POST "+startPath, r.handle(r.start))
+	mux.HandleFunc("POST /run-stop", r.handle(r.stop))
+	mux.HandleFunc("POST /hold", r.handle(r.poll))
 	server := &http.Server{Handler: mux}
 	r.server, r.listening = server, true
 	go func() { _ = server.Serve(l) }()
 }
 
-// Address takes orders.
+// Address returns the address at which the runner accepts requests.
 func (r *Runner) Address() string { return r.address }
 
-// Run reports about the runner and ends leases, until the context ends.
+// Run sends the runner's reports and ends runs whose lease expired, until the context
+// ends.
 func (r *Runner) Run(ctx context.Context) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	next := time.Now()
+	nextReport := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -197,48 +203,48 @@
 			return
 		case <-t.C:
 		}
-		r.lapse()
-		if time.Now().After(next) {
-			next = time.Now().Add(beat)
+		r.expireLease()
+		if time.Now().After(nextReport) {
+			nextReport = time.Now().Add(reportInterval)
 			go r.Report(ctx)
 		}
 	}
 }
 
-// reset begins a process that knows nothing of those before it. The lock is held, or nobody
-// else is there yet.
+// reset begins a process without any state of those before it. The caller holds the lock,
+// or no other goroutine uses the runner yet.
 func (r *Runner) reset() {
-	r.began = time.Now()
-	r.instance = fmt.Sprintf("i-%s-%d", strings.ReplaceAll(r.address, ":", "-"), r.life)
-	r.token, r.lease, r.lastEnd, r.seq = 0, 0, 0, 0
-	r.runs, r.barred, r.ends = map[string]*run{}, map[string]int{}, nil
-	r.news = make(chan struct{})
-	r.draining, r.leavingAt, r.dead = false, time.Time{}, false
+	r.processStart = time.Now()
+	r.instance = fmt.Sprintf("i-%s-%d", strings.ReplaceAll(r.address, ":", "-"), r.incarnation)
+	r.token, r.lease, r.lastEndedSeq, r.seq = 0, 0, 0, 0
+	r.runs, r.rejectedUpTo, r.endedRuns = map[string]*run{}, map[string]int{}, nil
+	r.runEndedCh = make(chan struct{})
+	r.draining, r.drainAckedAt, r.dead = false, time.Time{}, false
 }
 
-// SetFault changes how orders and runs are treated from now on.
+// SetFault replaces the injected faults, for requests and runs from now on.
 func (r *Runner) SetFault(f Fault) {
 	r.mu.Lock()
 	r.fault = f
 	r.mu.Unlock()
 }
 
-// Calls is how many start orders have come, also those for a run that was there, and how
-// many reads of what runs.
-func (r *Runner) Calls() (orders, polls int) {
+// Calls returns the number of start requests received, including those for a run that
+// existed already, and the number of requests for the run listing.
+func (r *Runner) Calls() (startRequests, polls int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.orders, r.polls
+	return r.startRequests, r.polls
 }
 
-// LongestLease is the longest lease that any process of the runner was asked for.
+// LongestLease returns the longest lease requested from any process of the runner.
 func (r *Runner) LongestLease() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.longest
+	return r.longestLease
 }
 
-// Crash ends this life: nothing answers until Reborn.
+// Crash ends the current incarnation: no request is answered until Reborn.
 func (r *Runner) Crash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,13 +255,14 @@
 	r.dead = true
 	for task, x := range r.runs {
 		x.timer.Stop()
-		r.Judge.ended(task, r.where(x), "lost")
+		r.Judge.runEnded(task, r.where(x), "lost")
 	}
 	r.runs = map[string]*run{}
 }
 
-// fall ends the runner's process: nothing listens until it is back in another life.
-func (r *Runner) fall() {
+// crashAndRestart ends the runner's process and starts the next incarnation after
+// CrashBack. Nothing listens in between.
+func (r *Runner) crashAndRestart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.dead {
@@ -267,27 +274,28 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if !r.KeepsID {
-			r.life++
+			r.incarnation++
 		}
-		r.back()
+		r.restart()
 	})
 }
 
-// kill ends the process: nothing listens. The lock is held.
+// kill ends the process: nothing listens. The caller holds the lock.
 func (r *Runner) kill() {
 	r.crash()
 	_ = r.server.Close()
 	r.listening = false
 }
 
-// back begins a process at the same address. The lock is held.
-func (r *Runner) back() {
+// restart begins a process at the same address, unless one is running or the stand-in is
+// closed. The caller holds the lock.
+func (r *Runner) restart() {
 	if r.closed || !r.dead {
 		return
 	}
 	l, err := net.Listen("tcp", r.address)
 	if err != nil {
-		r.Judge.Fault("runner %s can't listen again: %v", r.address, err)
+		r.Judge.Fault("runner %s can't listen on its address again: %v", r.address, err)
 		return
 	}
 	r.reset()
@@ -301,42 +309,43 @@
 	r.kill()
 }
 
-// Restart begins a process at the same address and under the same id.
+// Restart kills the process and begins one at the same address with the same instance id.
 func (r *Runner) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kill()
-	r.back()
+	r.restart()
 }
 
-// Leave has the runner say that it leaves, until its process ends; its next report tells.
+// Leave makes the runner report the state draining, from its next report until its
+// process ends.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
 }
 
-// Crashes counts the lives that tasks have ended.
+// Crashes returns the number of incarnations that were crashed by tasks.
 func (r *Runner) Crashes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashes
 }
 
-// Reborn begins a new life at the same address.
+// Reborn begins a new incarnation at the same address, with a new instance id.
 func (r *Runner) Reborn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crash()
-	r.life++
+	r.incarnation++
 	if r.listening {
 		r.reset()
 		return
 	}
-	r.back()
+	r.restart()
 }
 
-// Instance names the current life.
+// Instance returns the instance id of the current incarnation.
 func (r *Runner) Instance() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -351,15 +360,16 @@
 	return sum
 }
 
-// report is one of a process of the runner.
+// report is a report of one process of the runner, ready to be sent.
 type report struct {
-	instance string
-	body     []byte
-	began    time.Time
-	leaving  bool
+	instance     string
+	body         []byte
+	processStart time.Time
+	draining     bool
 }
 
-// reportBody is the runner's report of its process.
+// reportBody returns the next report of the current process; its body is nil while no
+// process runs.
 func (r *Runner) reportBody() report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -371,21 +381,21 @@
 	if r.draining {
 		state = "draining"
 	}
-	text := map[string]any{
+	fields := map[string]any{
 		"service": r.Service, "address": cmp.Or(r.Advertise, r.address), "zone": r.Zone, "version": "v1", "slots": 8, "state": state,
 		"capacity": map[string]int64{"cpu": r.cpu, "mem_mb": 1 << 20, "gpu": 0},
 		"labels":   []string{"a", "r1-1"}, "clock_ms": r.clock().Milliseconds(), "seq": r.seq,
 	}
-	r.nameBorn(text)
-	body, _ := json.Marshal(text)
-	return report{r.instance, body, r.began, r.draining}
+	r.addStartTime(fields)
+	body, _ := json.Marshal(fields)
+	return report{r.instance, body, r.processStart, r.draining}
 }
 
-// nameBorn adds when the process was started to what the runner says of itself. The lock is
-// held.
-func (r *Runner) nameBorn(text map[string]any) {
+// addStartTime adds the start time of the process to a report or a run listing, unless
+// Unborn is set. The caller holds the lock.
+func (r *Runner) addStartTime(fields map[string]any) {
 	if !r.Unborn {
-		text["born"] = r.began.UnixMilli()
+		fields["born"] = r.processStart.UnixMilli()
 	}
 }
 
@@ -396,24 +406,25 @@
 	}
 }
 
-// Held returns a report that is sent only when it is called, also after its
-// process has ended.
+// Held returns a function that sends the report made now; it can be called later, also
+// after the process has ended.
 func (r *Runner) Held(ctx context.Context) func() {
 	x := r.reportBody()
 	return func() { r.send(ctx, x) }
 }
 
-// send sends a report, and takes note of when one that the runner leaves is acknowledged.
+// send sends a report and records when the first one with the state draining is
+// acknowledged.
 func (r *Runner) send(ctx context.Context, x report) {
 	acknowledged := r.Send(ctx, x.instance, x.body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if acknowledged && x.leaving && x.began.Equal(r.began) && r.leavingAt.IsZero() {
-		r.leavingAt = time.Now()
+	if acknowledged && x.draining && x.processStart.Equal(r.processStart) && r.drainAckedAt.IsZero() {
+		r.drainAckedAt = time.Now()
 	}
 }
 
-// Deregister says that the instance has ended as planned, whatever runs.
+// Deregister announces that the instance has ended as planned, even if it has runs.
 func (r *Runner) Deregister(ctx context.Context, instance string) {
 	r.call(ctx, http.MethodDelete, instance, nil)
 }
@@ -438,5 +449,5 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// clock is the runner's own, of its process. The lock is held.
-func (r *Runner) clock() time.Duration { return time.Since(r.began) + time.Hour }
+// clock returns the time of the process's own monotonic clock. The caller holds the lock.
+func (r *Runner) clock() time.Duration { return time.Since(r.processStart) + time.Hour }
