--- a/standin/store/api.go
+++ b/standin/store/api.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Status codes in the body of an answer (those of gRPC).
+// gRPC status codes, used in the bodies of error responses.
 const (
 	codeInvalid     = 3
 	codeNotFound    = 5
 	codeUnavailable = 14
 )
 
-// maxBody is the service's limit of a request: a value of 1 MB in base64 and
-// some room around it.
+// maxBody is the service's limit for a request body: a value of 1 MB in base64, and the
+// fields around it.
 const maxBody = 3 << 19
 
 type header struct {
@@ -110,23 +110,24 @@
 }
 
 func (s *Store) route() {
-	on(s, "range", "/v3/kv/range", s.serveRange)
-	on(s, "txn", "/v3/kv/txn", s.serveTxn)
-	on(s, "grant", "/v3/lease/grant", s.serveGrant)
-	on(s, "keepalive", "/v3/lease/keepalive", s.serveKeepAlive)
-	on(s, "watch", "/v3/watch", s.serveWatch)
+	handle(s, "range", "/v3/kv/range", s.serveRange)
+	handle(s, "txn", "/v3/kv/txn", s.serveTxn)
+	handle(s, "grant", "/v3/lease/grant", s.serveGrant)
+	handle(s, "keepalive", "/v3/lease/keepalive", s.serveKeepAlive)
+	handle(s, "watch", "/v3/watch", s.serveWatch)
 }
 
-// on adds one interface: it counts the call, reads it and applies the mode.
-func on[T any](s *Store, kind, path string, serve func(context.Context, http.ResponseWriter, *T)) {
+// handle registers the handler of one method, which counts the call, decodes its body and
+// applies the mode before it serves the call.
+func handle[T any](s *Store, method, path string, serve func(context.Context, http.ResponseWriter, *T)) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		s.counts.add(kind)
+		s.callCounts.add(method)
 		in := new(T)
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(in); err != nil {
 			writeError(w, http.StatusBadRequest, codeInvalid, "stand-in: "+err.Error())
 			return
 		}
-		if s.admit(w, r) {
+		if s.applyMode(w, r) {
 			serve(r.Context(), w, in)
 		}
 	})
@@ -134,22 +135,22 @@
 
 func (s *Store) serveRange(_ context.Context, w http.ResponseWriter, in *rangeRequest) {
 	s.memory.mu.Lock()
-	out := s.rangeNow(in)
+	out := s.readRange(in)
 	s.memory.mu.Unlock()
 	writeJSON(w, out)
 }
 
-func (s *Store) rangeNow(in *rangeRequest) *rangeResponse {
+func (s *Store) readRange(in *rangeRequest) *rangeResponse {
 	s.memory.expire()
 	out := &rangeResponse{Header: header{s.memory.revision}}
-	for _, it := range s.memory.within(interval{string(in.Key), string(in.RangeEnd)}) {
-		out.Kvs = append(out.Kvs, message(it))
+	for _, it := range s.memory.itemsIn(interval{string(in.Key), string(in.RangeEnd)}) {
+		out.Kvs = append(out.Kvs, toMessage(it))
 	}
 	out.Count = len(out.Kvs)
 	return out
 }
 
-func message(it item) kvMessage {
+func toMessage(it item) kvMessage {
 	return kvMessage{
 		Key:            []byte(it.key),
 		Value:          it.value,
@@ -159,7 +160,8 @@
 	}
 }
 
-// serveTxn serves a comparison of revisions of change, with puts and ranges.
+// serveTxn serves a transaction: comparisons of modification revisions, and puts and
+// ranges as its operations.
 func (s *Store) serveTxn(_ context.Context, w http.ResponseWriter, in *txnRequest) {
 	for _, c := range in.Compare {
 		if c.Target != "MOD" || c.Result != "EQUAL" {
@@ -171,7 +173,7 @@
 		writeError(w, http.StatusNotFound, codeNotFound, "etcdserver: requested lease not found")
 		return
 	}
-	s.write(w, func() any { return s.transact(in) })
+	s.writeTxn(w, func() any { return s.transact(in) })
 }
 
 func (s *Store) leasesExist(ops []requestOp) bool {
@@ -208,7 +210,7 @@
 			out.Responses = append(out.Responses, responseOp{Put: &putResponse{header{s.memory.revision}}})
 		}
 		if op.Range != nil {
-			out.Responses = append(out.Responses, responseOp{Range: s.rangeNow(op.Range)})
+			out.Responses = append(out.Responses, responseOp{Range: s.readRange(op.Range)})
 		}
 	}
 	out.Header.Revision = s.memory.revision
@@ -227,7 +229,7 @@
 	writeJSON(w, out)
 }
 
-// serveKeepAlive answers with no time to live when the lease has lapsed.
+// serveKeepAlive responds without a time to live when the lease has expired.
 func (s *Store) serveKeepAlive(_ context.Context, w http.ResponseWriter, in *leaseRequest) {
 	s.memory.mu.Lock()
 	ttl := s.memory.renew(in.ID)
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -10,36 +10,36 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// Mode is how the store treats calls.
+// Mode determines how the store responds to calls.
 type Mode string
 
 // Modes of the store.
 const (
-	// Up answers.
+	// Up serves calls normally.
 	Up Mode = "up"
-	// Down answers 503 and does nothing.
+	// Down responds with status 503; calls have no effect.
 	Down Mode = "down"
-	// Refuse closes each connection without an answer and does nothing.
+	// Refuse closes the connection of each call without a response; calls have no effect.
 	Refuse Mode = "refuse"
-	// Silent accepts and never answers, also after the mode has changed.
+	// Silent accepts calls and never responds to them, even after the mode has changed.
 	Silent Mode = "silent"
 )
 
-// faults are the switches that stay set.
+// faults are the switches that stay in force until they are changed or used up.
 type faults struct {
 	mu       sync.Mutex
 	mode     Mode
 	delay    time.Duration
 	progress time.Duration
-	// loseAnswers is the number of txn calls to come whose answer is lost.
-	loseAnswers int
-	// lateWrites is the number of txn calls to come that take effect after
-	// lateBy, whether or not their caller still waits.
-	lateWrites int
-	lateBy     time.Duration
+	// loseResponses is the number of txn calls from now on whose response is lost.
+	loseResponses int
+	// delayedWrites is the number of txn calls from now on that take effect after
+	// writeDelay, whether or not the client still waits for them.
+	delayedWrites int
+	writeDelay    time.Duration
 }
 
-// SetMode changes how calls are treated from now on.
+// SetMode changes the mode for calls from now on.
 func (s *Store) SetMode(mode Mode) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
@@ -53,72 +53,75 @@
 	s.faults.delay = delay
 }
 
-// SetProgress changes the time between progress reports; zero stops them.
+// SetProgress changes the interval between progress notifications of new watches; zero
+// turns them off.
 func (s *Store) SetProgress(period time.Duration) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.progress = period
 }
 
-// LoseAnswers closes the connection of the next n txn calls after their effect.
+// LoseAnswers closes the connection of each of the next n txn calls after the
+// transaction has been committed.
 func (s *Store) LoseAnswers(n int) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	s.faults.loseAnswers = n
+	s.faults.loseResponses = n
 }
 
-// LateWrites closes the connection of the next n txn calls and lets them take
-// effect after the delay.
+// LateWrites closes the connection of each of the next n txn calls and commits the
+// transaction after the delay.
 func (s *Store) LateWrites(n int, delay time.Duration) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	s.faults.lateWrites = n
-	s.faults.lateBy = delay
+	s.faults.delayedWrites = n
+	s.faults.writeDelay = delay
 }
 
-// CutWatches ends all open watches.
+// CutWatches closes all open watches.
 func (s *Store) CutWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.breaks.cut)
-	s.breaks.cut = make(chan struct{})
+	close(s.watchBreaks.closed)
+	s.watchBreaks.closed = make(chan struct{})
 }
 
-// SilenceWatches makes all open watches silent for good; new ones work.
+// SilenceWatches keeps all open watches open but sends nothing on them any more. New
+// watches work.
 func (s *Store) SilenceWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.breaks.hush)
-	s.breaks.hush = make(chan struct{})
+	close(s.watchBreaks.silenced)
+	s.watchBreaks.silenced = make(chan struct{})
 }
 
-// ExpireLeases ends the lease, or all leases when id is zero.
+// ExpireLeases revokes the lease, or all leases when id is zero.
 func (s *Store) ExpireLeases(id int64) {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	for each := range maps.Clone(s.memory.leases) {
 		if id == 0 || id == each {
-			s.memory.lapse(each)
+			s.memory.revokeLease(each)
 		}
 	}
 }
 
-// Compact forgets the history up to now.
+// Compact discards the history up to the current revision.
 func (s *Store) Compact() {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	s.memory.compact()
 }
 
-// Save keeps a copy for Restore.
+// Save takes a snapshot for Restore.
 func (s *Store) Save() {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	s.memory.save()
 }
 
-// Restore puts the saved copy back and ends all watches: the revision goes
-// back. It returns false when nothing was saved.
+// Restore resets the store to the saved snapshot, including its revision, and closes all
+// watches. It returns false when there is no snapshot.
 func (s *Store) Restore() bool {
 	s.memory.mu.Lock()
 	restored := s.memory.restore()
@@ -129,23 +132,23 @@
 	return restored
 }
 
-// Put writes a key behind the backs of the clients.
+// Put writes a key directly, bypassing the API and the fault switches.
 func (s *Store) Put(key string, value []byte) {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	s.memory.put(key, value, 0)
 }
 
-// Delete removes a key behind the backs of the clients.
+// Delete deletes a key directly, bypassing the API and the fault switches.
 func (s *Store) Delete(key string) {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	if _, found := s.memory.items[key]; found {
-		s.memory.remove([]string{key})
+		s.memory.deleteKeys([]string{key})
 	}
 }
 
-// Value returns a key's value and revision of change; zero when absent.
+// Value returns a key's value and modification revision; nil and zero when it is absent.
 func (s *Store) Value(key string) ([]byte, int64) {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
@@ -153,16 +156,16 @@
 	return it.value, it.modRevision
 }
 
-// Revision returns the store's revision.
+// Revision returns the store's current revision.
 func (s *Store) Revision() int64 {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	return s.memory.revision
 }
 
-// admit applies the mode and the delay. It returns false when the call is not
-// to be served.
-func (s *Store) admit(w http.ResponseWriter, r *http.Request) bool {
+// applyMode applies the mode and the delay to a call. It returns false when the call
+// must not be served.
+func (s *Store) applyMode(w http.ResponseWriter, r *http.Request) bool {
 	s.faults.mu.Lock()
 	mode, delay := s.faults.mode, s.faults.delay
 	s.faults.mu.Unlock()
@@ -171,33 +174,33 @@
 		writeError(w, http.StatusServiceUnavailable, codeUnavailable, "stand-in: down")
 		return false
 	case Refuse:
-		drop(w)
+		closeConnection(w)
 		return false
 	case Silent:
 		<-r.Context().Done()
 		return false
 	}
-	return pause(r.Context(), delay)
+	return sleep(r.Context(), delay)
 }
 
-// pause waits for the delay. It returns false when the caller has gone.
-func pause(ctx context.Context, delay time.Duration) bool {
+// sleep waits for the delay. It returns false when the request is cancelled first.
+func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
 	}
 	return uptime.Sleep(ctx, delay)
 }
 
-// drop closes the connection without an answer.
-func drop(w http.ResponseWriter) {
+// closeConnection closes the connection without a response.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
 	}
 }
 
-// take decrements the counter when it is above zero.
-func (f *faults) take(counter *int) bool {
+// consume decrements the counter and returns true if it is above zero.
+func (f *faults) consume(counter *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if *counter <= 0 {
@@ -207,21 +210,21 @@
 	return true
 }
 
-// write runs the effect of a txn and answers with what it returns, unless a
-// switch says otherwise.
-func (s *Store) write(w http.ResponseWriter, effect func() any) {
-	if s.faults.take(&s.faults.lateWrites) {
+// writeTxn commits a transaction and writes the response that commit returns, unless a
+// switch delays the commit or discards the response.
+func (s *Store) writeTxn(w http.ResponseWriter, commit func() any) {
+	if s.faults.consume(&s.faults.delayedWrites) {
 		s.faults.mu.Lock()
-		delay := s.faults.lateBy
+		delay := s.faults.writeDelay
 		s.faults.mu.Unlock()
-		time.AfterFunc(delay, func() { effect() })
-		drop(w)
+		time.AfterFunc(delay, func() { commit() })
+		closeConnection(w)
 		return
 	}
-	answer := effect()
-	if s.faults.take(&s.faults.loseAnswers) {
-		drop(w)
+	response := commit()
+	if s.faults.consume(&s.faults.loseResponses) {
+		closeConnection(w)
 		return
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
--- a/standin/store/memory.go
+++ b/standin/store/memory.go
@@ -1,6 +1,7 @@
-// Package store is a stand-in for the platform's key-value service: the subset
-// of etcd v3's JSON mapping that the project uses, in memory, with switches for
-// the ways the service fails. It is for tests, the demo and the bench only.
+// Package store is a stand-in for the platform's key-value service. It implements
+// the subset of etcd v3's JSON gateway that the project uses, in memory, with
+// switches that inject the faults of the real service. It is for tests, the demo
+// and the bench only.
 package store
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// item is one key. Its value is never changed in place.
+// item is a key with its value and metadata. The value is never modified in place.
 type item struct {
 	key            string
 	value          []byte
@@ -20,7 +21,7 @@
 	lease          int64
 }
 
-// change is one revision's effect, kept for watches.
+// change is a change of one key at a revision. Changes are kept for watches.
 type change struct {
 	revision int64
 	deleted  bool
@@ -28,12 +29,11 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// memory is the store's state. All methods are called with mu held, but for
-// those that say that they take it.
+// memory is the store's state. The caller of any of its methods holds mu.
 type memory struct {
 	mu        sync.Mutex
 	now       func() time.Time
@@ -43,13 +43,13 @@
 	changes   []change
 	leases    map[int64]lease
 	lastLease int64
-	// changed is closed and replaced at every change, to wake the watches.
-	changed chan struct{}
-	saved   *copyOf
+	// changed is closed and replaced at every change, to notify the watches.
+	changed       chan struct{}
+	savedSnapshot *snapshot
 }
 
-// copyOf is an old copy of the store.
-type copyOf struct {
+// snapshot is a copy of the store's keys at a revision.
+type snapshot struct {
 	revision int64
 	items    map[string]item
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-func (m *memory) wake() {
+func (m *memory) notifyWatches() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -79,27 +79,28 @@
 	it := item{key: key, value: slices.Clone(value), createRevision: created, modRevision: m.revision, lease: leaseID}
 	m.items[key] = it
 	m.changes = append(m.changes, change{revision: m.revision, item: it})
-	m.wake()
+	m.notifyWatches()
 }
 
-// remove deletes the keys in one revision.
-func (m *memory) remove(keys []string) {
+// deleteKeys deletes the keys in one revision.
+func (m *memory) deleteKeys(keys []string) {
 	if len(keys) == 0 {
 		return
 	}
 	m.revision++
 	for _, key := range keys {
 		delete(m.items, key)
-		gone := item{key: key, modRevision: m.revision}
-		m.changes = append(m.changes, change{revision: m.revision, deleted: true, item: gone})
+		tombstone := item{key: key, modRevision: m.revision}
+		m.changes = append(m.changes, change{revision: m.revision, deleted: true, item: tombstone})
 	}
-	m.wake()
+	m.notifyWatches()
 }
 
-// interval is a half-open interval of keys; an empty end means one key.
+// interval is a half-open interval of keys. As in etcd, an empty end means the single
+// key start, and "\x00" means all keys from start on.
 type interval struct{ start, end string }
 
-func (r interval) holds(key string) bool {
+func (r interval) contains(key string) bool {
 	switch r.end {
 	case "":
 		return key == r.start
@@ -109,10 +110,10 @@
 	return key >= r.start && key < r.end
 }
 
-func (m *memory) within(r interval) []item {
+func (m *memory) itemsIn(r interval) []item {
 	var found []item
 	for _, it := range m.items {
-		if r.holds(it.key) {
+		if r.contains(it.key) {
 			found = append(found, it)
 		}
 	}
@@ -120,11 +121,11 @@
 	return found
 }
 
-// since returns the changes from the revision on.
-func (m *memory) since(r interval, from int64) []change {
+// changesSince returns the changes to the keys in r, starting at the revision from.
+func (m *memory) changesSince(r interval, from int64) []change {
 	var found []change
 	for _, c := range m.changes {
-		if c.revision >= from && r.holds(c.item.key) {
+		if c.revision >= from && r.contains(c.item.key) {
 			found = append(found, c)
 		}
 	}
@@ -133,42 +134,42 @@
 
 func (m *memory) grant(ttl time.Duration) int64 {
 	m.lastLease++
-	m.leases[m.lastLease] = lease{ttl: ttl, ends: m.now().Add(ttl)}
+	m.leases[m.lastLease] = lease{ttl: ttl, expiresAt: m.now().Add(ttl)}
 	return m.lastLease
 }
 
-// renew returns the lease's time to live, or zero when it has lapsed.
+// renew renews a lease and returns its time to live, or zero if it has expired.
 func (m *memory) renew(id int64) time.Duration {
 	m.expire()
 	l, found := m.leases[id]
 	if !found {
 		return 0
 	}
-	l.ends = m.now().Add(l.ttl)
+	l.expiresAt = m.now().Add(l.ttl)
 	m.leases[id] = l
 	return l.ttl
 }
 
-// expire ends the leases whose time has passed.
+// expire revokes the leases whose time to live has passed.
 func (m *memory) expire() {
 	now := m.now()
 	for id, l := range m.leases {
-		if !now.Before(l.ends) {
-			m.lapse(id)
+		if !now.Before(l.expiresAt) {
+			m.revokeLease(id)
 		}
 	}
 }
 
-// lapse ends one lease and deletes its keys.
-func (m *memory) lapse(id int64) {
+// revokeLease removes a lease and deletes the keys attached to it.
+func (m *memory) revokeLease(id int64) {
 	delete(m.leases, id)
-	var gone []string
+	var attached []string
 	for _, key := range slices.Sorted(maps.Keys(m.items)) {
 		if m.items[key].lease == id {
-			gone = append(gone, key)
+			attached = append(attached, key)
 		}
 	}
-	m.remove(gone)
+	m.deleteKeys(attached)
 }
 
 func (m *memory) compact() {
@@ -177,19 +178,20 @@
 }
 
 func (m *memory) save() {
-	m.saved = &copyOf{revision: m.revision, items: maps.Clone(m.items)}
+	m.savedSnapshot = &snapshot{revision: m.revision, items: maps.Clone(m.items)}
 }
 
-// restore puts the saved copy back; the revision goes back with it.
+// restore resets the store to the saved snapshot, including its revision. It returns
+// false when there is no snapshot.
 func (m *memory) restore() bool {
-	if m.saved == nil {
+	if m.savedSnapshot == nil {
 		return false
 	}
-	m.revision = m.saved.revision
-	m.items = maps.Clone(m.saved.items)
+	m.revision = m.savedSnapshot.revision
+	m.items = maps.Clone(m.savedSnapshot.items)
 	m.compacted = m.revision
 	m.changes = nil
 	m.leases = map[int64]lease{}
-	m.wake()
+	m.notifyWatches()
 	return true
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -8,30 +8,32 @@
 	"time"
 )
 
-// Store is the stand-in: an http.Handler and its switches.
+// Store is the stand-in: an http.Handler and its fault switches.
 type Store struct {
-	memory *memory
-	faults faults
-	mux    *http.ServeMux
-	counts counts
-	// mu guards breaks.
-	mu     sync.Mutex
-	breaks breaks
+	memory     *memory
+	faults     faults
+	mux        *http.ServeMux
+	callCounts callCounts
+	// mu guards watchBreaks.
+	mu          sync.Mutex
+	watchBreaks watchBreaks
 }
 
-// breaks are closed and replaced to act on everything that is open then.
-type breaks struct {
-	// cut ends open watches; hush makes them silent for good.
-	cut  chan struct{}
-	hush chan struct{}
+// watchBreaks are channels that are closed and replaced to disrupt all watches that are
+// open at that time.
+type watchBreaks struct {
+	// Closing closed ends the open watches; closing silenced keeps them open, but nothing
+	// is sent on them any more.
+	closed   chan struct{}
+	silenced chan struct{}
 }
 
-// New returns an empty store that counts leases by the given clock.
+// New returns an empty store that measures leases by the given clock.
 func New(clock func() time.Time) *Store {
 	s := &Store{
-		memory: newMemory(clock),
-		mux:    http.NewServeMux(),
-		breaks: breaks{cut: make(chan struct{}), hush: make(chan struct{})},
+		memory:      newMemory(clock),
+		mux:         http.NewServeMux(),
+		watchBreaks: watchBreaks{closed: make(chan struct{}), silenced: make(chan struct{})},
 	}
 	s.faults.progress = DefaultProgress
 	s.route()
@@ -39,13 +41,13 @@
 	return s
 }
 
-// DefaultProgress is the time between two progress reports of a watch.
+// DefaultProgress is the interval between progress notifications of a watch.
 const DefaultProgress = time.Second
 
-// expiryPeriod is the time between two checks for leases that have ended.
+// expiryPeriod is the interval between checks for expired leases.
 const expiryPeriod = 20 * time.Millisecond
 
-// Run ends leases when their time has passed, until ctx ends.
+// Run revokes leases when they expire, until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
 	ticker := time.NewTicker(expiryPeriod)
 	defer ticker.Stop()
@@ -59,7 +61,7 @@
 	}
 }
 
-// ExpireDue ends the leases whose time has passed by the clock.
+// ExpireDue revokes the leases that have expired by the clock.
 func (s *Store) ExpireDue() {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
@@ -100,7 +102,7 @@
 	return s, nil
 }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() {
 	s.stop()
 	_ = s.server.Close()
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -24,14 +24,14 @@
 	return s, connect(t, s, 800*time.Millisecond)
 }
 
-// connect returns a client that waits so long for one answer and for a watch.
-func connect(t *testing.T, s *store.Server, patience time.Duration) *etcd.Client {
+// connect returns a client with the given timeout for one attempt and for an idle watch.
+func connect(t *testing.T, s *store.Server, timeout time.Duration) *etcd.Client {
 	t.Helper()
 	client, err := etcd.New(etcd.Options{
 		Addresses:      []string{s.Address},
-		Timeout:        3 * patience,
-		AttemptTimeout: patience,
-		WatchIdle:      patience,
+		Timeout:        3 * timeout,
+		AttemptTimeout: timeout,
+		WatchIdle:      timeout,
 		RetryPause:     2 * time.Millisecond,
 	})
 	assert.NilError(t, err)
@@ -39,8 +39,8 @@
 	return client
 }
 
-// hasty is the patience of a client towards a store that won't answer.
-const hasty = 50 * time.Millisecond
+// shortTimeout is the client timeout in tests in which the store doesn't respond.
+const shortTimeout = 50 * time.Millisecond
 
 func swap(t *testing.T, c *etcd.Client, key string, mod int64, value string) platform.SwapResult {
 	t.Helper()
@@ -53,10 +53,10 @@
 	_, c := serve(t)
 	first := swap(t, c, "a/1", 0, "one")
 	assert.Assert(t, first.Swapped)
-	lost := swap(t, c, "a/1", 0, "other")
-	assert.Assert(t, !lost.Swapped)
-	assert.Equal(t, string(lost.Current.Value), "one")
-	assert.Equal(t, lost.Current.ModRevision, first.Revision)
+	failed := swap(t, c, "a/1", 0, "other")
+	assert.Assert(t, !failed.Swapped)
+	assert.Equal(t, string(failed.Current.Value), "one")
+	assert.Equal(t, failed.Current.ModRevision, first.Revision)
 	assert.Assert(t, swap(t, c, "a/1", first.Revision, "two").Swapped)
 	swap(t, c, "a/2", 0, "")
 	swap(t, c, "b/1", 0, "outside")
@@ -70,11 +70,11 @@
 	kv, _, err := c.Get(t.Context(), "a/3")
 	assert.NilError(t, err)
 	assert.Assert(t, kv == nil)
-	gone := swap(t, c, "a/3", 5, "x")
-	assert.Assert(t, !gone.Swapped && gone.Current == nil)
+	missing := swap(t, c, "a/3", 5, "x")
+	assert.Assert(t, !missing.Swapped && missing.Current == nil)
 }
 
-func TestLargestValuePasses(t *testing.T) {
+func TestLargestValueIsAccepted(t *testing.T) {
 	_, c := serve(t)
 	assert.Assert(t, swap(t, c, "k", 0, strings.Repeat("x", platform.MaxValueSize)).Swapped)
 }
@@ -99,7 +99,7 @@
 	assert.ErrorIs(t, err, platform.ErrLeaseNotFound)
 }
 
-func TestLeaseLapsesByTheClock(t *testing.T) {
+func TestLeaseExpiresByClock(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := store.New(func() time.Time { return now })
 	call := func(path, body string) map[string]any {
@@ -133,15 +133,15 @@
 	for _, mode := range []store.Mode{store.Down, store.Refuse, store.Silent} {
 		t.Run(string(mode), func(t *testing.T) {
 			s, c := serve(t)
-			failing := connect(t, s, hasty)
+			failing := connect(t, s, shortTimeout)
 			s.SetMode(mode)
 			_, _, err := failing.Get(t.Context(), "k")
 			assert.ErrorIs(t, err, platform.ErrUnavailable)
 			_, err = failing.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
 			assert.ErrorIs(t, err, platform.ErrUnknown)
-			_, err = watched(t, failing, 1, never)
+			_, err = collectEvents(t, failing, 1, never)
 			assert.ErrorIs(t, err, platform.ErrUnavailable)
-			assert.Assert(t, !errors.Is(err, context.DeadlineExceeded), "the watch has to end by itself: %v", err)
+			assert.Assert(t, !errors.Is(err, context.DeadlineExceeded), "the watch must fail before the context's deadline: %v", err)
 			s.SetMode(store.Up)
 			assert.Assert(t, swap(t, c, "k", 0, "v").Swapped)
 			assert.Equal(t, s.Counts()["txn"], int64(2))
@@ -149,15 +149,15 @@
 	}
 }
 
-func TestSlowStorePassesTheAttemptTimeout(t *testing.T) {
+func TestSlowStoreExceedsAttemptTimeout(t *testing.T) {
 	s, _ := serve(t)
 	s.SetDelay(10 * time.Second)
-	_, _, err := connect(t, s, hasty).Get(t.Context(), "k")
+	_, _, err := connect(t, s, shortTimeout).Get(t.Context(), "k")
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
-	assert.Assert(t, s.Counts()["range"] > 1, "a read is tried again within its deadline")
+	assert.Assert(t, s.Counts()["range"] > 1, "a read must be retried within its deadline")
 }
 
-func TestAnswerLostAfterTheEffect(t *testing.T) {
+func TestResponseLostAfterCommit(t *testing.T) {
 	s, c := serve(t)
 	s.LoseAnswers(1)
 	_, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
@@ -167,8 +167,8 @@
 	assert.Equal(t, s.Counts()["txn"], int64(1))
 }
 
-// watched collects what one watch delivers until stop returns true.
-func watched(t *testing.T, c *etcd.Client, from int64, stop func(platform.WatchBatch) bool) ([]platform.Event, error) {
+// collectEvents returns the events that one watch delivers until stop returns true.
+func collectEvents(t *testing.T, c *etcd.Client, from int64, stop func(platform.WatchBatch) bool) ([]platform.Event, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -191,7 +191,7 @@
 	s.Put("b/1", []byte("outside"))
 	s.Delete("a/1")
 	last := s.Revision()
-	events, err := watched(t, c, from, func(b platform.WatchBatch) bool { return b.Revision >= last })
+	events, err := collectEvents(t, c, from, func(b platform.WatchBatch) bool { return b.Revision >= last })
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Equal(t, len(events), 2)
 	assert.Equal(t, string(events[0].KeyValue.Value), "one")
@@ -199,29 +199,29 @@
 	assert.Equal(t, events[1].KeyValue.ModRevision, last)
 }
 
-func TestProgressReportsMoveTheRevision(t *testing.T) {
+func TestProgressReportsAdvanceRevision(t *testing.T) {
 	s, c := serve(t)
 	s.SetProgress(10 * time.Millisecond)
 	from := s.Revision()
 	s.Put("b/1", []byte("outside"))
 	last := s.Revision()
-	events, err := watched(t, c, from, func(b platform.WatchBatch) bool { return b.Revision == last })
+	events, err := collectEvents(t, c, from, func(b platform.WatchBatch) bool { return b.Revision == last })
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Equal(t, len(events), 0)
 }
 
-// A connection that something in between has forgotten stays open and silent.
-// The watch has to end by itself; one opened anew from where it stood gets the
-// change that was made meanwhile.
-func TestSilentWatchIsNoticed(t *testing.T) {
+// A connection whose state a middlebox has lost stays open, but nothing arrives on it
+// any more. The client must end such a watch by itself, and a new watch from the last
+// revision must deliver the change that was missed.
+func TestSilentWatchIsDetected(t *testing.T) {
 	s, c := serve(t)
 	s.SetProgress(10 * time.Millisecond)
-	reached := s.Revision()
+	lastRevision := s.Revision()
 	first := true
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	err := c.Watch(ctx, "a/", reached, func(b platform.WatchBatch) {
-		reached = b.Revision
+	err := c.Watch(ctx, "a/", lastRevision, func(b platform.WatchBatch) {
+		lastRevision = b.Revision
 		if first {
 			s.SilenceWatches()
 			s.Put("a/1", []byte("one"))
@@ -229,14 +229,14 @@
 		}
 	})
 	assert.ErrorIs(t, err, etcd.ErrWatchSilent)
-	events, _ := watched(t, c, reached, func(b platform.WatchBatch) bool { return len(b.Events) > 0 })
+	events, _ := collectEvents(t, c, lastRevision, func(b platform.WatchBatch) bool { return len(b.Events) > 0 })
 	assert.Equal(t, len(events), 1)
 }
 
-func TestWatchIsCut(t *testing.T) {
+func TestWatchIsClosedByServer(t *testing.T) {
 	s, c := serve(t)
 	s.SetProgress(10 * time.Millisecond)
-	_, err := watched(t, c, s.Revision(), func(platform.WatchBatch) bool {
+	_, err := collectEvents(t, c, s.Revision(), func(platform.WatchBatch) bool {
 		s.CutWatches()
 		return false
 	})
@@ -244,35 +244,35 @@
 	assert.Assert(t, !errors.Is(err, etcd.ErrWatchSilent))
 }
 
-func TestWatchBeforeCompaction(t *testing.T) {
+func TestWatchFromCompactedRevision(t *testing.T) {
 	s, c := serve(t)
 	from := s.Revision()
 	s.Put("a/1", []byte("one"))
 	s.Compact()
-	_, err := watched(t, c, from, never)
+	_, err := collectEvents(t, c, from, never)
 	assert.ErrorIs(t, err, platform.ErrCompacted)
 }
 
-// A store restored from an old copy has a lower revision than the watch asks
-// for. It would stay silent until it has caught up and the changes in between
-// would never be seen.
+// A store restored from an old snapshot has a lower revision than the watch's start
+// revision. Unless the watch fails, it stays silent until the store's revision has caught
+// up, and the changes in between are never delivered.
 func TestWatchOnRestoredStore(t *testing.T) {
 	s, c := serve(t)
 	s.Save()
 	s.Put("a/1", []byte("one"))
 	from := s.Revision()
 	assert.Assert(t, s.Restore())
-	_, err := watched(t, c, from, never)
+	_, err := collectEvents(t, c, from, never)
 	assert.ErrorIs(t, err, platform.ErrReverted)
 }
 
 func TestSwitchesOverHTTP(t *testing.T) {
 	s, c := serve(t)
 	post := func(name, body string) int {
-		answer, err := http.Post("http://"+s.Address+"/standin/"+name, "application/json", strings.NewReader(body))
+		response, err := http.Post("http://"+s.Address+"/standin/"+name, "application/json", strings.NewReader(body))
 		assert.NilError(t, err)
-		assert.NilError(t, answer.Body.Close())
-		return answer.StatusCode
+		assert.NilError(t, response.Body.Close())
+		return response.StatusCode
 	}
 	assert.Equal(t, post("put", `{"key":"k","value":"dg=="}`), 200)
 	value, _ := s.Value("k")
@@ -283,7 +283,7 @@
 	value, _ = s.Value("k")
 	assert.Equal(t, string(value), "v")
 	assert.Equal(t, post("switches", `{"mode":"down"}`), 200)
-	_, _, err := connect(t, s, hasty).Get(t.Context(), "k")
+	_, _, err := connect(t, s, shortTimeout).Get(t.Context(), "k")
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 	assert.Equal(t, post("switches", `{"mode":"up","lose_answers":1}`), 200)
 	_, err = c.CompareAndSwap(t.Context(), "l", 0, []byte("v"), 0)
@@ -292,10 +292,10 @@
 		assert.Equal(t, post(name, ""), 200)
 	}
 	assert.Equal(t, post("switches", `{"mod":"up"}`), 400)
-	answer, err := http.Get("http://" + s.Address + "/standin/counts")
+	response, err := http.Get("http://" + s.Address + "/standin/counts")
 	assert.NilError(t, err)
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var counts map[string]int64
-	assert.NilError(t, json.NewDecoder(answer.Body).Decode(&counts))
+	assert.NilError(t, json.NewDecoder(response.Body).Decode(&counts))
 	assert.Equal(t, counts["txn"], int64(1))
 }
--- a/standin/store/switches.go
+++ b/standin/store/switches.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// counts are the calls by kind.
-type counts struct {
+// callCounts counts the calls by method.
+type callCounts struct {
 	mu    sync.Mutex
 	calls map[string]int64
 }
 
-func (c *counts) add(kind string) {
+func (c *callCounts) add(method string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls == nil {
 		c.calls = map[string]int64{}
 	}
-	c.calls[kind]++
+	c.calls[method]++
 }
 
-// Counts returns the number of calls by kind: range, txn, grant, keepalive and
+// Counts returns the number of calls by method: range, txn, grant, keepalive and
 // watch.
 func (s *Store) Counts() map[string]int64 {
-	s.counts.mu.Lock()
-	defer s.counts.mu.Unlock()
-	return maps.Clone(s.counts.calls)
+	s.callCounts.mu.Lock()
+	defer s.callCounts.mu.Unlock()
+	return maps.Clone(s.callCounts.calls)
 }
 
-// Switches is the body of POST /standin/switches. A field that is left out
-// changes nothing.
+// Switches is the body of POST /standin/switches. An absent field leaves its switch
+// unchanged.
 type Switches struct {
 	Mode *Mode `json:"mode,omitempty"`
 	// Milliseconds.
@@ -76,26 +76,26 @@
 	Value []byte `json:"value,omitempty"`
 }
 
-// LeaseName is the body of POST /standin/expire; zero names all leases.
+// LeaseName is the body of POST /standin/expire; zero selects all leases.
 type LeaseName struct {
 	ID int64 `json:"id"`
 }
 
-// routeSwitches adds the switches under /standin/.
+// routeSwitches registers the handlers of the switches under /standin/.
 func (s *Store) routeSwitches() {
 	s.mux.HandleFunc("GET /standin/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) })
-	onSwitch(s, "switches", s.Set)
-	onSwitch(s, "put", func(in Entry) { s.Put(in.Key, in.Value) })
-	onSwitch(s, "delete", func(in Entry) { s.Delete(in.Key) })
-	onSwitch(s, "expire", func(in LeaseName) { s.ExpireLeases(in.ID) })
-	onSwitch(s, "cut", func(struct{}) { s.CutWatches() })
-	onSwitch(s, "silence", func(struct{}) { s.SilenceWatches() })
-	onSwitch(s, "compact", func(struct{}) { s.Compact() })
-	onSwitch(s, "save", func(struct{}) { s.Save() })
-	onSwitch(s, "restore", func(struct{}) { s.Restore() })
+	handleSwitch(s, "switches", s.Set)
+	handleSwitch(s, "put", func(in Entry) { s.Put(in.Key, in.Value) })
+	handleSwitch(s, "delete", func(in Entry) { s.Delete(in.Key) })
+	handleSwitch(s, "expire", func(in LeaseName) { s.ExpireLeases(in.ID) })
+	handleSwitch(s, "cut", func(struct{}) { s.CutWatches() })
+	handleSwitch(s, "silence", func(struct{}) { s.SilenceWatches() })
+	handleSwitch(s, "compact", func(struct{}) { s.Compact() })
+	handleSwitch(s, "save", func(struct{}) { s.Save() })
+	handleSwitch(s, "restore", func(struct{}) { s.Restore() })
 }
 
-func onSwitch[T any](s *Store, name string, act func(T)) {
+func handleSwitch[T any](s *Store, name string, apply func(T)) {
 	s.mux.HandleFunc("POST /standin/"+name, func(w http.ResponseWriter, r *http.Request) {
 		var in T
 		dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
@@ -106,7 +106,7 @@
 				return
 			}
 		}
-		act(in)
+		apply(in)
 		writeJSON(w, struct{}{})
 	})
 }
--- a/standin/store/watch.go
+++ b/standin/store/watch.go
@@ -35,19 +35,20 @@
 
 // watcher is one open watch.
 type watcher struct {
-	store  *Store
-	keys   interval
-	next   int64
-	out    *json.Encoder
-	flush  *http.ResponseController
-	breaks breaks
-	// progress is zero when the caller wants no reports.
+	store       *Store
+	keys        interval
+	next        int64
+	out         *json.Encoder
+	flush       *http.ResponseController
+	watchBreaks watchBreaks
+	// progress is the interval of progress notifications; zero when the client requested
+	// none.
 	progress time.Duration
 }
 
 func (s *Store) serveWatch(ctx context.Context, w http.ResponseWriter, in *watchRequest) {
 	s.mu.Lock()
-	open := s.breaks
+	breaks := s.watchBreaks
 	s.mu.Unlock()
 	s.faults.mu.Lock()
 	progress := s.faults.progress
@@ -56,13 +57,13 @@
 		progress = 0
 	}
 	watch := &watcher{
-		store:    s,
-		keys:     interval{string(in.Create.Key), string(in.Create.RangeEnd)},
-		next:     in.Create.StartRevision,
-		out:      json.NewEncoder(w),
-		flush:    http.NewResponseController(w),
-		breaks:   open,
-		progress: progress,
+		store:       s,
+		keys:        interval{string(in.Create.Key), string(in.Create.RangeEnd)},
+		next:        in.Create.StartRevision,
+		out:         json.NewEncoder(w),
+		flush:       http.NewResponseController(w),
+		watchBreaks: breaks,
+		progress:    progress,
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if watch.start() {
@@ -77,7 +78,8 @@
 	return w.flush.Flush() == nil
 }
 
-// start answers that the watch stands, or that its start is no longer kept.
+// start confirms that the watch is created. When the start revision has been compacted
+// it also cancels the watch and returns false.
 func (w *watcher) start() bool {
 	m := w.store.memory
 	m.mu.Lock()
@@ -97,16 +99,16 @@
 }
 
 func (w *watcher) run(ctx context.Context) {
-	var tick <-chan time.Time
+	var progressCh <-chan time.Time
 	if w.progress > 0 {
 		ticker := time.NewTicker(w.progress)
 		defer ticker.Stop()
-		tick = ticker.C
+		progressCh = ticker.C
 	}
 	for {
-		// Silence goes before anything that is due at the same moment.
+		// Silencing takes precedence over changes that are pending at the same time.
 		select {
-		case <-w.breaks.hush:
+		case <-w.watchBreaks.silenced:
 			<-ctx.Done()
 			return
 		default:
@@ -118,11 +120,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.breaks.cut:
+		case <-w.watchBreaks.closed:
 			return
-		case <-w.breaks.hush:
+		case <-w.watchBreaks.silenced:
 		case <-changed:
-		case <-tick:
+		case <-progressCh:
 			if _, ok := w.deliver(true); !ok {
 				return
 			}
@@ -130,26 +132,27 @@
 	}
 }
 
-// deliver sends the changes that are due, or a progress report when there are
-// none and one is wanted. It returns the channel that tells of the next change.
-func (w *watcher) deliver(report bool) (<-chan struct{}, bool) {
+// deliver sends the pending changes. If there are none and progressReport is set, it
+// sends a progress notification. It returns the channel that is closed at the next
+// change, and false if sending failed.
+func (w *watcher) deliver(progressReport bool) (<-chan struct{}, bool) {
 	m := w.store.memory
 	m.mu.Lock()
-	due := m.since(w.keys, w.next)
+	pending := m.changesSince(w.keys, w.next)
 	revision, changed := m.revision, m.changed
 	m.mu.Unlock()
-	if len(due) == 0 {
-		ok := !report || revision < w.next-1 || w.send(watchResult{Header: header{revision}})
+	if len(pending) == 0 {
+		ok := !progressReport || revision < w.next-1 || w.send(watchResult{Header: header{revision}})
 		return changed, ok
 	}
 	w.next = revision + 1
-	return changed, w.send(watchResult{Header: header{revision}, Events: events(due)})
+	return changed, w.send(watchResult{Header: header{revision}, Events: toWatchEvents(pending)})
 }
 
-func events(due []change) []watchEvent {
-	out := make([]watchEvent, 0, len(due))
-	for _, c := range due {
-		event := watchEvent{Kv: message(c.item)}
+func toWatchEvents(pending []change) []watchEvent {
+	out := make([]watchEvent, 0, len(pending))
+	for _, c := range pending {
+		event := watchEvent{Kv: toMessage(c.item)}
 		if c.deleted {
 			event.Type = "DELETE"
 		}
