--- a/standin/runner/announce.go
+++ b/standin/runner/announce.go
@@ -18,13 +18,13 @@
 const (
 	announcePath    = "/v1/announce"
 	announceTimeout = 2 * time.Second
-	// retryPause is the pause after an announcement that failed.
-	retryPause = 300 * time.Millisecond
-	// leavingPause is the pause between announcements while leaving.
-	leavingPause = 500 * time.Millisecond
+	// retryDelay is the delay before a failed announcement is retried.
+	retryDelay = 300 * time.Millisecond
+	// drainAnnounceInterval is the interval between announcements while the runner drains.
+	drainAnnounceInterval = 500 * time.Millisecond
 )
 
-// Announcement is what a runner tells of itself.
+// Announcement is what a runner announces about itself.
 type Announcement struct {
 	Service     string            `json:"service"`
 	Address     string            `json:"address"`
@@ -35,53 +35,54 @@
 	Leaving     bool              `json:"leaving"`
 }
 
-// announceAnswer says when to announce again.
-type announceAnswer struct {
+// announceResponse contains the time until the next announcement.
+type announceResponse struct {
 	Next settings.Duration `json:"next"`
 }
 
-// Announce announces the runner at the address to every target, again and
-// again until ctx ends.
+// Announce periodically announces the runner, with the given address, to every target
+// until ctx ends.
 func (r *Runner) Announce(ctx context.Context, address string) error {
 	client := &http.Client{Timeout: announceTimeout}
-	var all sync.WaitGroup
+	var announcers sync.WaitGroup
 	for _, target := range r.options.AnnounceTo {
-		all.Go(func() { r.announceTo(ctx, client, strings.TrimRight(target, "/"), address) })
+		announcers.Go(func() { r.announceTo(ctx, client, strings.TrimRight(target, "/"), address) })
 	}
-	all.Wait()
+	announcers.Wait()
 	<-ctx.Done()
 	return nil
 }
 
 func (r *Runner) announceTo(ctx context.Context, client *http.Client, target, address string) {
 	for ctx.Err() == nil {
-		wasLeaving := r.leaving.Load()
-		next, err := r.announceOnce(ctx, client, target, address, wasLeaving)
+		wasDraining := r.draining.Load()
+		next, err := r.announceOnce(ctx, client, target, address, wasDraining)
 		if err != nil {
 			announceFailed.Log(ctx, r.options.Logger, slog.String("target", target), slog.String("error", err.Error()))
-			next = retryPause
+			next = retryDelay
 		}
-		r.pause(ctx, next, wasLeaving)
+		r.waitForNext(ctx, next, wasDraining)
 	}
 }
 
-// pause waits until the next announcement; leaving is told at once.
-func (r *Runner) pause(ctx context.Context, next time.Duration, wasLeaving bool) {
-	left := r.left
-	if wasLeaving {
-		left = nil
-		next = min(next, leavingPause)
+// waitForNext waits until the next announcement is due. The start of draining ends the
+// wait, so that it is announced immediately.
+func (r *Runner) waitForNext(ctx context.Context, next time.Duration, wasDraining bool) {
+	drainCh := r.drainCh
+	if wasDraining {
+		drainCh = nil
+		next = min(next, drainAnnounceInterval)
 	}
 	timer := time.NewTimer(next)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-left:
+	case <-drainCh:
 	case <-ctx.Done():
 	}
 }
 
-func (r *Runner) announceOnce(ctx context.Context, client *http.Client, target, address string, leaving bool) (time.Duration, error) {
+func (r *Runner) announceOnce(ctx context.Context, client *http.Client, target, address string, draining bool) (time.Duration, error) {
 	body, err := json.Marshal(Announcement{
 		Service:     r.options.Service,
 		Address:     address,
@@ -89,7 +90,7 @@
 		Connections: r.options.Connections,
 		Zone:        r.options.Zone,
 		TTL:         settings.Duration(r.options.TTL),
-		Leaving:     leaving,
+		Leaving:     draining,
 	})
 	if err != nil {
 		return 0, err
@@ -112,14 +113,14 @@
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("announcement answered %s: %s", resp.Status, bytes.TrimSpace(raw))
+		return 0, fmt.Errorf("announcement failed with status %s: %s", resp.Status, bytes.TrimSpace(raw))
 	}
-	var answer announceAnswer
-	if err := json.Unmarshal(raw, &answer); err != nil {
+	var response announceResponse
+	if err := json.Unmarshal(raw, &response); err != nil {
 		return 0, err
 	}
-	if answer.Next <= 0 {
+	if response.Next <= 0 {
 		return r.options.TTL / 3, nil
 	}
-	return min(answer.Next.Std(), r.options.TTL/3), nil
+	return min(response.Next.Std(), r.options.TTL/3), nil
 }
--- a/standin/runner/events.go
+++ b/standin/runner/events.go
@@ -7,5 +7,5 @@
 )
 
 var announceFailed = eventlog.Define(9100, "runner.announce_failed", slog.LevelWarn,
-	"The runner stand-in could not announce itself.",
-	"Check that the guard or the entry at the target runs; the announcement is repeated.")
+	"The stand-in runner failed to announce itself to a target.",
+	"Check that the guard or entry at the target is running; the announcement is retried.")
--- a/standin/runner/record.go
+++ b/standin/runner/record.go
@@ -5,82 +5,83 @@
 	"time"
 )
 
-// Starts is the record of a runner, for judging what ran how often.
+// Starts is a runner's record of the tasks it started, used to check how often each ran.
 type Starts struct {
-	// Tasks counts the starts of each task; with ?doubles only those above one.
+	// Tasks maps each task to its number of starts; with ?doubles it only has tasks that
+	// were started more than once.
 	Tasks map[string]int `json:"tasks"`
 	Total int            `json:"total"`
-	// Doubles counts tasks that started more than once.
+	// Doubles is the number of tasks that were started more than once.
 	Doubles int `json:"doubles"`
 	Running int `json:"running"`
-	// MostRunning is the highest Running so far.
+	// MostRunning is the maximum of Running so far.
 	MostRunning int `json:"most_running"`
 	Cancelled   int `json:"cancelled"`
-	// RefusedFull counts refusals for want of a slot.
+	// RefusedFull is the number of tasks rejected because no slot was free.
 	RefusedFull int `json:"refused_full"`
-	// OverConnections counts connections closed above the limit.
+	// OverConnections is the number of connections closed because they exceeded the limit.
 	OverConnections int `json:"over_connections"`
-	// AfterLeaving counts starts since Leave; LastAfterLeavingMs is when the
-	// last of them came, in milliseconds since then.
+	// AfterLeaving is the number of starts since Leave was called; LastAfterLeavingMs is the
+	// time from Leave to the last of them, in milliseconds.
 	AfterLeaving       int   `json:"after_leaving"`
 	LastAfterLeavingMs int64 `json:"last_after_leaving_ms"`
 }
 
-// record is what a runner keeps of its starts.
+// record is a runner's internal record of its starts.
 type record struct {
-	mu     sync.Mutex
-	counts map[string]int
-	sums   Starts
-	left   time.Time
+	mu            sync.Mutex
+	startCounts   map[string]int
+	totals        Starts
+	drainingSince time.Time
 }
 
 func (r *record) start(task string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts[task]++
-	if r.counts[task] == 2 {
-		r.sums.Doubles++
+	r.startCounts[task]++
+	if r.startCounts[task] == 2 {
+		r.totals.Doubles++
 	}
-	r.sums.Total++
-	r.sums.Running++
-	r.sums.MostRunning = max(r.sums.MostRunning, r.sums.Running)
-	if !r.left.IsZero() {
-		r.sums.AfterLeaving++
-		r.sums.LastAfterLeavingMs = now.Sub(r.left).Milliseconds()
+	r.totals.Total++
+	r.totals.Running++
+	r.totals.MostRunning = max(r.totals.MostRunning, r.totals.Running)
+	if !r.drainingSince.IsZero() {
+		r.totals.AfterLeaving++
+		r.totals.LastAfterLeavingMs = now.Sub(r.drainingSince).Milliseconds()
 	}
 }
 
-func (r *record) end()             { r.change(func(s *Starts) { s.Running-- }) }
-func (r *record) cancelled()       { r.change(func(s *Starts) { s.Cancelled++ }) }
-func (r *record) refusedFull()     { r.change(func(s *Starts) { s.RefusedFull++ }) }
-func (r *record) overConnections() { r.change(func(s *Starts) { s.OverConnections++ }) }
+func (r *record) end()                { r.update(func(s *Starts) { s.Running-- }) }
+func (r *record) cancelled()          { r.update(func(s *Starts) { s.Cancelled++ }) }
+func (r *record) rejectedNoSlot()     { r.update(func(s *Starts) { s.RefusedFull++ }) }
+func (r *record) connectionRejected() { r.update(func(s *Starts) { s.OverConnections++ }) }
 
-func (r *record) change(f func(*Starts)) {
+func (r *record) update(f func(*Starts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.sums)
+	f(&r.totals)
 }
 
-func (r *record) leftAt(now time.Time) {
+func (r *record) setDrainingSince(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left = now
+	r.drainingSince = now
 }
 
 func (r *record) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts = map[string]int{}
-	r.sums = Starts{Running: r.sums.Running, MostRunning: r.sums.Running}
+	r.startCounts = map[string]int{}
+	r.totals = Starts{Running: r.totals.Running, MostRunning: r.totals.Running}
 }
 
-func (r *record) snapshot(doublesOnly bool) Starts {
+func (r *record) snapshot(duplicatesOnly bool) Starts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.sums
+	out := r.totals
 	out.Tasks = map[string]int{}
-	for task, n := range r.counts {
-		if n > 1 || !doublesOnly {
+	for task, n := range r.startCounts {
+		if n > 1 || !duplicatesOnly {
 			out.Tasks[task] = n
 		}
 	}
--- a/standin/runner/run.go
+++ b/standin/runner/run.go
@@ -11,59 +11,59 @@
 	"time"
 )
 
-// Fault is how a task goes wrong on request.
+// Fault is a fault that a task's payload can request.
 type Fault string
 
-// Faults that a payload may ask for.
+// Faults that a payload can request.
 const (
-	// FaultError answers 500 after the run time.
+	// FaultError responds with status 500 after the run time.
 	FaultError Fault = "error"
-	// FaultTruncate sends half of the answer, then closes the connection.
+	// FaultTruncate sends half of the response body, then closes the connection.
 	FaultTruncate Fault = "truncate"
-	// FaultCorrupt sends an answer that its Content-Digest doesn't match.
+	// FaultCorrupt sends a response whose Content-Digest doesn't match its body.
 	FaultCorrupt Fault = "corrupt"
-	// FaultRefuse refuses the task as not run.
+	// FaultRefuse rejects the task as not run.
 	FaultRefuse Fault = "refuse"
 	// FaultHang runs until the caller closes the connection.
 	FaultHang Fault = "hang"
-	// FaultCut runs, then closes the connection without an answer.
+	// FaultCut runs the task, then closes the connection without a response.
 	FaultCut Fault = "cut"
 )
 
-// Payload is what a task may ask of the stand-in. A payload that isn't such
-// JSON is echoed at once.
+// Payload is the behavior that a task can request from the stand-in. A payload that
+// isn't JSON of this form is echoed immediately.
 type Payload struct {
 	// Run is the run time, such as "120ms".
 	Run  string `json:"run,omitempty"`
 	Fail Fault  `json:"fail,omitempty"`
-	// Echo is the answer, as it stands; absent: the payload itself.
+	// Echo is the response body, sent verbatim; if absent, the payload itself is sent.
 	Echo json.RawMessage `json:"echo,omitempty"`
 }
 
-// plan is a payload made ready.
-type plan struct {
-	run    time.Duration
-	fault  Fault
-	answer []byte
+// behavior is what a parsed payload requests.
+type behavior struct {
+	runTime  time.Duration
+	fault    Fault
+	response []byte
 }
 
-func parse(body []byte) plan {
+func parsePayload(body []byte) behavior {
 	var p Payload
 	if json.Unmarshal(body, &p) != nil {
-		return plan{answer: body}
+		return behavior{response: body}
 	}
-	out := plan{fault: p.Fail, answer: body}
+	out := behavior{fault: p.Fail, response: body}
 	if d, err := time.ParseDuration(p.Run); err == nil {
-		out.run = d
+		out.runTime = d
 	}
 	if p.Echo != nil {
-		out.answer = p.Echo
+		out.response = p.Echo
 	}
 	return out
 }
 
-// serveRun runs one task. The start is recorded after the last point at which
-// it may be refused, so a refusal is always true.
+// serveRun runs one task. The start is recorded after the last point at which the task
+// can be rejected, so a task that is rejected as not run never counts as started.
 func (r *Runner) serveRun(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxPayload))
 	if err != nil {
@@ -71,20 +71,20 @@
 		return
 	}
 	if digest := req.Header.Get(headerDigest); digest != "" && digest != digestOf(body) {
-		refuse(w, http.StatusServiceUnavailable, "payload doesn't match its digest")
+		reject(w, http.StatusServiceUnavailable, "payload doesn't match its digest")
 		return
 	}
-	p := parse(body)
+	p := parsePayload(body)
 	switches := *r.switches.Load()
 	if switches.RefuseAll || p.fault == FaultRefuse {
-		refuse(w, http.StatusServiceUnavailable, "refused on request")
+		reject(w, http.StatusServiceUnavailable, "refused on request")
 		return
 	}
 	select {
 	case r.slots <- struct{}{}:
 	default:
-		r.record.refusedFull()
-		refuse(w, http.StatusTooManyRequests, "no slot is free")
+		r.record.rejectedNoSlot()
+		reject(w, http.StatusTooManyRequests, "no slot is free")
 		return
 	}
 	r.record.start(req.Header.Get(headerTask), time.Now())
@@ -96,21 +96,22 @@
 		http.Error(w, "every task fails here", http.StatusInternalServerError)
 		return
 	}
-	if !wait(req.Context(), stretch(p.run, switches.Straggle), p.fault == FaultHang) {
+	if !wait(req.Context(), scaleRunTime(p.runTime, switches.Straggle), p.fault == FaultHang) {
 		r.record.cancelled()
 		return
 	}
-	answer(w, p)
+	writeResponse(w, p)
 }
 
-func stretch(d time.Duration, factor float64) time.Duration {
+func scaleRunTime(d time.Duration, factor float64) time.Duration {
 	if factor <= 0 {
 		return d
 	}
 	return time.Duration(float64(d) * factor)
 }
 
-// wait passes the run time; false when the caller closed the connection first.
+// wait waits for the run time, or until ctx ends if forever is set. It returns false
+// when the caller closed the connection first.
 func wait(ctx context.Context, d time.Duration, forever bool) bool {
 	if forever {
 		<-ctx.Done()
@@ -129,8 +130,8 @@
 	}
 }
 
-func answer(w http.ResponseWriter, p plan) {
-	body, digest := p.answer, digestOf(p.answer)
+func writeResponse(w http.ResponseWriter, p behavior) {
+	body, digest := p.response, digestOf(p.response)
 	switch p.fault {
 	case FaultError:
 		http.Error(w, "failed on request", http.StatusInternalServerError)
@@ -144,15 +145,15 @@
 	}
 	w.Header().Set(headerDigest, digest)
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(p.answer)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(p.response)))
 	_, _ = w.Write(body)
-	if len(body) < len(p.answer) {
+	if len(body) < len(p.response) {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, reason string) {
+func reject(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(headerRan, ranNo)
 	http.Error(w, reason, status)
 }
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner is a stand-in for a service's runner: an HTTP server that
-// takes as long, fails and refuses as each request asks for, and keeps the
-// record of what it started, by which tests judge whether a task ran twice.
+// Package runner is a stand-in for a service's runner: an HTTP server whose run
+// times, failures and rejections are determined by each request. It records the
+// tasks it started, so that tests can check whether a task ran twice.
 package runner
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Headers of the interface between a guard or an entry and a runner.
+// Headers of the protocol between a guard or an entry and a runner.
 const (
 	headerTask   = "Almond-Task"
 	headerRan    = "Almond-Ran"
@@ -31,49 +31,50 @@
 	maxPayload         = 8 << 20 // bytes
 )
 
-// ErrOptions means that Options can't be used.
-var ErrOptions = errors.New("runner stand-in: options")
+// ErrOptions is returned for invalid Options.
+var ErrOptions = errors.New("runner stand-in: invalid options")
 
 // Options of a Runner.
 type Options struct {
 	Service string
 	Zone    string
-	// Slots is how many tasks run at once; one more is refused as not run.
+	// Slots is the maximum number of concurrent tasks; tasks above it are rejected as not run.
 	Slots int
-	// Connections is how many connections may be open; one more is closed.
+	// Connections is the maximum number of open connections; connections above it are closed.
 	Connections int
-	// AnnounceTo lists base URLs, of one guard or of entries.
+	// AnnounceTo lists the base URLs that announcements are sent to, of one guard or of
+	// entries.
 	AnnounceTo []string
-	// Secret is sent as a bearer token with announcements when set.
+	// Secret is the bearer token sent with announcements; empty for none.
 	Secret string
-	// TTL is how long one announcement holds.
+	// TTL is how long an announcement remains valid.
 	TTL    time.Duration
 	Logger *slog.Logger
 }
 
-// Switches change how every request is served.
+// Switches are faults that apply to every request.
 type Switches struct {
-	// FailAll answers every task with an error at once, as a broken host does.
+	// FailAll makes every task fail immediately, as on a broken host.
 	FailAll bool `json:"fail_all"`
-	// Straggle multiplies every run time; 0 and 1 change nothing.
+	// Straggle is a factor for every run time; 0 and 1 leave it unchanged.
 	Straggle float64 `json:"straggle"`
-	// RefuseAll refuses every task as not run.
+	// RefuseAll rejects every task as not run.
 	RefuseAll bool `json:"refuse_all"`
 }
 
 // Runner is a stand-in runner.
 type Runner struct {
-	options  Options
-	slots    chan struct{}
-	switches atomic.Pointer[Switches]
-	record   record
-	leaving  atomic.Bool
-	left     chan struct{}
-	leave    sync.Once
-	open     atomic.Int64
+	options         Options
+	slots           chan struct{}
+	switches        atomic.Pointer[Switches]
+	record          record
+	draining        atomic.Bool
+	drainCh         chan struct{}
+	drainOnce       sync.Once
+	openConnections atomic.Int64
 }
 
-// New returns a runner; Announce and Handler bring it to life.
+// New returns a runner. Its Handler serves tasks, and Announce announces it.
 func New(o Options) (*Runner, error) {
 	if o.Service == "" {
 		return nil, errors.Join(ErrOptions, errors.New("service is missing"))
@@ -90,37 +91,38 @@
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	r := &Runner{options: o, slots: make(chan struct{}, o.Slots), left: make(chan struct{})}
+	r := &Runner{options: o, slots: make(chan struct{}, o.Slots), drainCh: make(chan struct{})}
 	r.switches.Store(&Switches{})
-	r.record.counts = map[string]int{}
+	r.record.startCounts = map[string]int{}
 	return r, nil
 }
 
 // SetSwitches replaces the switches.
 func (r *Runner) SetSwitches(s Switches) { r.switches.Store(&s) }
 
-// Starts returns the record of what was started.
+// Starts returns the record of started tasks.
 func (r *Runner) Starts() Starts { return r.record.snapshot(false) }
 
-// Leave makes the runner announce that it leaves. It still serves what comes,
-// and records how long after leaving that was.
+// Leave makes the runner announce that it is draining. It still serves tasks, and records
+// how long after the start of draining they came.
 func (r *Runner) Leave() {
-	r.leave.Do(func() {
-		r.record.leftAt(time.Now())
-		r.leaving.Store(true)
-		close(r.left)
+	r.drainOnce.Do(func() {
+		r.record.setDrainingSince(time.Now())
+		r.draining.Store(true)
+		close(r.drainCh)
 	})
 }
 
-// Idle reports whether nothing runs.
+// Idle reports whether no task is running.
 func (r *Runner) Idle() bool { return len(r.slots) == 0 }
 
-// Listener limits l to the options' number of open connections.
+// Listener returns a listener that limits l to Options.Connections open connections.
 func (r *Runner) Listener(l net.Listener) net.Listener {
 	return &limitedListener{Listener: l, runner: r}
 }
 
-// Handler serves tasks on /v1/run, and the switches and the record on /standin.
+// Handler returns the handler for tasks on /v1/run, and for the switches and the record
+// of starts under /standin.
 func (r *Runner) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/run", r.serveRun)
@@ -162,8 +164,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// limitedListener closes connections above the limit, as a runner out of
-// descriptors would.
+// limitedListener closes connections above the limit, like a runner that has run out of
+// file descriptors.
 type limitedListener struct {
 	net.Listener
 	runner *Runner
@@ -176,11 +178,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.runner.open.Add(1) <= int64(l.runner.options.Connections) {
+		if l.runner.openConnections.Add(1) <= int64(l.runner.options.Connections) {
 			return &limitedConn{Conn: conn, runner: l.runner}, nil
 		}
-		l.runner.open.Add(-1)
-		l.runner.record.overConnections()
+		l.runner.openConnections.Add(-1)
+		l.runner.record.connectionRejected()
 		_ = conn.Close()
 	}
 }
@@ -193,6 +195,6 @@
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	c.once.Do(func() { c.runner.open.Add(-1) })
+	c.once.Do(func() { c.runner.openConnections.Add(-1) })
 	return c.Conn.Close()
 }
--- a/standin/runner/runner_test.go
+++ b/standin/runner/runner_test.go
@@ -78,9 +78,9 @@
 	assert.DeepEqual(t, r.Starts().Tasks, map[string]int{"error": 1, "truncate": 1, "cut": 1, "corrupt": 1})
 }
 
-// The ninth caller of eight slots must learn that its task did not run, and
-// the record must agree. A caller that closes its connection frees its slot.
-func TestFullRunnerRefusesTruly(t *testing.T) {
+// A runner without a free slot must reject a task as not run, and its record of starts
+// must agree. A caller that closes its connection frees its slot.
+func TestFullRunnerRejectsWithoutRunning(t *testing.T) {
 	r, server := start(t, runner.Options{Slots: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	hung := make(chan struct{})
@@ -110,7 +110,7 @@
 	assert.Equal(t, s.Cancelled, 1)
 }
 
-func TestRecordCountsDoubles(t *testing.T) {
+func TestRecordCountsDuplicateStarts(t *testing.T) {
 	r, server := start(t, runner.Options{})
 	for range 3 {
 		_, _, err := run(t.Context(), server.URL, "twice", "x")
@@ -149,13 +149,13 @@
 	assert.Equal(t, put(`{"fail_everything":true}`), http.StatusBadRequest)
 }
 
-func TestAnnouncesAndLeaves(t *testing.T) {
-	got := make(chan runner.Announcement, 16)
+func TestAnnouncesAndDrains(t *testing.T) {
+	announcements := make(chan runner.Announcement, 16)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		var a runner.Announcement
 		_ = json.NewDecoder(req.Body).Decode(&a)
 		if req.Header.Get("Authorization") == "Bearer s3cret" && req.URL.Path == "/v1/announce" {
-			got <- a
+			announcements <- a
 		}
 		_, _ = io.WriteString(w, `{"next":"1h"}`)
 	}))
@@ -164,12 +164,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- r.Announce(ctx, "127.0.0.1:9") }()
-	first := <-got
+	first := <-announcements
 	assert.Equal(t, first.Address, "127.0.0.1:9")
 	assert.Equal(t, first.Slots, runner.DefaultSlots)
 	assert.Assert(t, !first.Leaving)
 	r.Leave()
-	assert.Assert(t, (<-got).Leaving)
+	assert.Assert(t, (<-announcements).Leaving)
 	stop()
 	assert.NilError(t, <-done)
 }
