--- a/standin/relay/pair.go
+++ b/standin/relay/pair.go
@@ -10,60 +10,60 @@
 	"time"
 )
 
-// pair is one relayed connection.
-type pair struct {
+// proxiedConn is one relayed connection: the client's connection and the one to the target.
+type proxiedConn struct {
 	relay          *Relay
 	client, target net.Conn
-	silent         [2]atomic.Bool // by direction
-	ended          atomic.Int32   // directions whose sender has closed
+	blackholed     [2]atomic.Bool // by direction; all further bytes are discarded
+	closedSenders  atomic.Int32   // number of directions whose sender has closed
 	cancel         context.CancelFunc
 }
 
-// chunk is what was read at once; nil data is the end of the stream.
+// chunk is the data of one read; nil data marks the end of the stream.
 type chunk struct {
-	data []byte
-	due  time.Time
+	data      []byte
+	deliverAt time.Time
 }
 
-// run relays both directions until the connection has ended on both sides.
-func (p *pair) run(ctx context.Context) {
+// run relays both directions until both sides have closed.
+func (p *proxiedConn) run(ctx context.Context) {
 	defer p.close()
 	stop := context.AfterFunc(ctx, p.closeConns)
 	defer stop()
-	var both sync.WaitGroup
-	both.Go(func() { p.pump(ctx, toTarget, p.client, p.target) })
-	both.Go(func() { p.pump(ctx, toClient, p.target, p.client) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(ctx, toTarget, p.client, p.target) })
+	directions.Go(func() { p.forward(ctx, toClient, p.target, p.client) })
+	directions.Wait()
 }
 
-func (p *pair) close() {
+func (p *proxiedConn) close() {
 	p.cancel()
 	p.closeConns()
 }
 
-func (p *pair) closeConns() {
+func (p *proxiedConn) closeConns() {
 	_ = p.client.Close()
 	_ = p.target.Close()
 }
 
-// pump moves bytes in one direction. Reader and writer are apart, so that the
-// delay adds to each byte's way and doesn't limit how many are under way.
-func (p *pair) pump(ctx context.Context, d direction, from, to net.Conn) {
+// forward relays the bytes of one direction. Reading and writing are separate goroutines,
+// so that the delay adds latency to each byte but doesn't limit the bytes in flight.
+func (p *proxiedConn) forward(ctx context.Context, d direction, from, to net.Conn) {
 	queue := make(chan chunk, chunkQueue)
 	go p.read(ctx, from, queue)
 	for c := range queue {
-		if !p.wait(ctx, c.due) {
+		if !p.waitUntil(ctx, c.deliverAt) {
 			return
 		}
-		passes := p.pass(ctx, d)
+		forwarding := p.shouldForward(ctx, d)
 		if c.data == nil {
-			p.end(passes, to)
-			if passes {
+			p.endStream(forwarding, to)
+			if forwarding {
 				return
 			}
 			continue
 		}
-		if !passes {
+		if !forwarding {
 			continue
 		}
 		if _, err := to.Write(c.data); err != nil {
@@ -73,30 +73,30 @@
 	}
 }
 
-// end handles the end of one direction. A silent one hides it from the other
-// side, as nothing between two lost ends tells either; the pair goes when both
-// ends have closed.
-func (p *pair) end(passes bool, to net.Conn) {
-	if passes {
+// endStream handles the end of the stream in one direction. It is not forwarded in a
+// blackholed direction: there the other side doesn't learn of it, as when the network
+// between two peers is lost. The connection is freed when both sides have closed.
+func (p *proxiedConn) endStream(forwarding bool, to net.Conn) {
+	if forwarding {
 		closeWrite(to)
 	}
-	if p.ended.Add(1) == 2 {
+	if p.closedSenders.Add(1) == 2 {
 		p.close()
 	}
 }
 
-func (p *pair) read(ctx context.Context, from net.Conn, queue chan<- chunk) {
+func (p *proxiedConn) read(ctx context.Context, from net.Conn, queue chan<- chunk) {
 	defer close(queue)
 	buf := make([]byte, chunkSize)
 	for {
 		n, err := from.Read(buf)
-		due := time.Now().Add(p.relay.State().Delay)
-		if n > 0 && !send(ctx, queue, chunk{data: bytes.Clone(buf[:n]), due: due}) {
+		deliverAt := time.Now().Add(p.relay.State().Delay)
+		if n > 0 && !send(ctx, queue, chunk{data: bytes.Clone(buf[:n]), deliverAt: deliverAt}) {
 			return
 		}
 		if err != nil {
-			send(ctx, queue, chunk{due: due})
-			<-ctx.Done() // a silent direction goes on waiting
+			send(ctx, queue, chunk{deliverAt: deliverAt})
+			<-ctx.Done() // a blackholed direction stays open
 			return
 		}
 	}
@@ -111,25 +111,25 @@
 	}
 }
 
-// coarse is the unit of the runtime's timers on an idle system: a shorter pause
-// takes that long.
-const coarse = 2 * time.Millisecond
+// timerResolution is the resolution of the Go runtime's timers on an idle system: a
+// shorter sleep takes this long.
+const timerResolution = 2 * time.Millisecond
 
-// wait passes the time until a chunk is due. The last part is slept by the kernel,
-// which is exact to some tens of microseconds: by the runtime's timers alone a
-// delay of half a millisecond would be more than one.
-func (p *pair) wait(ctx context.Context, due time.Time) bool {
-	if !pause(ctx, time.Until(due)-coarse) {
+// waitUntil waits until a chunk has to be delivered. The last part is a nanosleep system
+// call, which is accurate to some tens of microseconds: with the runtime's timers alone a
+// delay of 0.5 ms would take more than 1 ms.
+func (p *proxiedConn) waitUntil(ctx context.Context, deliverAt time.Time) bool {
+	if !sleep(ctx, time.Until(deliverAt)-timerResolution) {
 		return false
 	}
-	for rest := time.Until(due); rest > 0; rest = time.Until(due) {
-		t := syscall.NsecToTimespec(rest.Nanoseconds())
+	for remaining := time.Until(deliverAt); remaining > 0; remaining = time.Until(deliverAt) {
+		t := syscall.NsecToTimespec(remaining.Nanoseconds())
 		_ = syscall.Nanosleep(&t, nil)
 	}
 	return ctx.Err() == nil
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -143,18 +143,19 @@
 	}
 }
 
-// pass waits while the direction is stalled; false when the bytes are lost.
-func (p *pair) pass(ctx context.Context, d direction) bool {
+// shouldForward waits while the direction is stalled. It returns false if the bytes must
+// be discarded or ctx has ended.
+func (p *proxiedConn) shouldForward(ctx context.Context, d direction) bool {
 	for {
 		s := p.relay.state.Load()
-		if p.silent[d].Load() {
+		if p.blackholed[d].Load() {
 			return false
 		}
 		switch s.mode(d) {
 		case Pass:
 			return true
 		case Drop:
-			p.silent[d].Store(true)
+			p.blackholed[d].Store(true)
 			return false
 		}
 		select {
@@ -165,7 +166,7 @@
 	}
 }
 
-// closeWrite passes on the end of a stream and leaves the other direction open.
+// closeWrite forwards the end of a stream and keeps the other direction open.
 func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a stand-in for the network between two processes: a TCP
-// relay that delays, stalls or silently drops what passes in either direction,
-// and that can lose track of open connections while new ones work.
+// Package relay is a stand-in for the network between two processes: a TCP relay
+// that can delay, stall or silently drop the bytes of either direction. It can
+// also blackhole the open connections while new ones work.
 package relay
 
 import (
@@ -12,46 +12,46 @@
 	"time"
 )
 
-// Mode is what happens to bytes in one direction.
+// Mode is the treatment of the bytes in one direction.
 type Mode string
 
 // Modes of a direction.
 const (
-	// Pass lets bytes through.
+	// Pass forwards bytes.
 	Pass Mode = "pass"
-	// Stall holds bytes back and lets them through when the mode changes, as a
-	// network does that heals before the ends give up.
+	// Stall buffers bytes and forwards them when the mode changes to Pass, like a network
+	// that recovers before the connection times out at either end.
 	Stall Mode = "stall"
-	// Drop discards bytes. A connection that lost some stays silent for good,
-	// since what follows would make no sense to its reader.
+	// Drop discards bytes. All later bytes of a connection that lost some are discarded
+	// too, in that direction, since the reader couldn't interpret a stream with a gap.
 	Drop Mode = "drop"
 )
 
 // Errors of this package.
 var (
-	// ErrMode means that a mode is not known.
+	// ErrMode is returned for an unknown mode.
 	ErrMode = errors.New("relay stand-in: mode must be pass, stall or drop")
-	// ErrDelay means that a delay is negative.
+	// ErrDelay is returned for a negative delay.
 	ErrDelay = errors.New("relay stand-in: delay must not be negative")
 )
 
 const (
 	chunkSize   = 32 << 10 // bytes
-	chunkQueue  = 64       // chunks under way in one direction
+	chunkQueue  = 64       // chunks in flight in one direction
 	dialTimeout = 5 * time.Second
 )
 
-// State is what the relay does to connections.
+// State is the treatment of all connections by the relay.
 type State struct {
 	ToTarget Mode
 	ToClient Mode
 	// Delay is added in each direction.
 	Delay time.Duration
-	// Refuse closes new connections at once.
+	// Refuse closes new connections immediately.
 	Refuse bool
 }
 
-func (s State) check() error {
+func (s State) validate() error {
 	for _, m := range []Mode{s.ToTarget, s.ToClient} {
 		if m != Pass && m != Stall && m != Drop {
 			return ErrMode
@@ -77,82 +77,82 @@
 	toClient
 )
 
-// published is a state and the signal that it was replaced.
-type published struct {
+// versionedState is a state with a channel that is closed when the state is replaced.
+type versionedState struct {
 	State
 	changed chan struct{}
 }
 
-// Relay passes connections on to one target.
+// Relay forwards connections to one target.
 type Relay struct {
 	target string
-	state  atomic.Pointer[published]
+	state  atomic.Pointer[versionedState]
 
-	mu    sync.Mutex // guards pairs and the order of state changes
-	pairs map[*pair]struct{}
+	mu    sync.Mutex // guards conns and the order of state changes
+	conns map[*proxiedConn]struct{}
 }
 
-// New returns a relay to the target address that passes everything.
+// New returns a relay to the target address that forwards everything.
 func New(target string) *Relay {
-	r := &Relay{target: target, pairs: map[*pair]struct{}{}}
-	r.state.Store(&published{State: State{ToTarget: Pass, ToClient: Pass}, changed: make(chan struct{})})
+	r := &Relay{target: target, conns: map[*proxiedConn]struct{}{}}
+	r.state.Store(&versionedState{State: State{ToTarget: Pass, ToClient: Pass}, changed: make(chan struct{})})
 	return r
 }
 
-// Set replaces the state; stalled bytes are looked at again.
+// Set replaces the state; stalled bytes are treated according to the new one.
 func (r *Relay) Set(s State) error {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old := r.state.Swap(&published{State: s, changed: make(chan struct{})})
+	old := r.state.Swap(&versionedState{State: s, changed: make(chan struct{})})
 	close(old.changed)
 	return nil
 }
 
-// State returns the state in force.
+// State returns the current state.
 func (r *Relay) State() State { return r.state.Load().State }
 
-// Forget makes the connections that are open now silent for good in the given
-// directions; new ones work. It returns their number.
+// Forget discards all further bytes of the currently open connections in the given
+// directions; new connections work. It returns the number of open connections.
 func (r *Relay) Forget(target, client bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
+	for p := range r.conns {
 		if target {
-			p.silent[toTarget].Store(true)
+			p.blackholed[toTarget].Store(true)
 		}
 		if client {
-			p.silent[toClient].Store(true)
+			p.blackholed[toClient].Store(true)
 		}
 	}
-	return len(r.pairs)
+	return len(r.conns)
 }
 
-// Reset closes the connections that are open now.
+// Reset closes the currently open connections and returns their number.
 func (r *Relay) Reset() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
+	for p := range r.conns {
 		p.close()
 	}
-	return len(r.pairs)
+	return len(r.conns)
 }
 
-// Open counts the connections.
+// Open returns the number of open connections.
 func (r *Relay) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.pairs)
+	return len(r.conns)
 }
 
 // Serve accepts connections until ctx ends, then closes them all.
 func (r *Relay) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
-	var all sync.WaitGroup
-	defer all.Wait()
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
 	for {
 		client, err := l.Accept()
 		if err != nil {
@@ -165,7 +165,7 @@
 			_ = client.Close()
 			continue
 		}
-		all.Go(func() { r.connect(ctx, client) })
+		handlers.Go(func() { r.connect(ctx, client) })
 	}
 }
 
@@ -177,20 +177,20 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	p := &pair{relay: r, client: client, target: target, cancel: cancel}
+	p := &proxiedConn{relay: r, client: client, target: target, cancel: cancel}
 	r.add(p)
 	defer r.remove(p)
 	p.run(ctx)
 }
 
-func (r *Relay) add(p *pair) {
+func (r *Relay) add(p *proxiedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pairs[p] = struct{}{}
+	r.conns[p] = struct{}{}
 }
 
-func (r *Relay) remove(p *pair) {
+func (r *Relay) remove(p *proxiedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.pairs, p)
+	delete(r.conns, p)
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -16,10 +16,11 @@
 	"almondstand.dev/standin/relay"
 )
 
-// silence is how long a test listens for bytes that must not come.
-const silence = 50 * time.Millisecond
+// quietPeriod is how long a test waits to verify that no bytes arrive.
+const quietPeriod = 50 * time.Millisecond
 
-// echoServer answers each connection with what it sends.
+// echoServer starts a server that echoes the bytes of each connection, and returns its
+// address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,13 +62,13 @@
 	return r, dial
 }
 
-func say(t *testing.T, conn net.Conn, s string) {
+func send(t *testing.T, conn net.Conn, s string) {
 	t.Helper()
 	_, err := io.WriteString(conn, s)
 	assert.NilError(t, err)
 }
 
-func hear(t *testing.T, conn net.Conn, want string) {
+func expect(t *testing.T, conn net.Conn, want string) {
 	t.Helper()
 	buf := make([]byte, len(want))
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(30*time.Second)))
@@ -76,72 +77,73 @@
 	assert.Equal(t, string(buf), want)
 }
 
-func hearNothing(t *testing.T, conn net.Conn) {
+func expectNothing(t *testing.T, conn net.Conn) {
 	t.Helper()
-	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(silence)))
+	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(quietPeriod)))
 	n, err := conn.Read(make([]byte, 1))
 	timeout, ok := err.(net.Error)
 	assert.Assert(t, n == 0 && ok && timeout.Timeout(), "read %d, %v", n, err)
 }
 
-// Both ends keep an open connection, but nothing passes any more; a new
-// connection works, as after a middlebox has lost its table.
-func TestForgottenConnectionIsSilentForGood(t *testing.T) {
+// Both ends keep their connection open, but no bytes are forwarded any more, while a new
+// connection works: this happens when a middlebox loses its connection table.
+func TestForgottenConnectionStaysSilent(t *testing.T) {
 	r, dial := serve(t)
-	old := dial()
-	say(t, old, "a")
-	hear(t, old, "a")
+	existing := dial()
+	send(t, existing, "a")
+	expect(t, existing, "a")
 	assert.Equal(t, r.Forget(true, true), 1)
-	say(t, old, "b")
-	hearNothing(t, old)
-	fresh := dial()
-	say(t, fresh, "c")
-	hear(t, fresh, "c")
-	say(t, old, "d")
-	hearNothing(t, old)
+	send(t, existing, "b")
+	expectNothing(t, existing)
+	newConn := dial()
+	send(t, newConn, "c")
+	expect(t, newConn, "c")
+	send(t, existing, "d")
+	expectNothing(t, existing)
 }
 
-// The request arrives and the answer is lost: the case behind "may have run".
+// The request arrives and the response is lost, so the caller can't know whether its task
+// ran: the case reported as "may have run".
 func TestDropOneDirection(t *testing.T) {
 	r, dial := serve(t)
 	conn := dial()
-	say(t, conn, "a")
-	hear(t, conn, "a")
+	send(t, conn, "a")
+	expect(t, conn, "a")
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Drop}))
-	say(t, conn, "b")
-	hearNothing(t, conn)
+	send(t, conn, "b")
+	expectNothing(t, conn)
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}))
-	say(t, conn, "c")
-	hearNothing(t, conn)
+	send(t, conn, "c")
+	expectNothing(t, conn)
 }
 
-// A stalled request arrives late, after its sender has asked elsewhere.
-func TestStallReleasesLate(t *testing.T) {
+// A stalled request arrives late, when its sender may have retried elsewhere already.
+func TestStalledBytesArriveLate(t *testing.T) {
 	r, dial := serve(t)
 	conn := dial()
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Stall, ToClient: relay.Pass}))
-	say(t, conn, "late")
-	hearNothing(t, conn)
+	send(t, conn, "late")
+	expectNothing(t, conn)
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}))
-	hear(t, conn, "late")
+	expect(t, conn, "late")
 }
 
 func TestDelayKeepsOrder(t *testing.T) {
 	r, dial := serve(t)
 	assert.NilError(t, r.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 5 * time.Millisecond}))
 	conn := dial()
-	began := time.Now()
+	start := time.Now()
 	for _, s := range []string{"1", "2", "3"} {
-		say(t, conn, s)
+		send(t, conn, s)
 	}
-	hear(t, conn, "123")
-	assert.Assert(t, time.Since(began) >= 10*time.Millisecond)
+	expect(t, conn, "123")
+	assert.Assert(t, time.Since(start) >= 10*time.Millisecond)
 }
 
-func TestEndIsPassedOn(t *testing.T) {
+func TestEndOfStreamIsForwarded(t *testing.T) {
 	r, dial := serve(t)
 	conn := dial()
-	say(t, conn, "a")
+	send(t, conn, "a")
 	assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
 	all, err := io.ReadAll(conn)
 	assert.NilError(t, err)
@@ -154,12 +156,13 @@
 	})
 }
 
-// A forgotten connection whose ends have both given up takes no memory for good.
-func TestForgottenConnectionGoesWithItsEnds(t *testing.T) {
+// A blackholed connection must be freed once both ends have closed it; otherwise the
+// relay leaks memory.
+func TestForgottenConnectionIsFreedWhenBothEndsClose(t *testing.T) {
 	r, dial := serve(t)
 	conn := dial()
-	say(t, conn, "a")
-	hear(t, conn, "a")
+	send(t, conn, "a")
+	expect(t, conn, "a")
 	r.Forget(false, true)
 	assert.NilError(t, conn.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -187,10 +190,10 @@
 	assert.Equal(t, call(http.MethodPut, "/standin/switches", `{"to_target":"sideways"}`), http.StatusBadRequest)
 	assert.Equal(t, call(http.MethodPut, "/standin/switches", `{}`), http.StatusNoContent)
 	conn := dial()
-	say(t, conn, "a")
-	hear(t, conn, "a")
+	send(t, conn, "a")
+	expect(t, conn, "a")
 	assert.Equal(t, call(http.MethodPost, "/standin/forget", `{"to_client":true}`), http.StatusOK)
-	say(t, conn, "b")
-	hearNothing(t, conn)
+	send(t, conn, "b")
+	expectNothing(t, conn)
 	assert.Equal(t, call(http.MethodPost, "/standin/reset", ``), http.StatusOK)
 }
--- a/standin/relay/switches.go
+++ b/standin/relay/switches.go
@@ -10,7 +10,7 @@
 
 const maxBody = 1 << 16 // bytes
 
-// Switches is the JSON form of State. A mode that is left out is "pass".
+// Switches is the JSON form of State. An absent mode means "pass".
 type Switches struct {
 	ToTarget Mode              `json:"to_target"`
 	ToClient Mode              `json:"to_client"`
@@ -18,18 +18,18 @@
 	Refuse   bool              `json:"refuse"`
 }
 
-// Directions picks directions to forget.
+// Directions selects the directions in which open connections are blackholed.
 type Directions struct {
 	ToTarget bool `json:"to_target"`
 	ToClient bool `json:"to_client"`
 }
 
-// Affected counts the connections that a call met.
+// Affected is the number of connections that a call affected.
 type Affected struct {
 	Connections int `json:"connections"`
 }
 
-// Handler serves the relay's switches: GET and PUT /standin/switches,
+// Handler returns the handler of the relay's switches: GET and PUT /standin/switches,
 // POST /standin/forget and POST /standin/reset.
 func (r *Relay) Handler() http.Handler {
 	mux := http.NewServeMux()
@@ -68,10 +68,10 @@
 	writeJSON(w, Affected{Connections: r.Forget(d.ToTarget, d.ToClient)})
 }
 
-func readJSON(w http.ResponseWriter, req *http.Request, into any) bool {
+func readJSON(w http.ResponseWriter, req *http.Request, target any) bool {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBody))
 	if err == nil {
-		err = settings.Decode(raw, into)
+		err = settings.Decode(raw, target)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
