--- a/standin/metastore/config.go
+++ b/standin/metastore/config.go
@@ -5,10 +5,11 @@
 	"fmt"
 )
 
-// ConfigKey holds the operator's configuration.
+// ConfigKey is the key of the operator's configuration.
 const ConfigKey = "op/config"
 
-// Config returns a configuration with a route for each prefix.
+// Config returns a configuration, as JSON, with one route per prefix. All routes have the
+// given HTTP host and service.
 func Config(version int, host, service string, prefixes ...string) []byte {
 	var routes []map[string]any
 	for i, p := range prefixes {
@@ -17,6 +18,6 @@
 			"target_latency_ms": 60, "priority": 0, "service": service, "max_attempts": 2, "stretch": 1.6,
 		})
 	}
-	text, _ := json.Marshal(map[string]any{"version": version, "routes": routes, "services": []any{}, "limits": map[string]int{"max_body_bytes": 65536}})
-	return text
+	config, _ := json.Marshal(map[string]any{"version": version, "routes": routes, "services": []any{}, "limits": map[string]int{"max_body_bytes": 65536}})
+	return config
 }
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -1,5 +1,5 @@
-// Package metastore is a stand-in for the platform's metadata store: keys with
-// revisions, leases and ranges over HTTP, and switches for its faults.
+// Package metastore is a stand-in for the platform's metadata store. It serves keys
+// with revisions, leases and range reads over HTTP, and its faults can be injected.
 package metastore
 
 import (
@@ -14,24 +14,26 @@
 	"time"
 )
 
-// Fault is how the store treats calls.
+// Fault describes the faults that are injected into the store's calls.
 type Fault struct {
-	// Down answers nothing (silent), 503 (busy) or breaks connections (reset).
+	// Down is the mode of an outage: calls get no response (silent), status 503 (busy), or
+	// their connection is aborted (reset).
 	Down Mode
-	// Delay is added to each answer.
+	// Delay is added to the latency of each call.
 	Delay time.Duration
-	// LoseShare of the writes are done and not answered.
+	// LoseShare is the fraction of writes that take effect but get no response.
 	LoseShare float64
-	// Lapse lets leases run out though the store is down.
+	// Lapse lets leases expire during an outage, too.
 	Lapse bool
-	// For names the callers it holds for, see Store.As; nil means all.
+	// For lists the names of the callers that the fault applies to, see Store.As; nil means
+	// all.
 	For []string
 }
 
 // Mode of an outage.
 type Mode string
 
-// Modes.
+// Modes of an outage; Up means none.
 const (
 	Up     Mode = ""
 	Silent Mode = "silent"
@@ -48,21 +50,21 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Store is the stand-in.
+// Store is the stand-in for the metadata store.
 type Store struct {
-	mu     sync.Mutex
-	rev    int64
-	items  map[string]item
-	leases map[int64]*lease
-	fault  Fault
-	rates  Rates
-	window window
-	calls  int
-	mux    *http.ServeMux
+	mu         sync.Mutex
+	rev        int64
+	items      map[string]item
+	leases     map[int64]*lease
+	fault      Fault
+	rates      Rates
+	rateWindow rateWindow
+	calls      int
+	mux        *http.ServeMux
 }
 
 // New returns an empty store.
@@ -72,49 +74,50 @@
 	s.mux.HandleFunc("GET /kv-range", s.list)
 	s.mux.HandleFunc("POST /kv-txn", s.txn)
 	s.mux.HandleFunc("POST /kv-lease", s.grant)
-	s.mux.HandleFunc("POST /kv-keep/{id}", s.keep)
-	s.mux.HandleFunc("DELETE /kv-lease-end/{id}", s.end)
+	s.mux.HandleFunc("POST /kv-keep/{id}", s.keepAlive)
+	s.mux.HandleFunc("DELETE /kv-lease-end/{id}", s.revoke)
 	return s
 }
 
-// SetFault changes how calls are treated from now on.
+// SetFault replaces the injected faults, for calls from now on.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	s.fault = f
 	s.mu.Unlock()
 }
 
-// Rates bound the calls that the store answers in a second; zero for no bound.
+// Rates are the rate limits of the store, in calls per second; zero means no limit.
 type Rates struct{ Reads, Writes int }
 
-// window counts the calls of one second.
-type window struct {
-	began         time.Time
+// rateWindow counts the calls in the current window of one second.
+type rateWindow struct {
+	start         time.Time
 	reads, writes int
 }
 
-// SetRates bounds the calls of all callers together from now on. Calls above are
-// turned away with 429.
+// SetRates changes the rate limits, which apply to the calls of all callers together.
+// Calls above the limits are rejected with status 429.
 func (s *Store) SetRates(r Rates) {
 	s.mu.Lock()
 	s.rates = r
 	s.mu.Unlock()
 }
 
-// spend reports whether a call is within the rates. The lock is held.
-func (s *Store) spend(read bool) bool {
-	if now := time.Now(); now.Sub(s.window.began) >= time.Second {
-		s.window = window{began: now}
+// withinLimits counts a call and reports whether it is within the rate limits. The caller
+// holds the lock.
+func (s *Store) withinLimits(read bool) bool {
+	if now := time.Now(); now.Sub(s.rateWindow.start) >= time.Second {
+		s.rateWindow = rateWindow{start: now}
 	}
 	if read {
-		s.window.reads++
-		return s.rates.Reads == 0 || s.window.reads <= s.rates.Reads
+		s.rateWindow.reads++
+		return s.rates.Reads == 0 || s.rateWindow.reads <= s.rates.Reads
 	}
-	s.window.writes++
-	return s.rates.Writes == 0 || s.window.writes <= s.rates.Writes
+	s.rateWindow.writes++
+	return s.rates.Writes == 0 || s.rateWindow.writes <= s.rates.Writes
 }
 
-// Put writes a key as the operator does; it works during an outage too.
+// Put writes a key as the operator does; it works during an outage, too.
 func (s *Store) Put(key string, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,19 +134,20 @@
 	return s.rev
 }
 
-// As returns the store as the named caller reaches it.
+// As returns the handler for the calls of the named caller, so that a fault can be
+// restricted to some callers.
 func (s *Store) As(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, caller) })
 }
 
-// serve answers a call, or lets the fault have it.
+// serve serves a call, subject to the rate limits and the injected faults.
 func (s *Store) serve(w http.ResponseWriter, r *http.Request, caller string) {
 	s.mu.Lock()
 	s.calls++
 	f := s.fault
-	within := s.spend(r.Method == http.MethodGet)
+	allowed := s.withinLimits(r.Method == http.MethodGet)
 	s.mu.Unlock()
-	if !within {
+	if !allowed {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
@@ -162,33 +166,34 @@
 	}
 	time.Sleep(f.Delay)
 	if r.Method != http.MethodGet && rand.Float64() < f.LoseShare {
-		s.mux.ServeHTTP(&lost{header: http.Header{}}, r)
+		s.mux.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 		<-r.Context().Done()
 		return
 	}
 	s.mux.ServeHTTP(w, r)
 }
 
-// lost takes an answer that nobody gets.
-type lost struct{ header http.Header }
+// discardWriter discards a response that the caller must not get.
+type discardWriter struct{ header http.Header }
 
-func (l *lost) Header() http.Header         { return l.header }
-func (l *lost) Write(b []byte) (int, error) { return len(b), nil }
-func (l *lost) WriteHeader(int)             {}
+func (l *discardWriter) Header() http.Header         { return l.header }
+func (l *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (l *discardWriter) WriteHeader(int)             {}
 
-// expire ends leases. The lock is held.
+// expire revokes expired leases. During an outage leases don't expire, unless
+// Fault.Lapse is set. The caller holds the lock.
 func (s *Store) expire() {
 	if s.fault.Down != Up && !s.fault.Lapse {
 		return
 	}
 	for id, l := range s.leases {
-		if time.Now().After(l.end) {
-			s.drop(id)
+		if time.Now().After(l.expiresAt) {
+			s.revokeLease(id)
 		}
 	}
 }
 
-func (s *Store) drop(id int64) {
+func (s *Store) revokeLease(id int64) {
 	delete(s.leases, id)
 	for k, i := range s.items {
 		if i.Lease == id {
@@ -207,7 +212,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	reply(w, struct {
+	writeJSON(w, struct {
 		item
 		At int64 `json:"at_rev"`
 	}{i, s.rev})
@@ -225,7 +230,7 @@
 		}
 	}
 	sort.Slice(items, func(a, b int) bool { return items[a].Key < items[b].Key })
-	reply(w, struct {
+	writeJSON(w, struct {
 		Items []item `json:"items"`
 		More  bool   `json:"has_more"`
 		At    int64  `json:"at_rev"`
@@ -275,7 +280,7 @@
 		delete(s.items, k)
 		s.rev++
 	}
-	reply(w, struct {
+	writeJSON(w, struct {
 		Rev int64 `json:"revision"`
 	}{s.rev})
 }
@@ -297,10 +302,10 @@
 	body.ID = s.rev
 	ttl := time.Duration(body.TTL) * time.Millisecond
 	s.leases[body.ID] = &lease{ttl, time.Now().Add(ttl)}
-	reply(w, body)
+	writeJSON(w, body)
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) keepAlive(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -310,11 +315,11 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.end = time.Now().Add(l.ttl)
-	reply(w, leaseBody{TTL: l.ttl.Milliseconds()})
+	l.expiresAt = time.Now().Add(l.ttl)
+	writeJSON(w, leaseBody{TTL: l.ttl.Milliseconds()})
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
+func (s *Store) revoke(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
@@ -322,11 +327,11 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.drop(id)
-	reply(w, struct{}{})
+	s.revokeLease(id)
+	writeJSON(w, struct{}{})
 }
 
-func reply(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
