--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,4 +1,5 @@
-// Package caller is a stand-in for the platform's callers: what they send.
+// Package caller is a stand-in for the platform's callers. It builds the requests
+// that they send.
 package caller
 
 import (
@@ -8,22 +9,25 @@
 	"almondstand.dev/standin/worker"
 )
 
-// DeadlineHeader tells how long the caller waits, milliseconds.
+// DeadlineHeader is the header with the time that the caller waits for the response, in
+// milliseconds.
 const DeadlineHeader = "X-Almondstand-Deadline-Ms"
 
-// Job is one job of a single step.
+// Job is a job with a single step.
 type Job struct {
 	Tasks int
-	// Ms is how long a task runs, and what the caller declares.
+	// Ms is the run time of a task, and also the run time that the caller declares, in
+	// milliseconds.
 	Ms int
-	// CrashMs has each task end its runner's process so long after its start; zero for none.
+	// CrashMs makes each task crash its runner's process this many milliseconds after the
+	// start of the task; zero for no crash.
 	CrashMs int
-	// CPU of a task, thousandths of a core.
+	// CPU is the CPU request of a task, in millicores.
 	CPU   int64
 	Fails bool
 }
 
-// Body is the job as it is sent.
+// Body returns the body of the request that submits the job.
 func (j Job) Body() []byte {
 	spec, _ := json.Marshal(worker.Spec{Ms: j.Ms, CPU: j.CPU, Fails: j.Fails, CrashMs: j.CrashMs})
 	body, _ := json.Marshal(map[string]any{
@@ -33,16 +37,17 @@
 	return body
 }
 
-// Faulty is a body that must be turned away.
+// Faulty is an invalid body, which must be rejected or make the job fail.
 type Faulty struct {
 	Name   string
 	Body   string
 	Status int
-	// State is what an answer of status 200 says.
+	// State is the job state in a response with status 200.
 	State string
 }
 
-// FaultyBodies returns one body for each kind of mistake, for a limit of 64 KiB.
+// FaultyBodies returns one body for each kind of error. The one that is too large exceeds
+// a body limit of 64 KiB.
 func FaultyBodies() []Faulty {
 	return []Faulty{
 		{"no JSON", "{", 400, ""},
