--- a/standin/cmd/demo/demo.go
+++ b/standin/cmd/demo/demo.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	entryCount = 2
-	guardCount = 2
-	slots      = 8
-	pollPause  = 100 * time.Millisecond
+	entryCount   = 2
+	guardCount   = 2
+	slots        = 8
+	pollInterval = 100 * time.Millisecond
 )
 
-var errStarts = errors.New("the runners' records don't show each task once")
+var errDuplicateOrMissingStarts = errors.New("the runners' records don't show exactly one start of each task")
 
-// demo is the running demo.
+// demo is the state of the running demo.
 type demo struct {
-	bin, dir string
-	stages   [][]*process
-	store    string
-	entries  []entryListen
-	guards   []string // local addresses
-	runners  []string
+	bin, dir    string
+	startGroups [][]*process
+	store       string
+	entries     []entryListen
+	guards      []string // local addresses, for the runners beside the guards
+	runners     []string
 }
 
 func (d *demo) startStore(context.Context) (err error) {
 	fmt.Println("Starting processes")
-	d.stage()
+	d.newStartGroup()
 	d.store, err = d.start("store", true, "standin", "store")
 	return err
 }
 
 func (d *demo) startEntries(ctx context.Context) error {
-	d.stage()
+	d.newStartGroup()
 	for range entryCount {
 		var l entryListen
 		for _, to := range []*string{&l.Callers, &l.Internal, &l.Operators} {
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, l := range d.entries {
-		if err := awaitReady(ctx, l.Operators); err != nil {
+		if err := waitUntilReady(ctx, l.Operators); err != nil {
 			return err
 		}
 	}
@@ -68,11 +68,11 @@
 func (d *demo) startEntry(id string, l entryListen) error {
 	path, err := d.write(id+".json", entryFile{
 		ID:        id,
-		Zone:      zone,
+		Zone:      dataCentre,
 		Listen:    l,
-		Platform:  platformPart{Addresses: []string{d.store}},
-		Peers:     peersPart{Seeds: d.internal(), Secret: secret},
-		Operators: operatorsPart{TokenDigest: digest(operatorToken)},
+		Platform:  platformSettings{Addresses: []string{d.store}},
+		Peers:     peersSettings{Seeds: d.internalAddresses(), Secret: secret},
+		Operators: operatorsSettings{TokenDigest: digest(operatorToken)},
 	})
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return err
 }
 
-func (d *demo) internal() []string {
+func (d *demo) internalAddresses() []string {
 	var all []string
 	for _, l := range d.entries {
 		all = append(all, l.Internal)
@@ -90,7 +90,7 @@
 }
 
 func (d *demo) startGuards(context.Context) error {
-	d.stage()
+	d.newStartGroup()
 	for i := range guardCount {
 		local, err := d.startGuard(fmt.Sprintf("guard-%d", i+1))
 		if err != nil {
@@ -101,15 +101,15 @@
 	return nil
 }
 
-// startRunners starts a runner for each guard, and one without.
+// startRunners starts a runner for each guard, and one without a guard.
 func (d *demo) startRunners(context.Context) error {
-	d.stage()
+	d.newStartGroup()
 	for i, local := range d.guards {
 		if err := d.startRunner(fmt.Sprintf("runner-%d", i+1), "http://"+local); err != nil {
 			return err
 		}
 	}
-	return d.startRunner("bare", "http://"+strings.Join(d.internal(), ",http://"))
+	return d.startRunner("bare", "http://"+strings.Join(d.internalAddresses(), ",http://"))
 }
 
 func (d *demo) startGuard(id string) (local string, err error) {
@@ -119,7 +119,7 @@
 			return "", err
 		}
 	}
-	path, err := d.write(id+".json", guardFile{ID: id, Zone: zone, Listen: l, Balancers: d.internal(), Secret: secret})
+	path, err := d.write(id+".json", guardFile{ID: id, Zone: dataCentre, Listen: l, Balancers: d.internalAddresses(), Secret: secret})
 	if err != nil {
 		return "", err
 	}
@@ -129,7 +129,7 @@
 
 func (d *demo) startRunner(name, announceTo string) error {
 	address, err := d.start(name, true, "standin", "runner",
-		"--service", service, "--zone", zone, "--slots", fmt.Sprint(slots), "--announce", announceTo)
+		"--service", service, "--zone", dataCentre, "--slots", fmt.Sprint(slots), "--announce", announceTo)
 	d.runners = append(d.runners, address)
 	return err
 }
@@ -143,23 +143,23 @@
 	return d.almondstand(ctx, "contract", "apply", path, "--wait")
 }
 
-// endpoints is what the demo reads of GET /v1/endpoints.
+// endpoints has the fields that the demo uses from the response to GET /v1/endpoints.
 type endpoints struct {
 	Endpoints []struct {
 		Usable bool `json:"usable"`
 	} `json:"endpoints"`
 }
 
-// awaitEndpoints waits until every entry can use every endpoint.
-func (d *demo) awaitEndpoints(ctx context.Context) error {
+// waitForEndpoints waits until every entry can use every endpoint.
+func (d *demo) waitForEndpoints(ctx context.Context) error {
 	for _, l := range d.entries {
 		err := poll(ctx, "endpoints at "+l.Operators, func() bool {
-			var seen endpoints
-			if getJSON(ctx, "http://"+l.Operators+"/v1/endpoints", &seen) != nil {
+			var listing endpoints
+			if getJSON(ctx, "http://"+l.Operators+"/v1/endpoints", &listing) != nil {
 				return false
 			}
 			usable := 0
-			for _, e := range seen.Endpoints {
+			for _, e := range listing.Endpoints {
 				if e.Usable {
 					usable++
 				}
@@ -179,61 +179,62 @@
 	if err != nil {
 		return err
 	}
-	bound := time.Duration(totalMs) * time.Millisecond / ((guardCount + 1) * slots)
-	fmt.Printf("\nSubmitting a job of %d tasks, %d ms to %d ms each; %d slots could do it in %s at best\n",
-		tasks, shortest, shortest+(tasks-1)*perTaskMs, (guardCount+1)*slots, bound.Round(time.Millisecond))
-	began := time.Now()
+	minimum := time.Duration(totalMs) * time.Millisecond / ((guardCount + 1) * slots)
+	fmt.Printf("\nSubmitting a job of %d tasks, %d ms to %d ms each; with %d slots it takes at least %s\n",
+		taskCount, shortestMs, shortestMs+(taskCount-1)*perTaskMs, (guardCount+1)*slots, minimum.Round(time.Millisecond))
+	start := time.Now()
 	out, err := d.command(ctx, "submit", path).Output()
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	if err != nil {
 		return fmt.Errorf("submit: %w\n%s", err, out)
 	}
-	printShort(string(out))
-	fmt.Printf("answered whole in %s\n", took.Round(time.Millisecond))
+	printAbbreviated(string(out))
+	fmt.Printf("complete response after %s\n", elapsed.Round(time.Millisecond))
 	return nil
 }
 
-// shownLines of a long table are printed at each end.
-const shownLines = 4
+// shownLinesPerEnd is how many of the first and of the last lines of a long table are
+// printed.
+const shownLinesPerEnd = 4
 
-func printShort(text string) {
+func printAbbreviated(text string) {
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	for i, line := range lines {
 		switch {
-		case i < shownLines || i >= len(lines)-shownLines:
+		case i < shownLinesPerEnd || i >= len(lines)-shownLinesPerEnd:
 			fmt.Println(line)
-		case i == shownLines:
-			fmt.Printf("... %d more\n", len(lines)-2*shownLines)
+		case i == shownLinesPerEnd:
+			fmt.Printf("... %d more\n", len(lines)-2*shownLinesPerEnd)
 		}
 	}
 }
 
-// starts is what the demo reads of a runner's record.
-type starts struct {
+// startRecord has the fields that the demo uses from a runner's record of starts.
+type startRecord struct {
 	Tasks map[string]int `json:"tasks"`
 	Total int            `json:"total"`
 }
 
-// countStarts judges from the runners' own records that no task ran twice, at
-// one runner or at two.
-func (d *demo) countStarts(ctx context.Context) error {
-	fmt.Println("\nWhat the runners started")
-	times := map[string]int{}
+// verifyStarts checks, using the runners' own records, that every task was started exactly
+// once, counting the starts on all runners together.
+func (d *demo) verifyStarts(ctx context.Context) error {
+	fmt.Println("\nTasks started by the runners")
+	startCounts := map[string]int{}
 	total := 0
 	for _, address := range d.runners {
-		var s starts
+		var s startRecord
 		if err := getJSON(ctx, "http://"+address+"/standin/starts", &s); err != nil {
 			return err
 		}
 		fmt.Printf("  runner %s: %d tasks\n", address, s.Total)
 		total += s.Total
 		for task, n := range s.Tasks {
-			times[task] += n
+			startCounts[task] += n
 		}
 	}
-	fmt.Printf("  together %d starts of %d tasks\n", total, len(times))
-	if total != tasks || len(times) != tasks {
-		return errStarts
+	fmt.Printf("  total: %d starts of %d tasks\n", total, len(startCounts))
+	if total != taskCount || len(startCounts) != taskCount {
+		return errDuplicateOrMissingStarts
 	}
 	return nil
 }
@@ -247,7 +248,7 @@
 	return d.almondstand(ctx, "report", "control")
 }
 
-// almondstand runs a verb of the command line and shows what it prints.
+// almondstand runs a subcommand of the command-line tool and prints its output.
 func (d *demo) almondstand(ctx context.Context, args ...string) error {
 	fmt.Println("$ almondstand", strings.ReplaceAll(strings.Join(args, " "), d.dir+"/", ""))
 	cmd := d.command(ctx, args...)
@@ -274,7 +275,7 @@
 	return cmd
 }
 
-func awaitReady(ctx context.Context, address string) error {
+func waitUntilReady(ctx context.Context, address string) error {
 	return poll(ctx, address+" to be ready", func() bool {
 		resp, err := http.Get("http://" + address + "/readyz")
 		if err != nil {
@@ -289,15 +290,15 @@
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("waited for %s: %w", what, ctx.Err())
-		case <-time.After(pollPause):
+			return fmt.Errorf("waiting for %s: %w", what, ctx.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// getJSON reads an interface of an operator's kind.
-func getJSON(ctx context.Context, url string, into any) error {
+// getJSON reads a JSON response from an operator's API, with the operator's token.
+func getJSON(ctx context.Context, url string, target any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -311,5 +312,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: %s", url, resp.Status)
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(resp.Body).Decode(target)
 }
--- a/standin/cmd/demo/files.go
+++ b/standin/cmd/demo/files.go
@@ -9,39 +9,39 @@
 	"path/filepath"
 )
 
-// Tokens of the demo; a deployment draws its own.
+// Tokens and names used in the demo; a deployment must generate its own tokens.
 const (
 	secret        = "demo-secret"
 	operatorToken = "demo-operator"
 	callerToken   = "demo-caller"
-	customer      = "rebuild-shop"
+	clientAccount = "rebuild-shop"
 	service       = "teardown"
-	zone          = "zagreb"
+	dataCentre    = "zagreb"
 )
 
-// Forms of the settings files; docs/SETTINGS.md lists every field.
+// Formats of the settings files; docs/SETTINGS.md documents all fields.
 type (
 	entryFile struct {
-		ID        string        `json:"id"`
-		Zone      string        `json:"zone"`
-		Listen    entryListen   `json:"listen"`
-		Platform  platformPart  `json:"platform"`
-		Peers     peersPart     `json:"peers"`
-		Operators operatorsPart `json:"operators"`
+		ID        string            `json:"id"`
+		Zone      string            `json:"zone"`
+		Listen    entryListen       `json:"listen"`
+		Platform  platformSettings  `json:"platform"`
+		Peers     peersSettings     `json:"peers"`
+		Operators operatorsSettings `json:"operators"`
 	}
 	entryListen struct {
 		Callers   string `json:"callers"`
 		Internal  string `json:"internal"`
 		Operators string `json:"operators"`
 	}
-	platformPart struct {
+	platformSettings struct {
 		Addresses []string `json:"addresses"`
 	}
-	peersPart struct {
+	peersSettings struct {
 		Seeds  []string `json:"seeds"`
 		Secret string   `json:"secret"`
 	}
-	operatorsPart struct {
+	operatorsSettings struct {
 		TokenDigest string `json:"token_digest"`
 	}
 	guardFile struct {
@@ -57,7 +57,7 @@
 	}
 )
 
-// Forms of the contract and the job.
+// Formats of the contract and the job.
 type (
 	contractFile struct {
 		Customer     string   `json:"customer"`
@@ -84,14 +84,14 @@
 
 // Size of the job.
 const (
-	tasks     = 100
-	shortest  = 50 // milliseconds
-	perTaskMs = 4  // each task runs this much longer than the one before
+	taskCount  = 100
+	shortestMs = 50 // milliseconds
+	perTaskMs  = 4  // each task runs this much longer than the previous one
 )
 
 func demoContract() contractFile {
 	return contractFile{
-		Customer:     customer,
+		Customer:     clientAccount,
 		Rate:         200,
 		Burst:        400,
 		InFlight:     400,
@@ -104,19 +104,19 @@
 	}
 }
 
-// demoJob returns the job and its run times in all, in milliseconds.
-func demoJob() (job jobFile, total int) {
+// demoJob returns the job and the sum of its tasks' run times in milliseconds.
+func demoJob() (job jobFile, totalMs int) {
 	job.Service = service
-	for i := range tasks {
-		ms := shortest + i*perTaskMs
-		total += ms
+	for i := range taskCount {
+		ms := shortestMs + i*perTaskMs
+		totalMs += ms
 		job.Tasks = append(job.Tasks, taskFile{
 			Kind:    "lookup",
 			Text:    fmt.Sprintf(`{"run":"%dms","echo":"part %d: in stock"}`, ms, i),
 			RunTime: fmt.Sprintf("%dms", ms),
 		})
 	}
-	return job, total
+	return job, totalMs
 }
 
 func digest(token string) string {
@@ -124,7 +124,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// write writes a file of the demo's folder and returns its path.
+// write writes v as JSON to a file in the demo's directory and returns the path.
 func (d *demo) write(name string, v any) (string, error) {
 	raw, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,7 +1,7 @@
-// Command demo shows the whole path on one machine: it starts a store, two
-// entries, two guards with their runners and one bare runner as processes of
-// their own, applies a contract, submits a job of 100 tasks, prints the answer
-// and the reports, and ends everything that it started.
+// Command demo demonstrates the whole system on one host: it starts a store, two
+// entries, two guards with their runners, and one runner without a guard, each as
+// a separate process. It applies a contract, submits a job of 100 tasks, prints
+// the response and the reports, and stops all processes it started.
 package main
 
 import (
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// limit bounds the whole demo.
-const limit = 2 * time.Minute
+// timeout limits the run time of the whole demo.
+const timeout = 2 * time.Minute
 
 func main() {
-	bin := flag.String("bin", "bin", "folder of the programs")
+	bin := flag.String("bin", "bin", "directory of the programs")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := run(ctx, *bin); err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
@@ -38,7 +38,7 @@
 	}
 	d := &demo{bin: bin, dir: dir}
 	defer func() {
-		err = errors.Join(err, d.end(), os.RemoveAll(dir))
+		err = errors.Join(err, d.stopProcesses(), os.RemoveAll(dir))
 	}()
 	for _, step := range []func(context.Context) error{
 		d.startStore,
@@ -46,9 +46,9 @@
 		d.startGuards,
 		d.startRunners,
 		d.applyContract,
-		d.awaitEndpoints,
+		d.waitForEndpoints,
 		d.submitJob,
-		d.countStarts,
+		d.verifyStarts,
 		d.report,
 	} {
 		if err := step(ctx); err != nil {
--- a/standin/cmd/demo/process.go
+++ b/standin/cmd/demo/process.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// endLimit is how long one process may take to end gracefully.
-const endLimit = 45 * time.Second
+// stopTimeout is how long one process may take to stop gracefully; then it is killed.
+const stopTimeout = 45 * time.Second
 
 var (
-	errSilent = errors.New("process printed no address")
-	errStuck  = errors.New("process did not end and was killed")
+	errNoAddress   = errors.New("process printed no address")
+	errStopTimeout = errors.New("process did not stop in time and was killed")
 )
 
 // process is one process that the demo started.
@@ -30,11 +30,12 @@
 	done chan error
 }
 
-// stage begins a group of processes that end side by side.
-func (d *demo) stage() { d.stages = append(d.stages, nil) }
+// newStartGroup begins a group of processes that are stopped in parallel.
+func (d *demo) newStartGroup() { d.startGroups = append(d.startGroups, nil) }
 
-// start starts a program of the bin folder; it logs into the demo's folder.
-// With an address it waits for the first line on stdout, "name address".
+// start starts a program of the bin directory; its log goes to the demo's directory. If
+// withAddress is set, it waits for the first line on stdout, "name address", and returns
+// the address.
 func (d *demo) start(name string, withAddress bool, args ...string) (address string, err error) {
 	log, err := os.Create(filepath.Join(d.dir, name+".log"))
 	if err != nil {
@@ -43,7 +44,7 @@
 	cmd := exec.Command(filepath.Join(d.bin, args[0]), args[1:]...)
 	cmd.Env = append(os.Environ(), "ALMOND_SECRET="+secret)
 	cmd.Stderr = log
-	// A demo that is killed must not leave processes behind.
+	// If the demo is killed, the kernel must kill its child processes as well.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stdout, err := cmd.StdoutPipe()
 	if err != nil {
@@ -53,7 +54,7 @@
 		return "", err
 	}
 	p := &process{name: name, cmd: cmd, log: log, done: make(chan error, 1)}
-	d.stages[len(d.stages)-1] = append(d.stages[len(d.stages)-1], p)
+	d.startGroups[len(d.startGroups)-1] = append(d.startGroups[len(d.startGroups)-1], p)
 	lines := bufio.NewScanner(stdout)
 	if withAddress {
 		address, err = firstAddress(lines)
@@ -72,69 +73,71 @@
 
 func firstAddress(lines *bufio.Scanner) (string, error) {
 	if !lines.Scan() {
-		return "", errSilent
+		return "", errNoAddress
 	}
 	_, address, found := strings.Cut(lines.Text(), " ")
 	if !found {
-		return "", errSilent
+		return "", errNoAddress
 	}
 	return address, nil
 }
 
-// end ends the processes gracefully, the youngest stage first, so that each
-// finds what it needs while it leaves. Those of a stage end side by side.
-func (d *demo) end() error {
-	if len(d.stages) > 0 {
-		fmt.Println("\nEnding what was started")
+// stopProcesses stops the processes gracefully, the most recently started group first, so
+// that the processes that others depend on are available while those shut down. The
+// processes of a group are stopped in parallel.
+func (d *demo) stopProcesses() error {
+	if len(d.startGroups) > 0 {
+		fmt.Println("\nStopping processes")
 	}
-	var all error
-	for i := len(d.stages) - 1; i >= 0; i-- {
-		all = errors.Join(all, endStage(d.stages[i]))
+	var errs error
+	for i := len(d.startGroups) - 1; i >= 0; i-- {
+		errs = errors.Join(errs, stopGroup(d.startGroups[i]))
 	}
-	return all
+	return errs
 }
 
-func endStage(stage []*process) error {
-	results := make([]error, len(stage))
-	var all sync.WaitGroup
-	for i, p := range stage {
-		all.Go(func() { results[i] = p.end() })
+func stopGroup(group []*process) error {
+	results := make([]error, len(group))
+	var stops sync.WaitGroup
+	for i, p := range group {
+		stops.Go(func() { results[i] = p.stop() })
 	}
-	all.Wait()
+	stops.Wait()
 	return errors.Join(results...)
 }
 
-func (p *process) end() error {
+func (p *process) stop() error {
 	defer func() { _ = p.log.Close() }()
-	began := time.Now()
+	start := time.Now()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.done:
 		if err != nil {
-			return p.explain(err)
+			return p.withLogTail(err)
 		}
-		fmt.Printf("  %-10s ended in %s\n", p.name, time.Since(began).Round(10*time.Millisecond))
+		fmt.Printf("  %-10s stopped in %s\n", p.name, time.Since(start).Round(10*time.Millisecond))
 		return nil
-	case <-time.After(endLimit):
+	case <-time.After(stopTimeout):
 		_ = p.cmd.Process.Kill()
 		<-p.done
-		return p.explain(errStuck)
+		return p.withLogTail(errStopTimeout)
 	}
 }
 
-// logTail is how much of a log goes into an error, in bytes.
-const logTail = 2000
+// maxLogTail is the maximum size of the log excerpt in an error, in bytes.
+const maxLogTail = 2000
 
-func (p *process) explain(err error) error {
+func (p *process) withLogTail(err error) error {
 	text, _ := os.ReadFile(p.log.Name())
-	if len(text) > logTail {
-		text = text[len(text)-logTail:]
+	if len(text) > maxLogTail {
+		text = text[len(text)-maxLogTail:]
 	}
 	return fmt.Errorf("%s: %w\n%s", p.name, err, text)
 }
 
-// freeAddress asks the kernel for a port that is free now. Another process may
-// take it before it is used; the demo then says so and can be started again.
+// freeAddress returns a loopback address with a currently free port, chosen by the kernel.
+// Another process may take the port before it is used; the demo then fails with an error
+// and can be started again.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/standin/cmd/standin/docs_test.go
+++ b/standin/cmd/standin/docs_test.go
@@ -10,15 +10,15 @@
 	"almondstand.dev/eventlog"
 )
 
-var update = flag.Bool("docs.update", false, "write the catalogue of events anew")
+var update = flag.Bool("docs.update", false, "rewrite the catalogue of events")
 
-// This program imports every stand-in, so that its catalogue is whole.
+// This program imports all stand-ins, so its event catalogue contains all their events.
 func TestEventsCatalogue(t *testing.T) {
 	const path = "../../../docs/EVENTS.md"
 	raw, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	owned := eventlog.Between(9000, 9999)
-	want := eventlog.Update(string(raw), eventlog.Catalogue(), owned)
+	standinEvents := eventlog.Between(9000, 9999)
+	want := eventlog.Update(string(raw), eventlog.Catalogue(), standinEvents)
 	if *update {
 		assert.NilError(t, os.WriteFile(path, []byte(want), 0o644))
 		return
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -1,7 +1,7 @@
-// Command standin runs stand-ins for what the project's processes talk to: the
-// platform's store, a service's runner, and a network that fails. They are for
-// tests, the demo and the bench, and are never shipped. Each prints the
-// addresses it listens on, one "name address" a line.
+// Command standin runs stand-ins for the external systems that the project's
+// processes communicate with: the platform's store, a service's runner, and an
+// unreliable network. They are for tests, the demo and the bench, and are never
+// shipped. Each prints the addresses it listens on, one line "name address" each.
 package main
 
 import (
@@ -19,7 +19,7 @@
 )
 
 const (
-	anyPort           = "127.0.0.1:0"
+	anyLoopbackPort   = "127.0.0.1:0"
 	readHeaderTimeout = 10 * time.Second
 )
 
@@ -37,12 +37,12 @@
 	}
 }
 
-// addSignals ends a group on the first SIGINT or SIGTERM.
+// addSignals adds an actor to the group that stops it on the first SIGINT or SIGTERM.
 func addSignals(g *run.Group) {
 	g.Add(run.SignalHandler(context.Background(), os.Interrupt, syscall.SIGTERM))
 }
 
-// wait runs a group to its end; a signal is a normal end.
+// wait runs the group until it stops. A stop because of a signal is not an error.
 func wait(g *run.Group) error {
 	err := g.Run()
 	if errors.Is(err, run.ErrSignal) {
@@ -51,7 +51,7 @@
 	return err
 }
 
-// listen opens an address and prints it under the name.
+// listen opens a listener on the address and prints the name and the actual address.
 func listen(name, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return l, nil
 }
 
-// addServer serves a handler in the group.
+// addServer adds an HTTP server for the handler to the group.
 func addServer(g *run.Group, l net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	g.Add(func() error {
--- a/standin/cmd/standin/runner.go
+++ b/standin/cmd/standin/runner.go
@@ -15,14 +15,14 @@
 	"almondstand.dev/telemetry"
 )
 
-// leaveGrace is how long a leaving runner stays after its last task, so that
-// work sent before the news of its leaving arrived still finds it.
-const leaveGrace = 4 * time.Second
+// drainGrace is how long a draining runner continues to serve after its last task. Tasks
+// that were sent before the announcement of its draining arrived are still served.
+const drainGrace = 4 * time.Second
 
-const idleCheck = 20 * time.Millisecond
+const idleCheckInterval = 20 * time.Millisecond
 
-// runnerSecretEnv names the variable that holds the cluster's secret: on the
-// command line every user of the host could read it.
+// runnerSecretEnv is the environment variable with the cluster's secret. It isn't a
+// flag, since every user of the host can read the command lines of processes.
 const runnerSecretEnv = "ALMOND_SECRET"
 
 func runnerCommand() *cobra.Command {
@@ -30,10 +30,10 @@
 	var address string
 	cmd := &cobra.Command{
 		Use:   "runner",
-		Short: "Serve tasks that run, fail and refuse as their payload asks",
-		Long: "Serve tasks that run, fail and refuse as their payload asks.\n" +
-			"SIGTERM makes it leave: it announces that, finishes what runs and exits.\n" +
-			"SIGINT ends it at once. " + runnerSecretEnv + " holds the cluster's secret.",
+		Short: "Serve tasks whose run time, failure or rejection is set by their payload",
+		Long: "Serve tasks whose run time, failure or rejection is set by their payload.\n" +
+			"SIGTERM drains it: it announces that, finishes the running tasks and exits.\n" +
+			"SIGINT stops it immediately. " + runnerSecretEnv + " holds the cluster's secret.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			logger, err := telemetry.NewLogger(os.Stderr, "info", telemetry.FormatText)
@@ -46,13 +46,13 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&address, "listen", anyPort, "IP and port")
+	f.StringVar(&address, "listen", anyLoopbackPort, "IP and port")
 	f.StringVar(&o.Service, "service", "teardown", "name of the service")
 	f.StringVar(&o.Zone, "zone", "", "data centre")
-	f.IntVar(&o.Slots, "slots", runner.DefaultSlots, "tasks at once")
-	f.IntVar(&o.Connections, "connections", runner.DefaultConnections, "open connections at most")
-	f.DurationVar(&o.TTL, "ttl", runner.DefaultTTL, "how long an announcement holds")
-	f.StringSliceVar(&o.AnnounceTo, "announce", nil, "base URLs of a guard, or of entries for a bare runner")
+	f.IntVar(&o.Slots, "slots", runner.DefaultSlots, "maximum number of concurrent tasks")
+	f.IntVar(&o.Connections, "connections", runner.DefaultConnections, "maximum number of open connections")
+	f.DurationVar(&o.TTL, "ttl", runner.DefaultTTL, "how long an announcement remains valid")
+	f.StringSliceVar(&o.AnnounceTo, "announce", nil, "base URLs of a guard, or of entries for a runner without a guard")
 	return cmd
 }
 
@@ -69,7 +69,7 @@
 	g.Add(run.SignalHandler(context.Background(), os.Interrupt))
 	addServer(&g, r.Listener(l), r.Handler())
 	addAnnouncer(&g, r, l.Addr())
-	addLeaver(&g, r)
+	addDrainOnSignal(&g, r)
 	return wait(&g)
 }
 
@@ -78,9 +78,9 @@
 	g.Add(func() error { return r.Announce(ctx, address.String()) }, func(error) { stop() })
 }
 
-// addLeaver makes the runner leave on SIGTERM and ends the group when nothing
-// runs any more.
-func addLeaver(g *run.Group, r *runner.Runner) {
+// addDrainOnSignal adds an actor to the group that drains the runner on SIGTERM and stops
+// the group when no task has run for drainGrace.
+func addDrainOnSignal(g *run.Group, r *runner.Runner) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	done := make(chan struct{})
 	g.Add(func() error {
@@ -90,24 +90,24 @@
 			return nil
 		}
 		r.Leave()
-		return untilIdle(r, done)
+		return waitUntilIdle(r, done)
 	}, func(error) {
 		close(done)
 		stop()
 	})
 }
 
-func untilIdle(r *runner.Runner, done <-chan struct{}) error {
-	ticker := time.NewTicker(idleCheck)
+func waitUntilIdle(r *runner.Runner, done <-chan struct{}) error {
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
-	last := time.Now()
+	lastBusy := time.Now()
 	for {
 		select {
 		case now := <-ticker.C:
 			if !r.Idle() {
-				last = now
+				lastBusy = now
 			}
-			if now.Sub(last) > leaveGrace {
+			if now.Sub(lastBusy) > drainGrace {
 				return nil
 			}
 		case <-done:
--- a/standin/cmd/standin/store.go
+++ b/standin/cmd/standin/store.go
@@ -30,6 +30,6 @@
 			return wait(&g)
 		},
 	}
-	cmd.Flags().StringVar(&address, "listen", anyPort, "IP and port")
+	cmd.Flags().StringVar(&address, "listen", anyLoopbackPort, "IP and port")
 	return cmd
 }
