--- a/standin/store/api.go
+++ b/standin/store/api.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// serveTxn serves a transaction: comparisons of modification revisions, and puts and
-// ranges as its operations.
+// serveTxn serves a transaction. It supports comparisons of modification revisions for
+// equality, and puts and ranges as operations.
 func (s *Store) serveTxn(_ context.Context, w http.ResponseWriter, in *txnRequest) {
 	for _, c := range in.Compare {
 		if c.Target != "MOD" || c.Result != "EQUAL" {
