--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -87,7 +87,7 @@
 
 // Both ends keep their connection open, but no bytes are forwarded any more, while a new
 // connection works: this happens when a middlebox loses its connection table.
-func TestForgottenConnectionStaysSilent(t *testing.T) {
+func TestBlackholedConnectionStaysSilent(t *testing.T) {
 	r, dial := serve(t)
 	existing := dial()
 	send(t, existing, "a")
@@ -158,7 +158,7 @@
 
 // A blackholed connection must be freed once both ends have closed it; otherwise the
 // relay leaks memory.
-func TestForgottenConnectionIsFreedWhenBothEndsClose(t *testing.T) {
+func TestBlackholedConnectionIsFreedWhenBothEndsClose(t *testing.T) {
 	r, dial := serve(t)
 	conn := dial()
 	send(t, conn, "a")
