--- a/e2e/store_test.go
+++ b/e2e/store_test.go
@@ -298,7 +298,7 @@
 
 // The store is down when an entry starts that has never run. It learns the
 // contracts and the other entries from a peer and serves, in the same limits.
-func TestFreshEntryDuringOutage(t *testing.T) {
+func TestNewEntryDuringOutage(t *testing.T) {
 	sideBySide(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Spare: 1, Guards: 2, EntrySettings: hasty})
 	apply(t, c.Entries[0], 1)
