--- a/bench/capacity/page.go
+++ b/bench/capacity/page.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Hosts is the number of hosts that users expect in two years.
-const Hosts = 3300
+// TargetHosts is the number of hosts that users expect in two years.
+const TargetHosts = 3300
 
 // minExponent and maxExponent limit the exponent of the extrapolation. Because of the
 // minimum, a quantity that fell as hosts were added is not extrapolated to fall
@@ -58,7 +58,7 @@
 	var b strings.Builder
 	b.WriteString("| hosts | served | of the smallest | rules broken |\n|---|---|---|---|\n")
 	for i, n := range s.Hosts {
-		fmt.Fprintf(&b, "| %d | %.3f | %.3f | %d |\n", n, s.Served[i], s.Served[i]/s.Served[0], s.Broken[i])
+		fmt.Fprintf(&b, "| %d | %.3f | %.3f | %d |\n", n, s.Served[i], s.Served[i]/s.Served[0], s.RulesBroken[i])
 	}
 	return b.String()
 }
@@ -70,7 +70,7 @@
 	for _, n := range s.Hosts {
 		fmt.Fprintf(&b, " %d hosts |", n)
 	}
-	fmt.Fprintf(&b, " power | carried on to %d |\n|---|%s---|---|\n", Hosts, strings.Repeat("---|", len(s.Hosts)))
+	fmt.Fprintf(&b, " power | carried on to %d |\n|---|%s---|---|\n", TargetHosts, strings.Repeat("---|", len(s.Hosts)))
 	rows := 0
 	for _, r := range s.Rows {
 		if r.Role != name {
@@ -81,7 +81,7 @@
 		for _, v := range r.Busiest {
 			fmt.Fprintf(&b, " %s |", number(v))
 		}
-		fmt.Fprintf(&b, " %.2f | %s |\n", r.Power, number(s.extrapolate(r)))
+		fmt.Fprintf(&b, " %.2f | %s |\n", r.Exponent, number(s.extrapolate(r)))
 	}
 	if rows == 0 {
 		return "", fmt.Errorf("%w: sweep %s knows no role %q", ErrPage, s.ID, name)
@@ -93,8 +93,8 @@
 // size by the row's power law.
 func (s Sweep) extrapolate(r Row) float64 {
 	last := len(s.Hosts) - 1
-	power := min(max(r.Power, minExponent), maxExponent)
-	return r.Busiest[last] * math.Pow(float64(Hosts)/float64(s.Hosts[last]), power)
+	power := min(max(r.Exponent, minExponent), maxExponent)
+	return r.Busiest[last] * math.Pow(float64(TargetHosts)/float64(s.Hosts[last]), power)
 }
 
 // number formats a value with three significant digits.
--- a/bench/capacity/sweep.go
+++ b/bench/capacity/sweep.go
@@ -27,9 +27,9 @@
 	// Served is the fraction of the answers owed to callers that they were credited
 	// with, by size.
 	Served []float64
-	// Broken is the number of rules violated, by size.
-	Broken []int
-	Rows   []Row
+	// RulesBroken is the number of rules violated, by size.
+	RulesBroken []int
+	Rows        []Row
 }
 
 // Row holds the values of one quantity of one role.
@@ -37,9 +37,9 @@
 	Role, Quantity string
 	// Busiest is the value at the busiest host, by size.
 	Busiest []float64
-	// Power is the exponent with which the value at the busiest host grows with the
+	// Exponent is the exponent with which the value at the busiest host grows with the
 	// number of hosts.
-	Power float64
+	Exponent float64
 }
 
 // entry holds the fields of a journal file that are used.
@@ -87,7 +87,7 @@
 		}
 		s.Hosts = append(s.Hosts, hosts)
 		s.Served = append(s.Served, d.Served)
-		s.Broken = append(s.Broken, len(d.Rules))
+		s.RulesBroken = append(s.RulesBroken, len(d.Rules))
 	}
 	if !slices.IsSorted(s.Hosts) || len(s.Hosts) == 0 {
 		return s, fmt.Errorf("%w: %s: sizes %v", ErrSweep, e.ID, s.Hosts)
@@ -124,7 +124,7 @@
 		}
 		numbers[i] = n
 	}
-	r := Row{Role: m[1], Quantity: m[2], Power: numbers[2*sizes]}
+	r := Row{Role: m[1], Quantity: m[2], Exponent: numbers[2*sizes]}
 	for i := range sizes {
 		r.Busiest = append(r.Busiest, numbers[2*i+1])
 	}
--- a/bench/cmd/almondreplay/main.go
+++ b/bench/cmd/almondreplay/main.go
@@ -35,8 +35,8 @@
 			}
 			for _, l := range loads {
 				var results []*replay.Result
-				for _, w := range replay.Ways() {
-					results = append(results, replay.Play(l, w, seed))
+				for _, w := range replay.Policies() {
+					results = append(results, replay.Simulate(l, w, seed))
 				}
 				if err := replay.Write(cmd.OutOrStdout(), results); err != nil {
 					return err
@@ -59,8 +59,8 @@
 	var all sync.WaitGroup
 	for i, l := range loads {
 		all.Go(func() {
-			production := replay.Play(l, replay.Ways()[0], seed)
-			pairs[i] = append([]*replay.Result{production}, replay.Yardstick(l, seed)...)
+			production := replay.Simulate(l, replay.Policies()[0], seed)
+			pairs[i] = append([]*replay.Result{production}, replay.Oracle(l, seed)...)
 		})
 	}
 	all.Wait()
--- a/bench/cmd/benchentry/main.go
+++ b/bench/cmd/benchentry/main.go
@@ -48,7 +48,7 @@
 	}
 	n, err := node.New(s, node.Options{
 		Logger: logger,
-		NewDecider: func(node.Settings) scheduler.Decider {
+		NewPolicy: func(node.Settings) scheduler.Policy {
 			return scheduler.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		},
 	})
--- a/bench/experiment/experiment.go
+++ b/bench/experiment/experiment.go
@@ -31,29 +31,29 @@
 	CallerDelay settings.Duration `json:"caller_delay"`
 	// Load is the offered work as a fraction of all slots.
 	Load float64 `json:"load"`
-	// Lumpy is the fraction of jobs that is sent to the first entry in addition to its
+	// FirstEntryShare is the fraction of jobs that is sent to the first entry in addition to its
 	// equal share.
-	Lumpy    float64           `json:"lumpy"`
-	Warmup   settings.Duration `json:"warmup"`
-	Duration settings.Duration `json:"duration"`
-	MinRun   settings.Duration `json:"min_run"`
-	MeanRun  settings.Duration `json:"mean_run"`
-	MaxRun   settings.Duration `json:"max_run"`
-	// DeclaredOff is the factor by which declared run times are wrong; with 0, no run
+	FirstEntryShare float64           `json:"lumpy"`
+	Warmup          settings.Duration `json:"warmup"`
+	Duration        settings.Duration `json:"duration"`
+	MinRun          settings.Duration `json:"min_run"`
+	MeanRun         settings.Duration `json:"mean_run"`
+	MaxRun          settings.Duration `json:"max_run"`
+	// DeclaredError is the factor by which declared run times are wrong; with 0, no run
 	// times are declared.
-	DeclaredOff float64 `json:"declared_off"`
-	// Zones is the number of data centres over which entries and endpoints are
+	DeclaredError float64 `json:"declared_off"`
+	// DataCentres is the number of data centres over which entries and endpoints are
 	// distributed in turn. Delay applies to every connection, also within a data
 	// centre.
-	Zones int `json:"zones"`
+	DataCentres int `json:"zones"`
 	// Impossible is the fraction of jobs that can never run: their service doesn't
 	// exist.
 	Impossible float64 `json:"impossible,omitempty"`
-	// Returns is how many times a caller retries a rejected job after its Retry-After.
-	Returns   int        `json:"returns"`
-	Customers []Customer `json:"customers"`
-	Bursts    []Burst    `json:"bursts,omitempty"`
-	Faults    []Fault    `json:"faults,omitempty"`
+	// MaxRetries is how many times a caller retries a rejected job after its Retry-After.
+	MaxRetries int      `json:"returns"`
+	Clients    []Client `json:"customers"`
+	Bursts     []Burst  `json:"bursts,omitempty"`
+	Faults     []Fault  `json:"faults,omitempty"`
 	// CancelShare is the fraction of jobs that are cancelled, each by a call with its
 	// id, between CancelAt and one second later.
 	CancelShare float64           `json:"cancel_share,omitempty"`
@@ -62,8 +62,8 @@
 	Variant baseline.Variant `json:"variant"`
 }
 
-// Customer is one client's contract and its share of the load.
-type Customer struct {
+// Client is one client's contract and its share of the load.
+type Client struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
 	// Urgency and AnswerTime are those of the contract, and so are Rate, Burst and
@@ -89,7 +89,7 @@
 const (
 	KillGuard   FaultKind = "kill_guard"
 	KillEntry   FaultKind = "kill_entry"
-	Straggle    FaultKind = "straggle"
+	SlowRunner  FaultKind = "straggle"
 	FailAll     FaultKind = "fail_all"
 	StoreDown   FaultKind = "store_down"
 	FreezeGuard FaultKind = "freeze_guard"
@@ -109,24 +109,24 @@
 // Default returns the size of the current installation: eleven endpoints, four entries.
 func Default() Experiment {
 	return Experiment{
-		Seed:        7,
-		Entries:     4,
-		Guards:      11,
-		Slots:       8,
-		Connections: 64,
-		Zones:       1,
-		Queue:       -1,
-		Delay:       settings.Duration(500 * time.Microsecond),
-		CallerDelay: settings.Duration(3 * time.Millisecond),
-		Load:        0.8,
-		Lumpy:       0.4,
-		Warmup:      settings.Duration(3 * time.Second),
-		Duration:    settings.Duration(12 * time.Second),
-		MinRun:      settings.Duration(50 * time.Millisecond),
-		MeanRun:     settings.Duration(300 * time.Millisecond),
-		MaxRun:      settings.Duration(5 * time.Second),
-		Returns:     2,
-		Customers: []Customer{
+		Seed:            7,
+		Entries:         4,
+		Guards:          11,
+		Slots:           8,
+		Connections:     64,
+		DataCentres:     1,
+		Queue:           -1,
+		Delay:           settings.Duration(500 * time.Microsecond),
+		CallerDelay:     settings.Duration(3 * time.Millisecond),
+		Load:            0.8,
+		FirstEntryShare: 0.4,
+		Warmup:          settings.Duration(3 * time.Second),
+		Duration:        settings.Duration(12 * time.Second),
+		MinRun:          settings.Duration(50 * time.Millisecond),
+		MeanRun:         settings.Duration(300 * time.Millisecond),
+		MaxRun:          settings.Duration(5 * time.Second),
+		MaxRetries:      2,
+		Clients: []Client{
 			{Name: "fitters", Weight: 3, Urgency: 8, AnswerTime: settings.Duration(10 * time.Second)},
 			{Name: "events", Weight: 1, Urgency: 2, AnswerTime: settings.Duration(20 * time.Second)},
 		},
@@ -145,20 +145,20 @@
 // spec returns the description of the job stream, including the warm-up.
 func (e Experiment) spec() workload.Spec {
 	s := workload.Spec{
-		Seed:        e.Seed,
-		Slots:       e.slots(),
-		Load:        e.Load,
-		Duration:    e.Warmup.Std() + e.Duration.Std(),
-		Entries:     e.Entries,
-		Lumpy:       e.Lumpy,
-		MinRun:      e.MinRun.Std(),
-		MeanRun:     e.MeanRun.Std(),
-		MaxRun:      e.MaxRun.Std(),
-		DeclaredOff: e.DeclaredOff,
-		Impossible:  e.Impossible,
+		Seed:            e.Seed,
+		Slots:           e.slots(),
+		Load:            e.Load,
+		Duration:        e.Warmup.Std() + e.Duration.Std(),
+		Entries:         e.Entries,
+		FirstEntryShare: e.FirstEntryShare,
+		MinRun:          e.MinRun.Std(),
+		MeanRun:         e.MeanRun.Std(),
+		MaxRun:          e.MaxRun.Std(),
+		DeclaredError:   e.DeclaredError,
+		Impossible:      e.Impossible,
 	}
-	for _, c := range e.Customers {
-		s.Customers = append(s.Customers, workload.Share{Customer: c.Name, Weight: c.Weight})
+	for _, c := range e.Clients {
+		s.Clients = append(s.Clients, workload.ClientShare{Client: c.Name, Weight: c.Weight})
 	}
 	for _, b := range e.Bursts {
 		s.Bursts = append(s.Bursts, workload.Burst{At: e.Warmup.Std() + b.At.Std(), For: b.For.Std(), Factor: b.Factor})
--- a/bench/experiment/near.go
+++ b/bench/experiment/near.go
@@ -44,4 +44,4 @@
 
 // dataCentreOf returns the data centre of the i-th entry or endpoint; both are
 // distributed over the data centres in turn.
-func (e Experiment) dataCentreOf(i int) int { return i % max(1, e.Zones) }
+func (e Experiment) dataCentreOf(i int) int { return i % max(1, e.DataCentres) }
--- a/bench/experiment/play.go
+++ b/bench/experiment/play.go
@@ -34,11 +34,11 @@
 func (r *run) play(ctx context.Context, j workload.Job, startedAt time.Time) {
 	ctx, stop := context.WithTimeout(ctx, callLimit)
 	defer stop()
-	c := &caller{run: r, job: j, client: r.clients[j.Customer]}
+	c := &caller{run: r, job: j, client: r.clients[j.Client]}
 	cancelled := r.isCancelled(j) && c.cancelIn(ctx, time.Until(startedAt.Add(r.cancelAt(j))))
 	submittedAt := time.Now()
 	reply := c.submit(ctx)
-	for c.tries <= r.e.Returns && c.waitForRetry(ctx, reply) {
+	for c.tries <= r.e.MaxRetries && c.waitForRetry(ctx, reply) {
 		reply = c.submit(ctx)
 	}
 	if j.At < r.e.Warmup.Std() || cancelled {
@@ -127,33 +127,33 @@
 	time.AfterFunc(wait, func() {
 		began := time.Now()
 		_, err := c.client.Cancel(context.WithoutCancel(ctx), address, ids[0])
-		c.result.AddCancel(time.Since(began), err == nil)
+		c.result.AddCancellation(time.Since(began), err == nil)
 	})
 	return true
 }
 
 func (c *caller) observe(reply harness.Reply, took time.Duration) result.Observation {
 	o := result.Observation{
-		At:       c.job.At - c.e.Warmup.Std(),
-		Customer: c.job.Customer,
-		Tasks:    len(c.job.Runs),
-		Took:     took,
-		Waited:   c.waited,
-		Ideal:    Ideal(c.e, c.job),
-		Tries:    c.tries,
-		Work:     c.job.Work(),
+		At:          c.job.At - c.e.Warmup.Std(),
+		Client:      c.job.Client,
+		Tasks:       len(c.job.Runs),
+		Took:        took,
+		RetryWait:   c.waited,
+		Ideal:       Ideal(c.e, c.job),
+		Submissions: c.tries,
+		Work:        c.job.Work(),
 	}
 	if reply.Answer == nil {
-		o.End = result.NoAnswer
+		o.Outcome = result.Unanswered
 		return o
 	}
-	o.End = endOf(reply.Answer)
+	o.Outcome = endOf(reply.Answer)
 	o.Code = code(reply.Answer)
-	o.LastTook = reply.Answer.Took
+	o.LastSubmissionTook = reply.Answer.Took
 	return o
 }
 
-func endOf(a *harness.Answer) result.End {
+func endOf(a *harness.Answer) result.Outcome {
 	switch {
 	case a.Status == http.StatusOK:
 		return result.Complete
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -83,7 +83,7 @@
 
 func (e Experiment) zones() []string {
 	var names []string
-	for i := range max(1, e.Zones) {
+	for i := range max(1, e.DataCentres) {
 		names = append(names, fmt.Sprintf("zone-%d", i+1))
 	}
 	return names
@@ -107,9 +107,9 @@
 	if err := r.removeHostDelay(); err != nil {
 		return err
 	}
-	for _, c := range r.e.Customers {
+	for _, c := range r.e.Clients {
 		k := harness.Contract(c.Name)
-		k.Urgency = c.Urgency
+		k.Priority = c.Urgency
 		k.AnswerTime = contract.Duration(c.AnswerTime)
 		if c.Rate > 0 {
 			k.Rate = c.Rate
@@ -134,7 +134,7 @@
 // measure submits the stream of jobs. Each job is submitted at its time of arrival,
 // regardless of earlier answers (open loop).
 func (r *run) measure(ctx context.Context) (*result.Result, error) {
-	jobs := workload.Make(r.e.spec())
+	jobs := workload.Generate(r.e.spec())
 	before, err := readUsage(ctx, r.cluster)
 	if err != nil {
 		return nil, err
@@ -181,8 +181,8 @@
 		r.cluster.Guards[f.Target].Kill()
 	case KillEntry:
 		r.killEntry(f.Target)
-	case Straggle:
-		r.switchRunner(f, runner.Switches{Straggle: f.Factor})
+	case SlowRunner:
+		r.switchRunner(f, runner.Switches{RunTimeFactor: f.Factor})
 	case FailAll:
 		r.switchRunner(f, runner.Switches{FailAll: true})
 	case StoreDown:
@@ -228,9 +228,9 @@
 	out.Verdict = harness.Judge(starts, r.replies)
 	out.Starts = starts.Total
 	out.Messages = after.messages.minus(before.messages)
-	out.Count(len(r.replies))
-	out.NearShare = r.nearShare()
-	out.BackAfter = r.backToNormal()
+	out.ComputeMessageCounts(len(r.replies))
+	out.SameDataCentreShare = r.nearShare()
+	out.Recovery = r.backToNormal()
 	out.Processes = after.perProcess(before, took)
 	return out, nil
 }
--- a/bench/replay/arrivals.go
+++ b/bench/replay/arrivals.go
@@ -53,7 +53,7 @@
 
 // addCrashingJobs adds the jobs that crash runners.
 func (l Load) addCrashingJobs(random *rand.Rand, all []arrival) []arrival {
-	for _, p := range l.Poison {
+	for _, p := range l.CrashingJobs {
 		for range p.Jobs {
 			a := l.draw(random, p.Kind, simStart+p.At+time.Duration(random.Int64N(int64(time.Second))))
 			a.crashAfter = p.After
@@ -107,20 +107,20 @@
 
 // drawEntry returns the number of the entry that receives a job. The entry depends on
 // the caller's address alone, as with a load balancer that hashes addresses.
-func (z Zone) drawEntry(random *rand.Rand) int {
-	if z.Clients == 0 {
+func (z DataCentre) drawEntry(random *rand.Rand) int {
+	if z.Addresses == 0 {
 		return random.IntN(z.Entries)
 	}
-	address := rand.New(rand.NewPCG(addressStream, uint64(random.IntN(z.Clients))))
+	address := rand.New(rand.NewPCG(addressStream, uint64(random.IntN(z.Addresses))))
 	return address.IntN(z.Entries)
 }
 
-func (l Load) drawDataCentre(random *rand.Rand) Zone {
+func (l Load) drawDataCentre(random *rand.Rand) DataCentre {
 	share := random.Float64()
-	for _, z := range l.Zones {
+	for _, z := range l.DataCentres {
 		if share -= z.Callers; share < 0 {
 			return z
 		}
 	}
-	return l.Zones[0]
+	return l.DataCentres[0]
 }
--- a/bench/replay/guard.go
+++ b/bench/replay/guard.go
@@ -29,16 +29,16 @@
 	table      *runs.Table
 	sessions   []*session
 	// running holds the runs in progress at the runner.
-	running  map[work.RunName]bool
+	running  map[work.RunnerRunID]bool
 	endSeq   int64
-	fault    Wrong
+	fault    FaultKind
 	slowdown float64
 	// cpu is the capacity of its runner, in thousandths of a core.
 	cpu int64
 }
 
 func newGuard(s *sim, n int, dataCentre string) *guard {
-	g := &guard{sim: s, id: fmt.Sprintf("guard-%d", n), dataCentre: dataCentre, table: runs.New(runs.Options{}), running: map[work.RunName]bool{}, slowdown: 1, cpu: s.load.runnerCPU(n)}
+	g := &guard{sim: s, id: fmt.Sprintf("guard-%d", n), dataCentre: dataCentre, table: runs.New(runs.Options{}), running: map[work.RunnerRunID]bool{}, slowdown: 1, cpu: s.load.runnerCPU(n)}
 	g.startRunner()
 	s.after(sweepInterval, g.sweep)
 	return g
@@ -48,28 +48,28 @@
 func (g *guard) startRunner() {
 	g.generation++
 	g.endSeq = 0
-	g.running = map[work.RunName]bool{}
+	g.running = map[work.RunnerRunID]bool{}
 	g.deliver(g.table.Adopt(g.sim.now, runs.Process{Incarnation: g.incarnation(), Service: service}))
-	g.table.Describe(work.Amounts{CPUMilli: g.cpu}, nil, false)
+	g.table.SetCapacity(work.Amounts{CPUMilli: g.cpu}, nil, false)
 	g.applyAccount(nil)
 }
 
 // incarnation returns the identity of the runner process. Every other process keeps the
 // id of its predecessor, so that the times of birth alone tell these two apart.
 func (g *guard) incarnation() work.Incarnation {
-	return work.Incarnation{ID: fmt.Sprint(g.id, "-", g.generation/2), Born: 1 + int64(g.generation)}
+	return work.Incarnation{ID: fmt.Sprint(g.id, "-", g.generation/2), StartedMilli: 1 + int64(g.generation)}
 }
 
-func (g *guard) injectFault(t Trouble) {
-	g.fault, g.slowdown = t.Wrong, max(t.Times, 1)
-	if t.Wrong == Gone {
-		g.deliver(sortByTask(g.table.Lose(g.sim.now)))
+func (g *guard) injectFault(t RunnerFault) {
+	g.fault, g.slowdown = t.Kind, max(t.Times, 1)
+	if t.Kind == Gone {
+		g.deliver(sortByTask(g.table.RemoveProcess(g.sim.now)))
 	}
 }
 
-func (g *guard) clearFault(t Trouble) {
+func (g *guard) clearFault(t RunnerFault) {
 	g.fault, g.slowdown = 0, 1
-	if t.Wrong == Gone {
+	if t.Kind == Gone {
 		g.startRunner()
 	}
 }
@@ -79,7 +79,7 @@
 	l := g.session(e)
 	defer l.confirmRead(read)
 	owner := l.owner
-	g.table.Alive(owner, sent)
+	g.table.EntryAlive(owner, sent)
 	l.setPending(pending, demand)
 	var reports []runs.Report
 	for _, id := range o.stops {
@@ -89,7 +89,7 @@
 	}
 	g.sim.result.Orders += len(o.starts)
 	for _, x := range o.starts {
-		start, refused := g.table.Ask(g.sim.now, sent, owner, runs.Order{Run: x.Run, Need: x.Need, Life: x.Life})
+		start, refused := g.table.Admit(g.sim.now, sent, owner, runs.Order{Run: x.Run, Need: x.Need, TimeLeft: x.TimeLeft})
 		if refused != nil {
 			g.sim.result.countRefusedOrder(refused.Refusal)
 			reports = append(reports, *refused)
@@ -104,7 +104,7 @@
 }
 
 // start makes the runner start a run, and end it after its run time.
-func (g *guard) start(e *entry, x planner.Start, name work.RunName) {
+func (g *guard) start(e *entry, x planner.Start, name work.RunnerRunID) {
 	job := e.jobs[x.Run.Task.Job]
 	generation := g.generation
 	g.sim.after(runnerDelay, func() {
@@ -150,15 +150,15 @@
 	g.sim.result.countCrash(by)
 	g.generation++
 	g.fault = Gone
-	g.running = map[work.RunName]bool{}
-	g.sim.after(leaseExpiry, func() { g.deliver(sortByTask(g.table.Lapse(g.sim.now, true))) })
+	g.running = map[work.RunnerRunID]bool{}
+	g.sim.after(leaseExpiry, func() { g.deliver(sortByTask(g.table.LeaseExpired(g.sim.now, true))) })
 	g.sim.after(restartTime, func() {
 		g.fault = 0
 		g.startRunner()
 	})
 }
 
-func (g *guard) run(name work.RunName, d time.Duration) {
+func (g *guard) run(name work.RunnerRunID, d time.Duration) {
 	switch g.fault {
 	case Hanging:
 		return
@@ -170,7 +170,7 @@
 }
 
 // end ends a run after a delay, unless it has ended by then.
-func (g *guard) end(name work.RunName, in time.Duration, how work.How) {
+func (g *guard) end(name work.RunnerRunID, in time.Duration, how work.EndState) {
 	generation := g.generation
 	g.sim.after(in, func() {
 		if g.generation != generation || !g.running[name] {
@@ -178,13 +178,13 @@
 		}
 		delete(g.running, name)
 		g.endSeq++
-		g.applyAccount([]work.End{{Seq: g.endSeq, Run: name, How: how}})
+		g.applyAccount([]work.End{{Seq: g.endSeq, Run: name, State: how}})
 	})
 }
 
 // applyAccount passes the runner's state and the ended runs to the run table.
 func (g *guard) applyAccount(ends []work.End) {
-	reports := g.table.Read(g.sim.now, g.sim.now, work.Account{Running: slices.Collect(maps.Keys(g.running)), Ends: ends})
+	reports := g.table.ApplyListing(g.sim.now, g.sim.now, work.Listing{Running: slices.Collect(maps.Keys(g.running)), Ends: ends})
 	g.deliver(sortByTask(reports))
 }
 
@@ -193,8 +193,8 @@
 	stops := g.table.Stops(g.sim.now)
 	slices.SortFunc(stops, func(a, b runs.Stop) int { return byTask(a.Name.Task, b.Name.Task) })
 	for _, x := range stops {
-		g.table.Barred(g.sim.now, x.Name)
-		g.end(x.Name, stopGrace, work.Broken)
+		g.table.StopAcknowledged(g.sim.now, x.Name)
+		g.end(x.Name, stopGrace, work.Interrupted)
 	}
 }
 
@@ -217,7 +217,7 @@
 // deliver sends reports to the entries that own the runs and advertises a changed
 // capacity.
 func (g *guard) deliver(reports []runs.Report) {
-	advertise.Capacity(toTime(g.sim.now), g.table.Capacity(), g.table.HasFree(), g.sessions)
+	advertise.Schedule(toTime(g.sim.now), g.table.Capacity(), g.table.HasCapacity(), g.sessions)
 	for _, r := range reports {
 		for _, l := range g.sessions {
 			if l.owner == r.Owner {
@@ -230,7 +230,7 @@
 // hasCapacity reports whether the runner can take a task with these needs.
 func (g *guard) hasCapacity(need work.Amounts) bool {
 	r := g.table.Capacity()
-	return r.Open && need.Fits(r.Total.Sub(r.Used))
+	return r.AcceptsStarts && need.Fits(r.Total.Sub(r.Used))
 }
 
 // toTime converts simulated time into the type that package advertise takes.
--- a/bench/replay/large.go
+++ b/bench/replay/large.go
@@ -27,13 +27,13 @@
 			{Name: "long", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeLongRate, Deadline: 3 * wait, Urgency: 2},
 			{Name: "pair", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largePairRate, Deadline: wait, Urgency: 1},
 		},
-		Zones: []Zone{
-			{Name: "a", Entries: 10, Runners: 40, Callers: 0.19, Clients: 16},
-			{Name: "b", Entries: 11, Runners: 40, Callers: 0.15, Clients: 13},
-			{Name: "c", Entries: 9, Runners: 40, Callers: 0.19, Clients: 17},
-			{Name: "d", Entries: 8, Runners: 40, Callers: 0.16, Clients: 14},
-			{Name: "e", Entries: 9, Runners: 40, Callers: 0.15, Clients: 12},
-			{Name: "f", Entries: 8, Runners: 40, Callers: 0.16, Clients: 13},
+		DataCentres: []DataCentre{
+			{Name: "a", Entries: 10, Runners: 40, Callers: 0.19, Addresses: 16},
+			{Name: "b", Entries: 11, Runners: 40, Callers: 0.15, Addresses: 13},
+			{Name: "c", Entries: 9, Runners: 40, Callers: 0.19, Addresses: 17},
+			{Name: "d", Entries: 8, Runners: 40, Callers: 0.16, Addresses: 14},
+			{Name: "e", Entries: 9, Runners: 40, Callers: 0.15, Addresses: 12},
+			{Name: "f", Entries: 8, Runners: 40, Callers: 0.16, Addresses: 13},
 		},
 	}
 }
@@ -49,10 +49,10 @@
 	burst := largeLoad("large-burst").scaled(1.1)
 	burst.Bursts = []Burst{{At: 2 * time.Second, For: 4 * time.Second, Times: 1.35}}
 	failing := largeLoad("large-failing").scaled(1.1)
-	failing.Troubles = []Trouble{{At: 2 * time.Second, For: 4 * time.Second, Wrong: Failing, Runners: 3}}
+	failing.RunnerFaults = []RunnerFault{{At: 2 * time.Second, For: 4 * time.Second, Kind: Failing, Runners: 3}}
 	gone := largeLoad("large-gone").scaled(1.1)
-	gone.Troubles = []Trouble{{At: 2 * time.Second, For: 3 * time.Second, Wrong: Gone, Runners: 6}}
+	gone.RunnerFaults = []RunnerFault{{At: 2 * time.Second, For: 3 * time.Second, Kind: Gone, Runners: 6}}
 	restart := largeLoad("large-restart").scaled(1.1)
-	restart.Troubles = []Trouble{{At: 2 * time.Second, For: 1500 * time.Millisecond, Wrong: Gone, Runners: 40}}
+	restart.RunnerFaults = []RunnerFault{{At: 2 * time.Second, For: 1500 * time.Millisecond, Kind: Gone, Runners: 40}}
 	return []Load{calm, over, wideBurst, burst, failing, gone, restart}
 }
--- a/bench/replay/link.go
+++ b/bench/replay/link.go
@@ -82,7 +82,7 @@
 // Changed implements advertise.Session.
 func (l *session) Changed(r runs.Capacity) bool {
 	t := l.sentCapacity
-	return t.Open != r.Open || t.Cleared != r.Cleared || t.Incarnation != r.Incarnation || t.Total != r.Total
+	return t.AcceptsStarts != r.AcceptsStarts || t.Reconciled != r.Reconciled || t.Incarnation != r.Incarnation || t.Total != r.Total
 }
 
 // SendAt implements advertise.Session.
@@ -102,15 +102,15 @@
 func (l *session) Withhold() { l.capacityDue = never }
 
 // Unread implements advertise.Session.
-func (l *session) Unread() bool { return l.read < l.capacitySent }
+func (l *session) Unacknowledged() bool { return l.read < l.capacitySent }
 
 // SendOnceRead implements advertise.Session.
-func (l *session) SendOnceRead() { l.capacityDue, l.awaitingRead = never, true }
+func (l *session) SendOnceAcknowledged() { l.capacityDue, l.awaitingRead = never, true }
 
 // confirmRead records up to which message the entry has received.
 func (l *session) confirmRead(read time.Duration) {
 	l.read = max(l.read, read)
-	if l.awaitingRead && !l.Unread() {
+	if l.awaitingRead && !l.Unacknowledged() {
 		l.awaitingRead = false
 		l.guard.deliver(nil)
 	}
@@ -155,11 +155,11 @@
 	due := l.capacityDue <= now || l.withReports && l.reportsDue <= now
 	reports := l.reports
 	l.reports, l.reportsDue = nil, never
-	var capacity *planner.Room
+	var capacity *planner.EndpointStatus
 	if due {
 		r := l.guard.table.Capacity()
 		l.sentCapacity, l.capacitySent, l.capacityDue, l.withReports = r, now, never, false
-		capacity = &planner.Room{Service: service, Runner: r.Incarnation, Open: r.Open, Total: r.Total, Used: r.Used, Cleared: r.Cleared}
+		capacity = &planner.EndpointStatus{Service: service, Runner: r.Incarnation, AcceptsStarts: r.AcceptsStarts, Total: r.Total, Used: r.Used, Reconciled: r.Reconciled}
 	}
 	l.guard.sim.result.Messages++
 	e := l.entry
@@ -170,17 +170,17 @@
 }
 
 // receive handles a guard's message.
-func (e *entry) receive(guard string, sent time.Duration, reports []runs.Report, capacity *planner.Room) {
+func (e *entry) receive(guard string, sent time.Duration, reports []runs.Report, capacity *planner.EndpointStatus) {
 	e.clocks[guard] = clockReading{sent, e.sim.now}
 	for _, r := range reports {
 		if r.State == runs.Crashed {
-			e.plan.Crash(e.sim.now, guard, r.Run, r.Ran(sent), planner.Crash{Others: r.Crash.Others, Newest: r.Crash.Newest})
+			e.plan.ReportCrash(e.sim.now, guard, r.Run, r.RunTime(sent), planner.Crash{OtherCount: r.Crash.OtherCount, Newest: r.Crash.Newest})
 			continue
 		}
-		e.plan.Report(e.sim.now, guard, r.Run, changeOf(r), r.Ran(sent))
+		e.plan.ReportRun(e.sim.now, guard, r.Run, changeOf(r), r.RunTime(sent))
 	}
 	if capacity != nil {
-		e.plan.Describe(e.sim.now, guard, *capacity)
+		e.plan.UpdateEndpoint(e.sim.now, guard, *capacity)
 	}
 	e.runPlanner()
 	if capacity != nil {
@@ -191,7 +191,7 @@
 // confirmCapacity tells a guard after a short delay that its capacity was received,
 // unless another message to the guard has done so by then; see entry/sessions.
 func (e *entry) confirmCapacity(guard string, sent time.Duration) {
-	pending, _ := e.plan.Waiting(e.sim.now, guard)
+	pending, _ := e.plan.PendingDemand(e.sim.now, guard)
 	if !pending || e.sim.now-sent-messageDelay > confirmAge {
 		return
 	}
@@ -202,7 +202,7 @@
 	})
 }
 
-func changeOf(r runs.Report) planner.Change {
+func changeOf(r runs.Report) planner.RunEvent {
 	switch r.State {
 	case runs.Running:
 		return planner.Running
@@ -214,11 +214,11 @@
 		return planner.Stopped
 	}
 	switch r.Refusal {
-	case runs.Full:
-		return planner.NoRoom
-	case runs.Unwell:
+	case runs.InsufficientCapacity:
+		return planner.NoCapacity
+	case runs.RunnerFailed:
 		return planner.NotStarted
 	default:
-		return planner.NotTaken
+		return planner.NotAccepted
 	}
 }
--- a/bench/replay/load.go
+++ b/bench/replay/load.go
@@ -25,18 +25,18 @@
 	Urgency int
 }
 
-// Zone is a data centre with its entries and runners and its share of the callers.
-type Zone struct {
+// DataCentre is a data centre with its entries and runners and its share of the callers.
+type DataCentre struct {
 	Name             string
 	Entries, Runners int
 	Callers          float64
-	// Clients is the number of addresses from which the callers come. Each address
+	// Addresses is the number of addresses from which the callers come. Each address
 	// always uses the same entry, so that entries have uneven loads. Zero spreads the
 	// callers evenly.
-	Clients int
+	Addresses int
 	// Share is the share of a core that each entry host has; zero disables the
 	// simulation of processor time.
-	Share float64
+	CPUShare float64
 }
 
 // Burst multiplies the rate of one kind, or of all kinds if Kind is empty.
@@ -46,13 +46,13 @@
 	Kind    string
 }
 
-// Wrong is a kind of runner fault.
-type Wrong int
+// FaultKind is a kind of runner fault.
+type FaultKind int
 
 // Runner faults.
 const (
 	// Slow: runs take Times as long.
-	Slow Wrong = iota + 1
+	Slow FaultKind = iota + 1
 	// Failing: runs fail at once.
 	Failing
 	// Hanging: runs don't end unless they are stopped.
@@ -61,28 +61,28 @@
 	Gone
 )
 
-// Trouble is a fault of the first Runners runners of each data centre, from At on and
+// RunnerFault is a fault of the first Runners runners of each data centre, from At on and
 // for the duration For.
-type Trouble struct {
+type RunnerFault struct {
 	At, For time.Duration
-	Wrong   Wrong
+	Kind    FaultKind
 	Runners int
 	Times   float64
 }
 
-// Poison submits Jobs jobs of one kind, spread over a second. Each has one task that
+// CrashingJobs submits Jobs jobs of one kind, spread over a second. Each has one task that
 // crashes every runner on which it starts, After its start. The runner returns a few
 // seconds later.
-type Poison struct {
+type CrashingJobs struct {
 	At    time.Duration
 	Jobs  int
 	Kind  int
 	After time.Duration
 }
 
-// Held slows the processors of all entries that have a share of a core by the factor
+// EntrySlowdown slows the processors of all entries that have a share of a core by the factor
 // Times.
-type Held struct {
+type EntrySlowdown struct {
 	At, For time.Duration
 	Times   float64
 }
@@ -95,13 +95,13 @@
 	RunnerCPU int64
 	// Sizes are factors of RunnerCPU that the runners have in turn; if empty, all
 	// runners are alike.
-	Sizes    []float64
-	Kinds    []Kind
-	Zones    []Zone
-	Bursts   []Burst
-	Troubles []Trouble
-	Held     []Held
-	Poison   []Poison
+	Sizes          []float64
+	Kinds          []Kind
+	DataCentres    []DataCentre
+	Bursts         []Burst
+	RunnerFaults   []RunnerFault
+	EntrySlowdowns []EntrySlowdown
+	CrashingJobs   []CrashingJobs
 }
 
 // runnerCPU returns the capacity of the n-th runner, in thousandths of a core.
@@ -142,7 +142,7 @@
 			{Name: "long", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 2900, PerSecond: longRate, Deadline: 3 * time.Second},
 			{Name: "pair", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 2900, PerSecond: pairRate, Deadline: 1500 * time.Millisecond},
 		},
-		Zones: []Zone{
+		DataCentres: []DataCentre{
 			{Name: "a", Entries: 2, Runners: 10, Callers: 0.28},
 			{Name: "b", Entries: 2, Runners: 10, Callers: 0.28},
 			{Name: "c", Entries: 2, Runners: 10, Callers: 0.22},
@@ -159,12 +159,12 @@
 	narrowBurst := base("narrow-burst")
 	narrowBurst.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 4, Kind: "narrow"}}
 	slow := base("slow")
-	slow.Troubles = []Trouble{{At: 4 * time.Second, For: 5 * time.Second, Wrong: Slow, Runners: 1, Times: 5}}
+	slow.RunnerFaults = []RunnerFault{{At: 4 * time.Second, For: 5 * time.Second, Kind: Slow, Runners: 1, Times: 5}}
 	failing := base("failing")
-	failing.Troubles = []Trouble{{At: 4 * time.Second, For: 5 * time.Second, Wrong: Failing, Runners: 1}}
+	failing.RunnerFaults = []RunnerFault{{At: 4 * time.Second, For: 5 * time.Second, Kind: Failing, Runners: 1}}
 	hanging := base("hanging")
-	hanging.Troubles = []Trouble{{At: 4 * time.Second, For: 5 * time.Second, Wrong: Hanging, Runners: 1}}
+	hanging.RunnerFaults = []RunnerFault{{At: 4 * time.Second, For: 5 * time.Second, Kind: Hanging, Runners: 1}}
 	gone := base("gone")
-	gone.Troubles = []Trouble{{At: 4 * time.Second, For: 3 * time.Second, Wrong: Gone, Runners: 3}}
+	gone.RunnerFaults = []RunnerFault{{At: 4 * time.Second, For: 3 * time.Second, Kind: Gone, Runners: 3}}
 	return append([]Load{calm, burst, narrowBurst, slow, failing, hanging, gone}, slices.Concat(smallLoads(), largeLoads(), thinEntryLoads(), crashLoads())...)
 }
--- a/bench/replay/poison.go
+++ b/bench/replay/poison.go
@@ -16,14 +16,14 @@
 func (l Load) withCrashingJobs(name string, jobs int, after time.Duration) Load {
 	l.Name = name
 	l.Bursts = nil
-	l.Poison = []Poison{{At: 2 * time.Second, Jobs: jobs, Kind: longestDeadlineKind, After: after}}
+	l.CrashingJobs = []CrashingJobs{{At: 2 * time.Second, Jobs: jobs, Kind: longestDeadlineKind, After: after}}
 	return l
 }
 
 func crashLoads() []Load {
 	thirty := smallLoad("").scaled(30.0 / 11 * 0.95 * fullLoad)
 	thirty.For = 8 * time.Second
-	thirty.Zones = []Zone{
+	thirty.DataCentres = []DataCentre{
 		{Name: "a", Entries: 2, Runners: 10, Callers: 0.34},
 		{Name: "b", Entries: 2, Runners: 10, Callers: 0.33},
 		{Name: "c", Entries: 1, Runners: 10, Callers: 0.33},
--- a/bench/replay/replay_test.go
+++ b/bench/replay/replay_test.go
@@ -24,9 +24,9 @@
 // play simulates a load with the production policy.
 func play(t *testing.T, name string) *replay.Result {
 	t.Helper()
-	r := replay.Play(load(t, name), replay.Ways()[0], 1)
-	t.Logf("%s: on time %.3f; late %d, rejected %d, failed %d of %d", name, r.All.Share(), r.All.Late, r.All.Refused, r.All.Failed, r.All.Asked)
-	assert.Equal(t, r.Denied, 0, "jobs were reported as not run although a run had started")
+	r := replay.Simulate(load(t, name), replay.Policies()[0], 1)
+	t.Logf("%s: on time %.3f; late %d, rejected %d, failed %d of %d", name, r.All.OnTimeShare(), r.All.Late, r.All.Rejected, r.All.Failed, r.All.Submitted)
+	assert.Equal(t, r.RejectedAfterStart, 0, "jobs were reported as not run although a run had started")
 	return r
 }
 
@@ -34,8 +34,8 @@
 // deadline.
 func playSimple(t *testing.T, name string) *replay.Result {
 	t.Helper()
-	r := replay.Play(load(t, name), replay.Ways()[1], 1)
-	t.Logf("%s, the simple policy: on time %.3f", name, r.All.Share())
+	r := replay.Simulate(load(t, name), replay.Policies()[1], 1)
+	t.Logf("%s, the simple policy: on time %.3f", name, r.All.OnTimeShare())
 	return r
 }
 
@@ -43,8 +43,8 @@
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
 	ours := play(t, "calm")
-	assert.Assert(t, ours.All.Share() > 0.995)
-	assert.Equal(t, ours.All.Refused+ours.All.Failed, 0)
+	assert.Assert(t, ours.All.OnTimeShare() > 0.995)
+	assert.Equal(t, ours.All.Rejected+ours.All.Failed, 0)
 }
 
 // TestBurst: jobs arrive at nearly twice the rate that the runners can handle. Served
@@ -54,14 +54,14 @@
 func TestBurst(t *testing.T) {
 	t.Parallel()
 	ours, simple := play(t, "burst"), playSimple(t, "burst")
-	assert.Assert(t, ours.All.Share() > 2*simple.All.Share())
-	assert.Assert(t, ours.All.Share() > 0.8)
-	assert.Assert(t, ours.All.Late < ours.All.Asked/40)
-	assert.Assert(t, ours.Windows["  10 s"].Share() > 0.97)
-	assert.Assert(t, ours.Slowest(0.99) < time.Second, "%s", ours.Slowest(0.99))
-	for _, part := range []map[string]*replay.Count{ours.Sizes, ours.Zones, ours.Kinds} {
+	assert.Assert(t, ours.All.OnTimeShare() > 2*simple.All.OnTimeShare())
+	assert.Assert(t, ours.All.OnTimeShare() > 0.8)
+	assert.Assert(t, ours.All.Late < ours.All.Submitted/40)
+	assert.Assert(t, ours.Windows["  10 s"].OnTimeShare() > 0.97)
+	assert.Assert(t, ours.RejectionTime(0.99) < time.Second, "%s", ours.RejectionTime(0.99))
+	for _, part := range []map[string]*replay.Count{ours.Sizes, ours.DataCentres, ours.Kinds} {
 		for name, c := range part {
-			assert.Assert(t, c.Share() > 0.7, "%s is neglected in favour of others: %.3f", name, c.Share())
+			assert.Assert(t, c.OnTimeShare() > 0.7, "%s is neglected in favour of others: %.3f", name, c.OnTimeShare())
 		}
 	}
 }
@@ -72,12 +72,12 @@
 func TestNarrowBurst(t *testing.T) {
 	t.Parallel()
 	ours, simple := play(t, "narrow-burst"), playSimple(t, "narrow-burst")
-	assert.Assert(t, ours.All.Share() > 0.85)
-	assert.Assert(t, ours.Kinds["narrow"].Share() > 0.75)
-	assert.Assert(t, ours.All.Late < ours.All.Asked/50)
-	assert.Assert(t, ours.All.Share() > simple.All.Share()+0.2)
+	assert.Assert(t, ours.All.OnTimeShare() > 0.85)
+	assert.Assert(t, ours.Kinds["narrow"].OnTimeShare() > 0.75)
+	assert.Assert(t, ours.All.Late < ours.All.Submitted/50)
+	assert.Assert(t, ours.All.OnTimeShare() > simple.All.OnTimeShare()+0.2)
 	for _, kind := range []string{"long", "pair"} {
-		assert.Assert(t, ours.Kinds[kind].Share() > 0.85, "%s suffers from the burst of another kind", kind)
+		assert.Assert(t, ours.Kinds[kind].OnTimeShare() > 0.85, "%s suffers from the burst of another kind", kind)
 	}
 }
 
@@ -88,8 +88,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ours := play(t, name)
-			assert.Assert(t, ours.All.Share() > 0.955)
-			assert.Assert(t, ours.All.Failed < ours.All.Asked/200)
+			assert.Assert(t, ours.All.OnTimeShare() > 0.955)
+			assert.Assert(t, ours.All.Failed < ours.All.Submitted/200)
 		})
 	}
 }
@@ -99,20 +99,20 @@
 func TestRunnersGone(t *testing.T) {
 	t.Parallel()
 	ours, simple := play(t, "gone"), playSimple(t, "gone")
-	assert.Assert(t, ours.All.Share() > 0.9)
-	assert.Assert(t, ours.All.Share() > simple.All.Share()+0.1)
-	assert.Assert(t, ours.Windows["  10 s"].Share() > 0.97)
+	assert.Assert(t, ours.All.OnTimeShare() > 0.9)
+	assert.Assert(t, ours.All.OnTimeShare() > simple.All.OnTimeShare()+0.1)
+	assert.Assert(t, ours.Windows["  10 s"].OnTimeShare() > 0.97)
 }
 
 // TestReplayRepeats: the same seed gives the same result.
 func TestReplayRepeats(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"hanging", "gone", "poison-20", "thin-slow"} {
-		l, w := load(t, name), replay.Ways()[0]
+		l, w := load(t, name), replay.Policies()[0]
 		l.For = 6 * time.Second
-		a, b := replay.Play(l, w, 7), replay.Play(l, w, 7)
+		a, b := replay.Simulate(l, w, 7), replay.Simulate(l, w, 7)
 		assert.DeepEqual(t, a.All, b.All)
-		assert.DeepEqual(t, a.Misplaced, b.Misplaced)
+		assert.DeepEqual(t, a.RefusedOrders, b.RefusedOrders)
 		assert.Equal(t, a.Messages, b.Messages)
 	}
 }
@@ -120,8 +120,8 @@
 // shareOfOracle returns the share of jobs that production answers on time, relative to
 // the oracle's.
 func shareOfOracle(ours *replay.Result, l replay.Load) float64 {
-	best := replay.Best(ours, replay.Yardstick(l, 1), func(r *replay.Result) float64 { return r.All.Share() })
-	return ours.All.Share() / best
+	best := replay.Best(ours, replay.Oracle(l, 1), func(r *replay.Result) float64 { return r.All.OnTimeShare() })
+	return ours.All.OnTimeShare() / best
 }
 
 // TestOverloadThatLasts: up to one and a half times the capacity is asked for during
@@ -134,7 +134,7 @@
 		ours := play(t, name)
 		share := shareOfOracle(ours, load(t, name))
 		assert.Assert(t, share > 0.93 && share <= 1, "%s: %.3f of the oracle", name, share)
-		assert.Assert(t, ours.Kinds["hold"].Share() >= ours.Kinds["quote"].Share()-0.05, "the urgent jobs are served worse than the others")
+		assert.Assert(t, ours.Kinds["hold"].OnTimeShare() >= ours.Kinds["quote"].OnTimeShare()-0.05, "the urgent jobs are served worse than the others")
 	}
 }
 
@@ -144,15 +144,15 @@
 func TestRestartAtFullLoad(t *testing.T) {
 	t.Parallel()
 	ours := play(t, "restart")
-	assert.Assert(t, ours.All.Served() > 0.83, "%.3f served", ours.All.Served())
-	assert.Assert(t, ours.Windows["  10 s"].Share() > 0.8)
+	assert.Assert(t, ours.All.AnsweredShare() > 0.83, "%.3f served", ours.All.AnsweredShare())
+	assert.Assert(t, ours.Windows["  10 s"].OnTimeShare() > 0.8)
 }
 
 // TestYardstick: without faults the oracle serves all jobs.
 func TestYardstick(t *testing.T) {
 	t.Parallel()
-	for _, r := range replay.Yardstick(load(t, "calm"), 1) {
-		assert.Assert(t, r.All.Share() > 0.999, "%s: %.3f", r.Way, r.All.Share())
+	for _, r := range replay.Oracle(load(t, "calm"), 1) {
+		assert.Assert(t, r.All.OnTimeShare() > 0.999, "%s: %.3f", r.Policy, r.All.OnTimeShare())
 	}
 }
 
@@ -164,13 +164,13 @@
 	t.Parallel()
 	calm, wideBurst := load(t, "large-calm"), load(t, "large-wide-burst")
 	calm.For, wideBurst.For = 1500*time.Millisecond, 3*time.Second
-	w := replay.Ways()[0]
-	ours := replay.Play(calm, w, 1)
-	assert.Assert(t, ours.All.Share() > 0.995, "%.3f", ours.All.Share())
-	assert.Equal(t, ours.All.Refused+ours.All.Failed, 0)
-	ours = replay.Play(wideBurst, w, 1)
-	assert.Assert(t, ours.Kinds["pair"].Served() > 0.85, "%.3f", ours.Kinds["pair"].Served())
-	assert.Assert(t, ours.Kinds["wide"].Served() > 0.85, "%.3f", ours.Kinds["wide"].Served())
+	w := replay.Policies()[0]
+	ours := replay.Simulate(calm, w, 1)
+	assert.Assert(t, ours.All.OnTimeShare() > 0.995, "%.3f", ours.All.OnTimeShare())
+	assert.Equal(t, ours.All.Rejected+ours.All.Failed, 0)
+	ours = replay.Simulate(wideBurst, w, 1)
+	assert.Assert(t, ours.Kinds["pair"].AnsweredShare() > 0.85, "%.3f", ours.Kinds["pair"].AnsweredShare())
+	assert.Assert(t, ours.Kinds["wide"].AnsweredShare() > 0.85, "%.3f", ours.Kinds["wide"].AnsweredShare())
 }
 
 // TestThinEntriesAreServedAfterABurst guards against a congestion collapse. One data
@@ -209,12 +209,12 @@
 // like the others from 2 s after the end of a load's disturbance on, which ends at 6 s.
 func assertRecovered(t *testing.T, name string, seed uint64) {
 	t.Helper()
-	r := replay.Play(load(t, name), replay.Ways()[0], seed)
+	r := replay.Simulate(load(t, name), replay.Policies()[0], seed)
 	for _, w := range []string{"   8 s", "  10 s"} {
-		thin, all := *r.ZoneWindows["thin"+w], *r.Windows[w]
-		others := replay.Count{Asked: all.Asked - thin.Asked, InAim: all.InAim - thin.InAim}
-		t.Logf("%s: on time %.3f, in the other data centres %.3f", w, thin.Share(), others.Share())
-		assert.Check(t, thin.Share() > others.Share()-0.03, "%s: the data centre is not served like the others", w)
+		thin, all := *r.DataCentreWindows["thin"+w], *r.Windows[w]
+		others := replay.Count{Submitted: all.Submitted - thin.Submitted, OnTime: all.OnTime - thin.OnTime}
+		t.Logf("%s: on time %.3f, in the other data centres %.3f", w, thin.OnTimeShare(), others.OnTimeShare())
+		assert.Check(t, thin.OnTimeShare() > others.OnTimeShare()-0.03, "%s: the data centre is not served like the others", w)
 	}
 }
 
@@ -229,9 +229,9 @@
 			t.Parallel()
 			r := play(t, name)
 			mean, most := r.CrashesEach()
-			t.Logf("runners crashed: %.2f by each, %d at most; other jobs failed: %d", mean, most, r.GivenUp)
+			t.Logf("runners crashed: %.2f by each, %d at most; other jobs failed: %d", mean, most, r.FailedByCrashes)
 			assert.Assert(t, most <= 3)
-			assert.Equal(t, r.GivenUp, 0)
+			assert.Equal(t, r.FailedByCrashes, 0)
 		})
 	}
 }
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -18,54 +18,56 @@
 
 // Count counts jobs by outcome.
 type Count struct {
-	Asked, InAim, Late, Refused, Failed int
+	Submitted, OnTime, Late, Rejected, Failed int
 }
 
-// Share is the share of jobs answered within their target response time.
-func (c Count) Share() float64 { return float64(c.InAim) / float64(max(c.Asked, 1)) }
+// OnTimeShare is the share of jobs answered within their target response time.
+func (c Count) OnTimeShare() float64 { return float64(c.OnTime) / float64(max(c.Submitted, 1)) }
 
-// Served is the share of jobs answered at all.
-func (c Count) Served() float64 { return float64(c.InAim+c.Late) / float64(max(c.Asked, 1)) }
+// AnsweredShare is the share of jobs answered at all.
+func (c Count) AnsweredShare() float64 {
+	return float64(c.OnTime+c.Late) / float64(max(c.Submitted, 1))
+}
 
 // Result is the result of one simulation.
 type Result struct {
-	Load, Way string
-	All       Count
+	Load, Policy string
+	All          Count
 	// Counts by kind, size class, data centre and time window of the arrival.
-	Kinds, Sizes, Zones, Windows map[string]*Count
-	// ZoneWindows holds counts by data centre and time window of the arrival.
-	ZoneWindows map[string]*Count
-	// RefusedIn holds the times from arrival to rejection of the rejected jobs.
-	RefusedIn []time.Duration
-	// RefusedWithRoom is the number of rejections while some runner had capacity for a
+	Kinds, Sizes, DataCentres, Windows map[string]*Count
+	// DataCentreWindows holds counts by data centre and time window of the arrival.
+	DataCentreWindows map[string]*Count
+	// RejectionTimes holds the times from arrival to rejection of the rejected jobs.
+	RejectionTimes []time.Duration
+	// RejectedWithCapacity is the number of rejections while some runner had capacity for a
 	// task.
-	RefusedWithRoom int
-	// Misplaced counts the start orders that a guard refused, by reason.
-	Misplaced map[string]int
-	// Denied is the number of jobs that were reported as rejected although one of their
+	RejectedWithCapacity int
+	// RefusedOrders counts the start orders that a guard refused, by reason.
+	RefusedOrders map[string]int
+	// RejectedAfterStart is the number of jobs that were reported as rejected although one of their
 	// runs had started.
-	Denied int
+	RejectedAfterStart int
 	// Orders is the number of start orders that guards received.
 	Orders int
 	// Messages is the number of messages from guards to entries.
 	Messages int
 	// Crashes holds, for each job that crashes runners, the number of runner processes
-	// it has crashed. GivenUp is the number of other jobs that failed because of
+	// it has crashed. FailedByCrashes is the number of other jobs that failed because of
 	// crashes.
-	Crashes map[*pendingJob]int
-	GivenUp int
-	kinds   []Kind
+	Crashes         map[*pendingJob]int
+	FailedByCrashes int
+	kinds           []Kind
 }
 
 func newResult(l Load, way string) *Result {
 	return &Result{
-		Load: l.Name, Way: way, kinds: l.Kinds,
-		Kinds: map[string]*Count{}, Sizes: map[string]*Count{}, Zones: map[string]*Count{}, Windows: map[string]*Count{}, ZoneWindows: map[string]*Count{},
-		Misplaced: map[string]int{}, Crashes: map[*pendingJob]int{},
+		Load: l.Name, Policy: way, kinds: l.Kinds,
+		Kinds: map[string]*Count{}, Sizes: map[string]*Count{}, DataCentres: map[string]*Count{}, Windows: map[string]*Count{}, DataCentreWindows: map[string]*Count{},
+		RefusedOrders: map[string]int{}, Crashes: map[*pendingJob]int{},
 	}
 }
 
-func (r *Result) countRefusedOrder(why runs.Refusal) { r.Misplaced[why.String()]++ }
+func (r *Result) countRefusedOrder(why runs.Refusal) { r.RefusedOrders[why.String()]++ }
 
 func (r *Result) countCrash(by *pendingJob) { r.Crashes[by]++ }
 
@@ -87,7 +89,7 @@
 		return
 	}
 	if d.Outcome == planner.Failed {
-		r.GivenUp++
+		r.FailedByCrashes++
 	}
 	r.count(j.arrival, s.now, d.Outcome)
 	if d.Outcome == planner.Refused {
@@ -104,19 +106,19 @@
 		&r.All,
 		count(r.Kinds, k.Name),
 		count(r.Sizes, sizeClass(a.size)),
-		count(r.Zones, a.dataCentre),
+		count(r.DataCentres, a.dataCentre),
 		count(r.Windows, arrivedIn),
-		count(r.ZoneWindows, a.dataCentre+arrivedIn),
+		count(r.DataCentreWindows, a.dataCentre+arrivedIn),
 	}
 	for _, c := range sets {
-		c.Asked++
+		c.Submitted++
 		switch {
 		case o == planner.Completed && took <= k.target(a.size):
-			c.InAim++
+			c.OnTime++
 		case o == planner.Completed:
 			c.Late++
 		case o == planner.Refused:
-			c.Refused++
+			c.Rejected++
 		default:
 			c.Failed++
 		}
@@ -125,13 +127,13 @@
 
 func (r *Result) jobRejected(s *sim, j *pendingJob) {
 	k := r.kinds[j.kind]
-	r.RefusedIn = append(r.RefusedIn, s.now-j.at)
+	r.RejectionTimes = append(r.RejectionTimes, s.now-j.at)
 	if j.startedRuns > 0 {
-		r.Denied++
+		r.RejectedAfterStart++
 	}
 	need := work.Amounts{CPUMilli: k.CPUMilli}
 	if slices.ContainsFunc(s.guards, func(g *guard) bool { return g.hasCapacity(need) }) {
-		r.RefusedWithRoom++
+		r.RejectedWithCapacity++
 	}
 }
 
@@ -157,20 +159,20 @@
 func Write(w io.Writer, results []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, r := range results {
-		_, _ = fmt.Fprintf(t, "\n%s: %s\t\t\t\t\t\t\n\tsubmitted\ton time\tlate\trejected\tfailed\t\n", r.Load, r.Way)
+		_, _ = fmt.Fprintf(t, "\n%s: %s\t\t\t\t\t\t\n\tsubmitted\ton time\tlate\trejected\tfailed\t\n", r.Load, r.Policy)
 		row(t, "all", r.All)
-		for _, part := range []map[string]*Count{r.Kinds, r.Sizes, r.Zones, r.Windows} {
+		for _, part := range []map[string]*Count{r.Kinds, r.Sizes, r.DataCentres, r.Windows} {
 			for _, key := range sorted(part) {
 				row(t, key, *part[key])
 			}
 		}
 		_, _ = fmt.Fprintf(t, "rejected after, p50 and p99: %s, %s; while a runner had capacity: %d; although a run had started: %d\t\t\t\t\t\t\n",
-			quantile(r.RefusedIn, 0.5), quantile(r.RefusedIn, 0.99), r.RefusedWithRoom, r.Denied)
+			quantile(r.RejectionTimes, 0.5), quantile(r.RejectionTimes, 0.99), r.RejectedWithCapacity, r.RejectedAfterStart)
 		if len(r.Crashes) > 0 {
 			mean, most := r.CrashesEach()
-			_, _ = fmt.Fprintf(t, "runners crashed by each crashing job: %.2f, %d at most; other jobs failed: %d\t\t\t\t\t\t\n", mean, most, r.GivenUp)
+			_, _ = fmt.Fprintf(t, "runners crashed by each crashing job: %.2f, %d at most; other jobs failed: %d\t\t\t\t\t\t\n", mean, most, r.FailedByCrashes)
 		}
-		_, _ = fmt.Fprintf(t, "start orders refused by guards: %s; messages to entries: %d\t\t\t\t\t\t\n", reasons(r.Misplaced), r.Messages)
+		_, _ = fmt.Fprintf(t, "start orders refused by guards: %s; messages to entries: %d\t\t\t\t\t\t\n", reasons(r.RefusedOrders), r.Messages)
 	}
 	return t.Flush()
 }
@@ -183,10 +185,10 @@
 	_, _ = fmt.Fprintln(t, "load\ton time\tserved\tworst kind\tof oracle: on time\tserved\tworst 2 s\trejected after\torders refused\tidle\t")
 	for _, p := range pairs {
 		ours, best := p[0], p[1:]
-		inAim := ours.All.Share() / Best(ours, best, func(r *Result) float64 { return r.All.Share() })
-		served := ours.All.Served() / Best(ours, best, func(r *Result) float64 { return r.All.Served() })
-		_, _ = fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%s\t%.1f %%\t%d\t\n", ours.Load, ours.All.Share(), ours.All.Served(),
-			ours.worstKind(), inAim, served, worstWindow(ours, best), quantile(ours.RefusedIn, 0.5), 100*ours.TurnedDown(), ours.RefusedWithRoom)
+		inAim := ours.All.OnTimeShare() / Best(ours, best, func(r *Result) float64 { return r.All.OnTimeShare() })
+		served := ours.All.AnsweredShare() / Best(ours, best, func(r *Result) float64 { return r.All.AnsweredShare() })
+		_, _ = fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%s\t%.1f %%\t%d\t\n", ours.Load, ours.All.OnTimeShare(), ours.All.AnsweredShare(),
+			ours.worstKind(), inAim, served, worstWindow(ours, best), quantile(ours.RejectionTimes, 0.5), 100*ours.RefusedOrderShare(), ours.RejectedWithCapacity)
 	}
 	return t.Flush()
 }
@@ -195,7 +197,7 @@
 func (r *Result) worstKind() float64 {
 	worst := 1.0
 	for _, c := range r.Kinds {
-		worst = min(worst, c.Share())
+		worst = min(worst, c.OnTimeShare())
 	}
 	return worst
 }
@@ -207,23 +209,23 @@
 			if r.Windows[key] == nil {
 				return 0
 			}
-			return r.Windows[key].Share()
+			return r.Windows[key].OnTimeShare()
 		})
 		if most > 0 {
-			worst = min(worst, c.Share()/most)
+			worst = min(worst, c.OnTimeShare()/most)
 		}
 	}
 	return worst
 }
 
-// TurnedDown is the share of start orders that guards refused for lack of capacity.
-func (r *Result) TurnedDown() float64 {
-	return float64(r.Misplaced[runs.Full.String()]) / float64(max(r.Orders, 1))
+// RefusedOrderShare is the share of start orders that guards refused for lack of capacity.
+func (r *Result) RefusedOrderShare() float64 {
+	return float64(r.RefusedOrders[runs.InsufficientCapacity.String()]) / float64(max(r.Orders, 1))
 }
 
 func row(w io.Writer, name string, c Count) {
-	of := func(n int) string { return fmt.Sprintf("%.1f %%", 100*float64(n)/float64(max(c.Asked, 1))) }
-	_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, c.Asked, of(c.InAim), of(c.Late), of(c.Refused), of(c.Failed))
+	of := func(n int) string { return fmt.Sprintf("%.1f %%", 100*float64(n)/float64(max(c.Submitted, 1))) }
+	_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, c.Submitted, of(c.OnTime), of(c.Late), of(c.Rejected), of(c.Failed))
 }
 
 func sorted[V any](m map[string]V) []string {
@@ -255,5 +257,5 @@
 	return sorted[int(q*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
-// Slowest returns the time within which the share q of the rejected jobs was rejected.
-func (r *Result) Slowest(q float64) time.Duration { return quantile(r.RefusedIn, q) }
+// RejectionTime returns the time within which the share q of the rejected jobs was rejected.
+func (r *Result) RejectionTime(q float64) time.Duration { return quantile(r.RejectionTimes, q) }
--- a/bench/replay/sim.go
+++ b/bench/replay/sim.go
@@ -28,16 +28,16 @@
 	sweepInterval = 20 * time.Millisecond
 )
 
-// Way is a scheduling policy to compare.
-type Way struct {
+// Policy is a scheduling policy to compare.
+type Policy struct {
 	Name string
 	// Terms converts the contract's terms into those passed to the planner.
 	Terms func(planner.Terms) planner.Terms
 }
 
-// Ways returns the production policy and a simple one for comparison.
-func Ways() []Way {
-	return []Way{
+// Policies returns the production policy and a simple one for comparison.
+func Policies() []Policy {
+	return []Policy{
 		{Name: "almondstand", Terms: func(t planner.Terms) planner.Terms { return t }},
 		{Name: "first come, none refused", Terms: deadlineOnly},
 	}
@@ -46,14 +46,14 @@
 // deadlineOnly lets every job wait until its caller's deadline, so that jobs start in
 // order of their deadlines and none is rejected earlier.
 func deadlineOnly(t planner.Terms) planner.Terms {
-	t.Allowance = time.Hour
+	t.TargetMargin = time.Hour
 	return t
 }
 
 // sim is the state of one simulation.
 type sim struct {
 	load     Load
-	policy   Way
+	policy   Policy
 	runs     *rand.Rand
 	now      time.Duration
 	queue    events
@@ -72,8 +72,8 @@
 // interpret zero as never.
 const simStart = time.Second
 
-// Play simulates a load with one policy; the same seed gives the same result.
-func Play(l Load, w Way, seed uint64) *Result {
+// Simulate simulates a load with one policy; the same seed gives the same result.
+func Simulate(l Load, w Policy, seed uint64) *Result {
 	s := &sim{
 		load:   l,
 		policy: w,
@@ -109,38 +109,38 @@
 }
 
 func (s *sim) build(seed uint64) {
-	for _, z := range s.load.Zones {
+	for _, z := range s.load.DataCentres {
 		for range z.Runners {
 			g := newGuard(s, len(s.guards), z.Name)
 			s.guards = append(s.guards, g)
 			s.byID[g.id] = g
 		}
 	}
-	for _, z := range s.load.Zones {
+	for _, z := range s.load.DataCentres {
 		for range z.Entries {
 			n := len(s.entries)
 			s.entries = append(s.entries, &entry{
 				sim:        s,
 				number:     n,
 				dataCentre: z.Name,
-				plan:       planner.New(planner.Options{Zone: z.Name, Seed: seed*entrySeeds + uint64(n)}),
+				plan:       planner.New(planner.Options{DataCentre: z.Name, Seed: seed*entrySeeds + uint64(n)}),
 				jobs:       map[string]*pendingJob{},
 				clocks:     map[string]clockReading{},
 				confirmed:  map[string]time.Duration{},
-				cpu:        processor{sim: s, share: z.Share},
+				cpu:        processor{sim: s, share: z.CPUShare},
 			})
 		}
 	}
 	for _, g := range s.guards {
 		for _, e := range s.subset(g) {
-			e.plan.Attach(g.id, g.dataCentre, true)
+			e.plan.AttachEndpoint(g.id, g.dataCentre, true)
 			g.attach(e)
 		}
 	}
-	for _, t := range s.load.Troubles {
+	for _, t := range s.load.RunnerFaults {
 		s.scheduleFault(t)
 	}
-	for _, h := range s.load.Held {
+	for _, h := range s.load.EntrySlowdowns {
 		s.scheduleThrottle(h)
 	}
 }
@@ -155,14 +155,14 @@
 		known = append(known, subset.Entry{Address: name, Rank: subset.Rank(g.id, name)})
 	}
 	var chosen []*entry
-	for _, name := range subset.Choose(known, subset.Size) {
+	for _, name := range subset.Choose(known, subset.DefaultSize) {
 		chosen = append(chosen, byName[name])
 	}
 	return chosen
 }
 
 // scheduleFault schedules a fault of the first runners of each data centre.
-func (s *sim) scheduleFault(t Trouble) {
+func (s *sim) scheduleFault(t RunnerFault) {
 	faultyRunners := map[string]int{}
 	for _, g := range s.guards {
 		if faultyRunners[g.dataCentre]++; faultyRunners[g.dataCentre] > t.Runners {
@@ -174,7 +174,7 @@
 }
 
 // scheduleThrottle schedules a temporary slowdown of the entries' processors.
-func (s *sim) scheduleThrottle(h Held) {
+func (s *sim) scheduleThrottle(h EntrySlowdown) {
 	for _, e := range s.entries {
 		share := e.cpu.share
 		s.at(simStart+h.At, func() { e.cpu.share = share / h.Times })
@@ -236,7 +236,7 @@
 		Declared: time.Duration(float64(k.Run) * a.declared),
 	}}}
 	terms := e.sim.policy.Terms(planner.Terms{
-		Contract: k.Name, Service: service, Urgency: k.Urgency, MaxAttempts: 2, Stretch: targetFactor, Allowance: targetAllowance,
+		Contract: k.Name, Service: service, Priority: k.Urgency, MaxAttempts: 2, TargetFactor: targetFactor, TargetMargin: targetAllowance,
 	})
 	e.plan.Submit(e.sim.now, e.sim.now+k.Deadline, j, terms)
 	e.runPlanner()
@@ -263,7 +263,7 @@
 	for _, x := range out.Stops {
 		of(x.Endpoint).stops = append(of(x.Endpoint).stops, x.Run)
 	}
-	for _, id := range out.Wake {
+	for _, id := range out.NotifyWaiting {
 		of(id)
 	}
 	for _, id := range guardIDs {
@@ -292,7 +292,7 @@
 	e.cpu.addCost(sendCost)
 	sent, read := e.guardClock(g.id), e.clocks[g.id].clock
 	e.confirmed[g.id] = read
-	pending, demand := e.plan.Waiting(e.sim.now, g.id)
+	pending, demand := e.plan.PendingDemand(e.sim.now, g.id)
 	e.sim.after(messageDelay, func() { g.receive(e, sent, read, pending, demand, o) })
 }
 
--- a/bench/replay/thin.go
+++ b/bench/replay/thin.go
@@ -27,11 +27,11 @@
 			{Name: "quote", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 1600, PerSecond: thinQuoteRate, Deadline: 3 * wait, Urgency: 2},
 			{Name: "check", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 1600, PerSecond: thinCheckRate, Deadline: wait, Urgency: 1},
 		},
-		Zones: []Zone{
+		DataCentres: []DataCentre{
 			{Name: "a", Entries: 3, Runners: 17, Callers: 0.27},
 			{Name: "b", Entries: 4, Runners: 17, Callers: 0.27},
 			{Name: "c", Entries: 3, Runners: 17, Callers: 0.22},
-			{Name: "thin", Entries: 2, Runners: 17, Callers: 0.24, Clients: 15, Share: thinShare},
+			{Name: "thin", Entries: 2, Runners: 17, Callers: 0.24, Addresses: 15, CPUShare: thinShare},
 		},
 		Bursts: []Burst{{At: 2 * time.Second, For: 4 * time.Second, Times: 1.8, Kind: "check"}},
 	}
@@ -41,6 +41,6 @@
 	slow := l
 	slow.Name = "thin-slow"
 	slow.Bursts = nil
-	slow.Held = []Held{{At: 2 * time.Second, For: 3 * time.Second, Times: 6}}
+	slow.EntrySlowdowns = []EntrySlowdown{{At: 2 * time.Second, For: 3 * time.Second, Times: 6}}
 	return []Load{l, threefold, slow}
 }
--- a/bench/replay/travel.go
+++ b/bench/replay/travel.go
@@ -24,7 +24,7 @@
 			{Name: "quote", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 1600, PerSecond: quoteRate, Deadline: 3 * wait, Urgency: 2},
 			{Name: "check", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 1600, PerSecond: checkRate, Deadline: wait, Urgency: 1},
 		},
-		Zones: []Zone{
+		DataCentres: []DataCentre{
 			{Name: "a", Entries: 1, Runners: 4, Callers: 0.32},
 			{Name: "b", Entries: 1, Runners: 4, Callers: 0.31},
 			{Name: "c", Entries: 1, Runners: 3, Callers: 0.37},
@@ -64,13 +64,13 @@
 	burst := smallLoad("small-burst")
 	burst.Bursts = []Burst{{At: 4 * time.Second, For: 4 * time.Second, Times: 2}}
 	skewed := smallLoad("one-zone").scaled(1.1)
-	skewed.Zones = []Zone{{Name: "a", Entries: 1, Runners: 4, Callers: 1}, {Name: "b", Entries: 1, Runners: 4}, {Name: "c", Entries: 1, Runners: 3}}
+	skewed.DataCentres = []DataCentre{{Name: "a", Entries: 1, Runners: 4, Callers: 1}, {Name: "b", Entries: 1, Runners: 4}, {Name: "c", Entries: 1, Runners: 3}}
 	wide := smallLoad("wide").withKindScaled("hold", 4, 0.7)
 	long := smallLoad("long").withKindScaled("quote", 2.6, 0.8)
 	restart := smallLoad("restart").scaled(0.95 * fullLoad)
-	restart.Troubles = []Trouble{{At: 4 * time.Second, For: 1500 * time.Millisecond, Wrong: Gone, Runners: 11}}
+	restart.RunnerFaults = []RunnerFault{{At: 4 * time.Second, For: 1500 * time.Millisecond, Kind: Gone, Runners: 11}}
 	grown := smallLoad("grown").scaled(6.5 * 1.1)
-	grown.Zones = []Zone{
+	grown.DataCentres = []DataCentre{
 		{Name: "a", Entries: 4, Runners: 22, Callers: 0.34},
 		{Name: "b", Entries: 4, Runners: 22, Callers: 0.33},
 		{Name: "c", Entries: 3, Runners: 21, Callers: 0.33},
--- a/bench/replay/yardstick.go
+++ b/bench/replay/yardstick.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Yardstick returns the oracle's results with each order.
-func Yardstick(l Load, seed uint64) []*Result {
+// Oracle returns the oracle's results with each order.
+func Oracle(l Load, seed uint64) []*Result {
 	all := arrivals(l, seed)
 	var results []*Result
 	for _, o := range Orders() {
@@ -71,7 +71,7 @@
 // oracleRunner is a runner with its free capacity and its faults.
 type oracleRunner struct {
 	free   int64
-	faults []Trouble
+	faults []RunnerFault
 }
 
 type oracle struct {
@@ -87,10 +87,10 @@
 
 func newOracle(l Load, o Order, seed uint64) *oracle {
 	y := &oracle{load: l, order: o, random: rand.New(rand.NewPCG(seed, runStream)), result: newResult(l, "oracle: "+o.Name)}
-	for _, z := range l.Zones {
+	for _, z := range l.DataCentres {
 		for n := range z.Runners {
 			r := &oracleRunner{free: l.runnerCPU(len(y.runners))}
-			for _, t := range l.Troubles {
+			for _, t := range l.RunnerFaults {
 				if n < t.Runners {
 					r.faults = append(r.faults, t)
 				}
@@ -182,7 +182,7 @@
 	if c == nil {
 		return 1
 	}
-	return c.Share()
+	return c.OnTimeShare()
 }
 
 func compareBool(a, b bool) int {
@@ -224,7 +224,7 @@
 // findRunner returns a runner that has free capacity and no fault until the task ends.
 func (y *oracle) findRunner(now, until time.Duration, need int64) *oracleRunner {
 	for _, r := range y.runners {
-		if r.free >= need && !slices.ContainsFunc(r.faults, func(t Trouble) bool { return until > simStart+t.At && now < simStart+t.At+t.For }) {
+		if r.free >= need && !slices.ContainsFunc(r.faults, func(t RunnerFault) bool { return until > simStart+t.At && now < simStart+t.At+t.For }) {
 			return r
 		}
 	}
--- a/bench/result/result.go
+++ b/bench/result/result.go
@@ -12,41 +12,41 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// End is the outcome of a job as its caller sees it.
-type End string
+// Outcome is the outcome of a job as its caller sees it.
+type Outcome string
 
 // Outcomes of a job.
 const (
-	Complete End = "complete"
-	Failed   End = "failed"
-	Refused  End = "refused"
-	NoAnswer End = "no_answer"
+	Complete   Outcome = "complete"
+	Failed     Outcome = "failed"
+	Refused    Outcome = "refused"
+	Unanswered Outcome = "no_answer"
 	// Rejected is a permanent rejection: the answer has no Retry-After.
-	Rejected End = "rejected"
+	Rejected Outcome = "rejected"
 )
 
 // Observation is the measurement of one job.
 type Observation struct {
 	// At is the time of arrival, relative to the end of the warm-up.
-	At       time.Duration
-	Customer string
-	End      End
-	Code     string
-	Tasks    int
-	// Took is the time from the first submission to the final answer, LastTook that of
+	At      time.Duration
+	Client  string
+	Outcome Outcome
+	Code    string
+	Tasks   int
+	// Took is the time from the first submission to the final answer, LastSubmissionTook that of
 	// the last submission alone.
-	Took, LastTook time.Duration
-	Ideal          time.Duration
-	Work           time.Duration
-	// Waited is the part of Took during which the caller waited for a Retry-After to
+	Took, LastSubmissionTook time.Duration
+	Ideal                    time.Duration
+	Work                     time.Duration
+	// RetryWait is the part of Took during which the caller waited for a Retry-After to
 	// pass.
-	Waited time.Duration
-	// Tries is the number of submissions.
-	Tries int
+	RetryWait time.Duration
+	// Submissions is the number of submissions.
+	Submissions int
 }
 
-// Spread summarizes a distribution.
-type Spread struct {
+// Summary summarizes a distribution.
+type Summary struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -56,20 +56,20 @@
 
 // Group summarizes the jobs of one client, or of all.
 type Group struct {
-	Jobs       int            `json:"jobs"`
-	Ends       map[End]int    `json:"ends"`
-	Codes      map[string]int `json:"codes"`
-	Ratio      Spread         `json:"ratio"`
-	ResponseMs Spread         `json:"response_ms"`
-	// RefusalMs is the response time of rejections.
-	RefusalMs Spread `json:"refusal_ms"`
+	Jobs       int             `json:"jobs"`
+	Outcomes   map[Outcome]int `json:"ends"`
+	Codes      map[string]int  `json:"codes"`
+	Slowdown   Summary         `json:"ratio"`
+	ResponseMs Summary         `json:"response_ms"`
+	// RejectionMs is the response time of rejections.
+	RejectionMs Summary `json:"refusal_ms"`
 	// Late is the number of completed jobs that took more than five times their ideal
 	// response time.
 	Late int `json:"late"`
-	// Returned is the number of jobs that were submitted again after a Retry-After,
+	// Resubmitted is the number of jobs that were submitted again after a Retry-After,
 	// Honoured the number of those that were then admitted.
-	Returned int `json:"returned"`
-	Honoured int `json:"honoured"`
+	Resubmitted     int `json:"returned"`
+	AdmittedOnRetry int `json:"honoured"`
 	// Goodput is the work of the completed jobs per second, in slots.
 	Goodput float64 `json:"goodput"`
 	Tasks   int     `json:"tasks"`
@@ -85,25 +85,25 @@
 type Result struct {
 	Name string `json:"name"`
 	// Programs is the label of the build under test, Seed the seed of the job stream.
-	Programs  string             `json:"programs,omitempty"`
-	Seed      uint64             `json:"seed"`
-	All       Group              `json:"all"`
-	Customers map[string]Group   `json:"customers"`
-	Starts    int                `json:"starts"`
-	Messages  map[string]float64 `json:"messages"`
+	Programs string             `json:"programs,omitempty"`
+	Seed     uint64             `json:"seed"`
+	All      Group              `json:"all"`
+	Clients  map[string]Group   `json:"customers"`
+	Starts   int                `json:"starts"`
+	Messages map[string]float64 `json:"messages"`
 	// WastedPerTask is the number of messages per started task beyond one start and one
 	// reply: refused and lost starts, resolve and cancel calls, and resubmissions by
 	// callers. Control traffic is counted in ControlPerTask.
 	WastedPerTask  float64 `json:"wasted_per_task"`
 	ControlPerTask float64 `json:"control_per_task"`
-	// NearShare is the share of starts in the same data centre as the job's entry.
-	NearShare float64            `json:"near_share"`
-	Processes map[string]Process `json:"processes"`
-	// Cancels summarizes the calls that cancelled a job, BackAfter the recovery after a
+	// SameDataCentreShare is the share of starts in the same data centre as the job's entry.
+	SameDataCentreShare float64            `json:"near_share"`
+	Processes           map[string]Process `json:"processes"`
+	// Cancellations summarizes the calls that cancelled a job, Recovery the recovery after a
 	// burst.
-	Cancels   *Cancels        `json:"cancels,omitempty"`
-	BackAfter *Back           `json:"back_after,omitempty"`
-	Verdict   harness.Verdict `json:"verdict"`
+	Cancels  *Cancellations  `json:"cancels,omitempty"`
+	Recovery *Recovery       `json:"back_after,omitempty"`
+	Verdict  harness.Verdict `json:"verdict"`
 }
 
 // lateRatio is the ratio of response time to ideal response time above which a job
@@ -113,7 +113,7 @@
 // ratio returns response time / ideal response time, infinite for a job that did not
 // complete.
 func (o Observation) ratio() float64 {
-	if o.End != Complete {
+	if o.Outcome != Complete {
 		return math.Inf(1)
 	}
 	return o.Took.Seconds() / o.Ideal.Seconds()
@@ -136,7 +136,7 @@
 	// arrivals holds the ratios of all jobs with their arrival times, infinite without
 	// an answer.
 	arrivals []arrival
-	cancels  *Cancels
+	cancels  *Cancellations
 }
 
 type tally struct {
@@ -147,7 +147,7 @@
 
 func newTally() *tally {
 	return &tally{
-		group:    Group{Ends: map[End]int{}, Codes: map[string]int{}},
+		group:    Group{Outcomes: map[Outcome]int{}, Codes: map[string]int{}},
 		ratio:    hdrhistogram.New(1, maxRecorded, digits),
 		response: hdrhistogram.New(1, maxRecorded, digits),
 		refusal:  hdrhistogram.New(1, maxRecorded, digits),
@@ -163,10 +163,10 @@
 func (c *Collector) Add(o Observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clientTally := c.clients[o.Customer]
+	clientTally := c.clients[o.Client]
 	if clientTally == nil {
 		clientTally = newTally()
-		c.clients[o.Customer] = clientTally
+		c.clients[o.Client] = clientTally
 	}
 	c.all.add(o)
 	clientTally.add(o)
@@ -176,17 +176,17 @@
 func (t *tally) add(o Observation) {
 	t.group.Jobs++
 	t.group.Tasks += o.Tasks
-	t.group.Ends[o.End]++
-	if o.Tries > 1 {
-		t.group.Returned++
-		if o.End == Complete || o.End == Failed {
-			t.group.Honoured++
+	t.group.Outcomes[o.Outcome]++
+	if o.Submissions > 1 {
+		t.group.Resubmitted++
+		if o.Outcome == Complete || o.Outcome == Failed {
+			t.group.AdmittedOnRetry++
 		}
 	}
 	if o.Code != "" {
 		t.group.Codes[o.Code]++
 	}
-	switch o.End {
+	switch o.Outcome {
 	case Complete:
 		t.work += o.Work
 		if o.ratio() > lateRatio {
@@ -195,21 +195,21 @@
 		_ = t.ratio.RecordValue(int64(ratioScale * o.ratio()))
 		_ = t.response.RecordValue(o.Took.Microseconds())
 	case Refused, Rejected:
-		_ = t.refusal.RecordValue(o.LastTook.Microseconds())
+		_ = t.refusal.RecordValue(o.LastSubmissionTook.Microseconds())
 	}
 }
 
 func (t *tally) finish(duration time.Duration) Group {
 	g := t.group
-	g.Ratio = spread(t.ratio, ratioScale)
+	g.Slowdown = spread(t.ratio, ratioScale)
 	g.ResponseMs = spread(t.response, 1000)
-	g.RefusalMs = spread(t.refusal, 1000)
+	g.RejectionMs = spread(t.refusal, 1000)
 	g.Goodput = t.work.Seconds() / duration.Seconds()
 	return g
 }
 
-func spread(h *hdrhistogram.Histogram, scale float64) Spread {
-	return Spread{
+func spread(h *hdrhistogram.Histogram, scale float64) Summary {
+	return Summary{
 		Mean: h.Mean() / scale,
 		P50:  float64(h.ValueAtQuantile(50)) / scale,
 		P90:  float64(h.ValueAtQuantile(90)) / scale,
@@ -222,9 +222,9 @@
 func (c *Collector) Result(name string, duration time.Duration) *Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &Result{Name: name, All: c.all.finish(duration), Customers: map[string]Group{}, Cancels: c.cancels}
+	r := &Result{Name: name, All: c.all.finish(duration), Clients: map[string]Group{}, Cancels: c.cancels}
 	for client, t := range c.clients {
-		r.Customers[client] = t.finish(duration)
+		r.Clients[client] = t.finish(duration)
 	}
 	return r
 }
@@ -232,9 +232,9 @@
 // controlKinds are the kinds of messages that are not caused by tasks.
 var controlKinds = map[string]bool{"messages.ping": true, "messages.hello": true, "messages.announce": true}
 
-// Count computes the messages per task from the counters. submissions is the number of
+// ComputeMessageCounts computes the messages per task from the counters. submissions is the number of
 // calls made by callers.
-func (r *Result) Count(submissions int) {
+func (r *Result) ComputeMessageCounts(submissions int) {
 	if r.Starts == 0 {
 		return
 	}
--- a/bench/result/result_test.go
+++ b/bench/result/result_test.go
@@ -9,7 +9,7 @@
 )
 
 func complete(at time.Duration, ratio float64) Observation {
-	return Observation{At: at, Customer: "c", End: Complete, Took: time.Duration(ratio * float64(time.Second)), Ideal: time.Second}
+	return Observation{At: at, Client: "c", Outcome: Complete, Took: time.Duration(ratio * float64(time.Second)), Ideal: time.Second}
 }
 
 // TestBackToNormal: jobs that arrive during the burst and just after it are slow, and
@@ -26,12 +26,12 @@
 			c.Add(complete(time.Duration(s)*time.Second, ratio))
 		}
 	}
-	b := c.BackToNormal(3*time.Second, 4*time.Second, 10*time.Second)
-	assert.Equal(t, b, Back{Before: 1, After: 2})
+	b := c.Recovery(3*time.Second, 4*time.Second, 10*time.Second)
+	assert.Equal(t, b, Recovery{Before: 1, After: 2})
 	c = NewCollector()
 	c.Add(complete(0, 1))
-	c.Add(Observation{At: 5 * time.Second, Customer: "c", End: Refused})
-	assert.Equal(t, c.BackToNormal(3*time.Second, 4*time.Second, 10*time.Second).After, -1.0)
+	c.Add(Observation{At: 5 * time.Second, Client: "c", Outcome: Refused})
+	assert.Equal(t, c.Recovery(3*time.Second, 4*time.Second, 10*time.Second).After, -1.0)
 }
 
 func TestGroup(t *testing.T) {
@@ -39,14 +39,14 @@
 	c.Add(complete(0, 1))
 	c.Add(complete(0, 6))
 	retried := complete(0, 2)
-	retried.Tries = 2
+	retried.Submissions = 2
 	c.Add(retried)
-	c.Add(Observation{Customer: "c", End: Refused, Tries: 3})
+	c.Add(Observation{Client: "c", Outcome: Refused, Submissions: 3})
 	g := c.Result("x", time.Second).All
 	assert.Equal(t, g.Late, 1)
-	assert.Equal(t, g.Returned, 2)
-	assert.Equal(t, g.Honoured, 1)
-	assert.DeepEqual(t, g.Ends, map[End]int{Complete: 3, Refused: 1})
+	assert.Equal(t, g.Resubmitted, 2)
+	assert.Equal(t, g.AdmittedOnRetry, 1)
+	assert.DeepEqual(t, g.Outcomes, map[Outcome]int{Complete: 3, Refused: 1})
 }
 
 func TestCompareSetsTheSameExperimentsSideBySide(t *testing.T) {
--- a/bench/result/summary.go
+++ b/bench/result/summary.go
@@ -14,17 +14,17 @@
 }
 
 var figures = []figure{
-	{"done", func(r *Result) float64 { return float64(r.All.Ends[Complete]) }},
-	{"failed", func(r *Result) float64 { return float64(r.All.Ends[Failed]) }},
-	{"refused", func(r *Result) float64 { return float64(r.All.Ends[Refused]) }},
-	{"mean", func(r *Result) float64 { return r.All.Ratio.Mean }},
-	{"p50", func(r *Result) float64 { return r.All.Ratio.P50 }},
-	{"p90", func(r *Result) float64 { return r.All.Ratio.P90 }},
-	{"p99", func(r *Result) float64 { return r.All.Ratio.P99 }},
+	{"done", func(r *Result) float64 { return float64(r.All.Outcomes[Complete]) }},
+	{"failed", func(r *Result) float64 { return float64(r.All.Outcomes[Failed]) }},
+	{"refused", func(r *Result) float64 { return float64(r.All.Outcomes[Refused]) }},
+	{"mean", func(r *Result) float64 { return r.All.Slowdown.Mean }},
+	{"p50", func(r *Result) float64 { return r.All.Slowdown.P50 }},
+	{"p90", func(r *Result) float64 { return r.All.Slowdown.P90 }},
+	{"p99", func(r *Result) float64 { return r.All.Slowdown.P99 }},
 	{">5x", func(r *Result) float64 { return float64(r.All.Late) }},
 	{"goodput", func(r *Result) float64 { return r.All.Goodput }},
 	{"wasted/task", func(r *Result) float64 { return r.WastedPerTask }},
-	{"near", func(r *Result) float64 { return r.NearShare }},
+	{"near", func(r *Result) float64 { return r.SameDataCentreShare }},
 }
 
 // group holds the results of one experiment with one build.
--- a/bench/result/table.go
+++ b/bench/result/table.go
@@ -22,7 +22,7 @@
 			fmt.Sprintf("%.3f\t%.3f\t%.3f\t%.0f\t%.3f\t%.0f\t%d", r.WastedPerTask, r.ControlPerTask,
 				entry.Cores, megabytes(entry.RSS), guard.Cores, megabytes(guard.RSS), len(r.Verdict.Faults)))
 		for _, name := range r.clientNames() {
-			writeGroup(t, "", name, r.Customers[name], "\t\t\t\t\t\t")
+			writeGroup(t, "", name, r.Clients[name], "\t\t\t\t\t\t")
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -33,15 +33,15 @@
 
 func writeGroup(w io.Writer, name, client string, g Group, rest string) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.3f\t%.2f\t%.2f\t%.2f\t%d\t%.1f\t%.1f\t%d\t%d\t%s\t\n",
-		name, client, g.Jobs, g.Ends[Complete], g.Ends[Failed], g.Ends[Refused], g.Ends[Rejected], g.Ends[NoAnswer],
-		g.Ratio.Mean, g.Ratio.P50, g.Ratio.P90, g.Ratio.P99, g.Ratio.P999, g.Late, g.Goodput,
-		g.RefusalMs.P99, g.Returned, g.Honoured, rest)
+		name, client, g.Jobs, g.Outcomes[Complete], g.Outcomes[Failed], g.Outcomes[Refused], g.Outcomes[Rejected], g.Outcomes[Unanswered],
+		g.Slowdown.Mean, g.Slowdown.P50, g.Slowdown.P90, g.Slowdown.P99, g.Slowdown.P999, g.Late, g.Goodput,
+		g.RejectionMs.P99, g.Resubmitted, g.AdmittedOnRetry, rest)
 }
 
 // writeNotes writes the measurements that only some experiments make.
 func writeNotes(w io.Writer, all []*Result) error {
 	for _, r := range all {
-		if b := r.BackAfter; b != nil {
+		if b := r.Recovery; b != nil {
 			_, _ = fmt.Fprintf(w, "%s: median ratio %.3f before the burst of %.0f s; recovery to within a tenth of it: %s\n",
 				r.title(), b.Before, b.Burst, b.text())
 		}
@@ -57,7 +57,7 @@
 	return err
 }
 
-func (b *Back) text() string {
+func (b *Recovery) text() string {
 	if b.After < 0 {
 		return "not in the run"
 	}
@@ -83,7 +83,7 @@
 
 func (r *Result) clientNames() []string {
 	var clientNames []string
-	for name := range r.Customers {
+	for name := range r.Clients {
 		clientNames = append(clientNames, name)
 	}
 	sort.Strings(clientNames)
--- a/bench/result/timeline.go
+++ b/bench/result/timeline.go
@@ -11,8 +11,8 @@
 	ratio float64
 }
 
-// Back describes the recovery of response times after a burst, in seconds.
-type Back struct {
+// Recovery describes the recovery of response times after a burst, in seconds.
+type Recovery struct {
 	// Before is the median of response time / ideal response time before the burst.
 	Before float64 `json:"before"`
 	Burst  float64 `json:"burst"`
@@ -28,12 +28,12 @@
 	recoveredFactor = 1.1
 )
 
-// BackToNormal compares the jobs that arrived after a burst, in windows of a second,
+// Recovery compares the jobs that arrived after a burst, in windows of a second,
 // with those before it. A job without an answer counts as infinitely late.
-func (c *Collector) BackToNormal(begin, end, duration time.Duration) Back {
+func (c *Collector) Recovery(begin, end, duration time.Duration) Recovery {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := Back{Before: c.median(0, begin), After: -1}
+	b := Recovery{Before: c.median(0, begin), After: -1}
 	for at := end; at+window <= duration; at += window {
 		m := c.median(at, at+window)
 		if m > 0 && m <= recoveredFactor*b.Before {
@@ -60,19 +60,19 @@
 	return ratios[len(ratios)/2]
 }
 
-// Cancels summarizes the calls that cancelled a job.
-type Cancels struct {
+// Cancellations summarizes the calls that cancelled a job.
+type Cancellations struct {
 	Calls    int     `json:"calls"`
 	Answered int     `json:"answered"`
 	MaxMs    float64 `json:"max_ms"`
 }
 
-// AddCancel adds the result of one call that cancelled a job.
-func (c *Collector) AddCancel(took time.Duration, answered bool) {
+// AddCancellation adds the result of one call that cancelled a job.
+func (c *Collector) AddCancellation(took time.Duration, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cancels == nil {
-		c.cancels = &Cancels{}
+		c.cancels = &Cancellations{}
 	}
 	c.cancels.Calls++
 	if answered {
--- a/bench/workload/workload.go
+++ b/bench/workload/workload.go
@@ -20,20 +20,20 @@
 	Duration time.Duration
 	// Bursts temporarily multiply the load.
 	Bursts []Burst
-	// Customers lists the clients that share the stream by weight.
-	Customers []Share
+	// Clients lists the clients that share the stream by weight.
+	Clients []ClientShare
 	// Entries is the number of entries. Lumpy is the fraction of all jobs that is sent
 	// to the first one in addition to its equal share.
-	Entries int
-	Lumpy   float64
+	Entries         int
+	FirstEntryShare float64
 	// MinRun, MeanRun and MaxRun describe the distribution of run times over all kinds
 	// of tasks.
 	MinRun, MeanRun, MaxRun time.Duration
 	// Impossible is the fraction of jobs that can never run.
 	Impossible float64
-	// DeclaredOff is the maximum factor by which declared run times are wrong, too long
+	// DeclaredError is the maximum factor by which declared run times are wrong, too long
 	// or too short at random; with 0, none are declared.
-	DeclaredOff float64
+	DeclaredError float64
 }
 
 // Burst multiplies the load from At on for the duration For.
@@ -42,17 +42,17 @@
 	Factor  float64
 }
 
-// Share is one client's weight in the stream.
-type Share struct {
-	Customer string
-	Weight   float64
+// ClientShare is one client's weight in the stream.
+type ClientShare struct {
+	Client string
+	Weight float64
 }
 
 // Job is one job of the stream.
 type Job struct {
-	At       time.Duration
-	Customer string
-	Entry    int
+	At     time.Duration
+	Client string
+	Entry  int
 	// Kinds, Runs and Declared hold the kind, run time and declared run time of each
 	// task.
 	Kinds    []string
@@ -103,8 +103,8 @@
 	return sum
 }
 
-// Make returns the jobs in order of arrival.
-func Make(s Spec) []Job {
+// Generate returns the jobs in order of arrival.
+func Generate(s Spec) []Job {
 	rng := rand.New(rand.NewPCG(s.Seed, s.Seed))
 	mean := meanSize() * s.MeanRun.Seconds()
 	base := s.Load * float64(s.Slots) / mean
@@ -132,19 +132,19 @@
 }
 
 func makeJob(rng *rand.Rand, s Spec, at time.Duration) Job {
-	j := Job{At: at, Customer: pickClient(rng, s.Customers), Entry: pickEntry(rng, s)}
+	j := Job{At: at, Client: pickClient(rng, s.Clients), Entry: pickEntry(rng, s)}
 	j.Impossible = s.Impossible > 0 && rng.Float64() < s.Impossible
 	for range pickSize(rng) {
 		kind, mean := pickKind(rng)
 		run := pickRun(rng, s, mean)
 		j.Kinds = append(j.Kinds, kind)
 		j.Runs = append(j.Runs, run)
-		j.Declared = append(j.Declared, declaredRunTime(rng, run, s.DeclaredOff))
+		j.Declared = append(j.Declared, declaredRunTime(rng, run, s.DeclaredError))
 	}
 	return j
 }
 
-func pickClient(rng *rand.Rand, all []Share) string {
+func pickClient(rng *rand.Rand, all []ClientShare) string {
 	sum := 0.0
 	for _, c := range all {
 		sum += c.Weight
@@ -153,14 +153,14 @@
 	for _, c := range all {
 		x -= c.Weight
 		if x < 0 {
-			return c.Customer
+			return c.Client
 		}
 	}
-	return all[len(all)-1].Customer
+	return all[len(all)-1].Client
 }
 
 func pickEntry(rng *rand.Rand, s Spec) int {
-	if rng.Float64() < s.Lumpy {
+	if rng.Float64() < s.FirstEntryShare {
 		return 0
 	}
 	return rng.IntN(s.Entries)
--- a/bench/workload/workload_test.go
+++ b/bench/workload/workload_test.go
@@ -10,15 +10,15 @@
 
 func spec() Spec {
 	return Spec{
-		Seed: 1, Slots: 88, Load: 0.8, Duration: 20 * time.Minute, Entries: 4, Lumpy: 0.5,
-		Customers: []Share{{"a", 3}, {"b", 1}},
-		MinRun:    50 * time.Millisecond, MeanRun: 300 * time.Millisecond, MaxRun: 5 * time.Second,
+		Seed: 1, Slots: 88, Load: 0.8, Duration: 20 * time.Minute, Entries: 4, FirstEntryShare: 0.5,
+		Clients: []ClientShare{{"a", 3}, {"b", 1}},
+		MinRun:  50 * time.Millisecond, MeanRun: 300 * time.Millisecond, MaxRun: 5 * time.Second,
 	}
 }
 
 func TestMakeIsRepeatableAndOffersTheLoad(t *testing.T) {
-	jobs := Make(spec())
-	assert.DeepEqual(t, jobs, Make(spec()))
+	jobs := Generate(spec())
+	assert.DeepEqual(t, jobs, Generate(spec()))
 	var work time.Duration
 	atFirstEntry, ofClientA := 0, 0
 	for _, j := range jobs {
@@ -26,7 +26,7 @@
 		if j.Entry == 0 {
 			atFirstEntry++
 		}
-		if j.Customer == "a" {
+		if j.Client == "a" {
 			ofClientA++
 		}
 	}
--- a/contract/check.go
+++ b/contract/check.go
@@ -12,15 +12,15 @@
 	MaxRate       = 1_000_000 // tasks per second
 	MaxBurst      = 1_000_000 // tasks
 	MaxInFlight   = 1_000_000 // tasks
-	MaxUrgency    = 10
+	MaxPriority   = 10
 	MinAnswerTime = Duration(time.Millisecond)
 	MaxAnswerTime = Duration(10 * time.Minute)
 	MinRunLimit   = Duration(time.Millisecond)
 	MaxRunLimit   = Duration(time.Minute)
 	MaxServices   = 100
 	MaxTokens     = 32
-	// MaxChange is the maximum length of the change ID in bytes.
-	MaxChange = 64
+	// MaxChangeID is the maximum length of the change ID in bytes.
+	MaxChangeID = 64
 )
 
 // NamePattern is the regular expression for the names of client accounts and services.
@@ -41,13 +41,13 @@
 	allowRate      = fmt.Sprintf("a number above 0 and at most %d, in tasks per second", MaxRate)
 	allowBurst     = fmt.Sprintf("a whole number from 1 to %d, in tasks", MaxBurst)
 	allowInFlight  = fmt.Sprintf("a whole number from 1 to %d, in tasks", MaxInFlight)
-	allowUrgency   = fmt.Sprintf("a whole number from 1 to %d", MaxUrgency)
+	allowUrgency   = fmt.Sprintf("a whole number from 1 to %d", MaxPriority)
 	allowAnswer    = fmt.Sprintf(`a duration from "%s" to "%s"`, MinAnswerTime, MaxAnswerTime)
 	allowRunLimit  = fmt.Sprintf(`a duration from "%s" to "%s"`, MinRunLimit, MaxRunLimit)
 	allowObjective = "a number above 0 and below 1"
 	allowServices  = fmt.Sprintf("1 to %d service names", MaxServices)
 	allowTokens    = fmt.Sprintf("at most %d digests", MaxTokens)
-	allowChange    = fmt.Sprintf("at most %d bytes, set by the writer", MaxChange)
+	allowChange    = fmt.Sprintf("at most %d bytes, set by the writer", MaxChangeID)
 )
 
 // Check returns an *Invalid that lists every invalid field, or nil.
@@ -58,8 +58,8 @@
 }
 
 func (c *Contract) check(p *problems) {
-	if !namePattern.MatchString(c.Customer) {
-		p.add("customer", strconv.Quote(c.Customer), allowName)
+	if !namePattern.MatchString(c.Client) {
+		p.add("customer", strconv.Quote(c.Client), allowName)
 	}
 	if c.State != Active && c.State != Retired {
 		p.add("state", strconv.Quote(string(c.State)), allowState)
@@ -74,8 +74,8 @@
 	if len(c.TokenDigests) > MaxTokens {
 		p.add("token_digests", fmt.Sprintf("%d digests", len(c.TokenDigests)), allowTokens)
 	}
-	if len(c.Change) > MaxChange {
-		p.add("change", fmt.Sprintf("%d bytes", len(c.Change)), allowChange)
+	if len(c.ChangeID) > MaxChangeID {
+		p.add("change", fmt.Sprintf("%d bytes", len(c.ChangeID)), allowChange)
 	}
 }
 
@@ -90,8 +90,8 @@
 	if c.InFlight < 1 || c.InFlight > MaxInFlight {
 		p.add("in_flight", strconv.Itoa(c.InFlight), allowInFlight)
 	}
-	if c.Urgency < 1 || c.Urgency > MaxUrgency {
-		p.add("urgency", strconv.Itoa(c.Urgency), allowUrgency)
+	if c.Priority < 1 || c.Priority > MaxPriority {
+		p.add("urgency", strconv.Itoa(c.Priority), allowUrgency)
 	}
 	if !(c.Objective > 0 && c.Objective < 1) {
 		p.add("objective", strconv.FormatFloat(c.Objective, 'g', -1, 64), allowObjective)
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -26,7 +26,7 @@
 // Defaults of optional fields.
 const (
 	DefaultState     = Active
-	DefaultUrgency   = 5
+	DefaultPriority  = 5
 	DefaultRunLimit  = Duration(10 * time.Second)
 	DefaultObjective = 0.999
 )
@@ -59,17 +59,17 @@
 
 // Contract is the contract of one client account.
 type Contract struct {
-	// Customer is the name of the client account. It is part of the key in the store.
-	Customer string `json:"customer"`
-	State    State  `json:"state"`
+	// Client is the name of the client account. It is part of the key in the store.
+	Client string `json:"customer"`
+	State  State  `json:"state"`
 	// Rate is the sustained rate of task starts bought, per second.
 	Rate float64 `json:"rate"`
 	// Burst is the number of tasks that may be submitted at once in excess of Rate.
 	Burst int `json:"burst"`
 	// InFlight is the maximum number of tasks accepted and not yet finished.
 	InFlight int `json:"in_flight"`
-	// Urgency is the weight of this client account relative to others, from 1 to MaxUrgency.
-	Urgency int `json:"urgency"`
+	// Priority is the weight of this client account relative to others, from 1 to MaxPriority.
+	Priority int `json:"urgency"`
 	// AnswerTime is the latency target of responses.
 	AnswerTime Duration `json:"answer_time"`
 	// RunLimit is the maximum run time of a task.
@@ -82,9 +82,9 @@
 	// TokenDigests are the SHA-256 digests, in lower-case hex, of the client account's
 	// bearer tokens.
 	TokenDigests []string `json:"token_digests"`
-	// Change identifies the write of this version. If the response to a write is lost, the
+	// ChangeID identifies the write of this version. If the response to a write is lost, the
 	// writer reads the contract back and recognises its own write by it. Set by the writer.
-	Change string `json:"change,omitempty"`
+	ChangeID string `json:"change,omitempty"`
 }
 
 // AllowsService reports whether the client account may use the service.
@@ -99,10 +99,10 @@
 	return json.Marshal(c)
 }
 
-// Same reports whether two contracts are equal apart from the order of their lists and
+// SameTerms reports whether two contracts are equal apart from the order of their lists and
 // Change.
-func (c Contract) Same(other Contract) bool {
-	c.Change, other.Change = "", ""
+func (c Contract) SameTerms(other Contract) bool {
+	c.ChangeID, other.ChangeID = "", ""
 	a, errA := c.Encode()
 	b, errB := other.Encode()
 	return errA == nil && errB == nil && string(a) == string(b)
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -21,7 +21,7 @@
 	c, err := contract.Decode([]byte(valid))
 	assert.NilError(t, err)
 	assert.Equal(t, c.State, contract.Active)
-	assert.Equal(t, c.Urgency, 5)
+	assert.Equal(t, c.Priority, 5)
 	assert.Equal(t, c.RunLimit.Std(), 10*time.Second)
 	assert.Equal(t, c.Objective, 0.999)
 	assert.Equal(t, c.Rate, 25.5)
@@ -65,11 +65,11 @@
 			text := strings.Replace(valid, c.old, c.new, 1)
 			assert.Assert(t, text != valid)
 			_, err := contract.Decode([]byte(text))
-			var invalid *contract.Invalid
+			var invalid *contract.InvalidError
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
 			assert.Equal(t, len(invalid.Problems), 1, "%v", err)
 			assert.Equal(t, invalid.Problems[0].Path, c.path, "%v", err)
-			assert.Assert(t, invalid.Problems[0].Read != "" && invalid.Problems[0].Allowed != "")
+			assert.Assert(t, invalid.Problems[0].Found != "" && invalid.Problems[0].Allowed != "")
 		})
 	}
 }
@@ -78,7 +78,7 @@
 	for _, text := range []string{"", "null", "[]", "7", "{", valid + "x", valid + valid, `{"a"}`,
 		strings.Repeat("[", 1<<16+1), strings.Replace(valid, "karlovac", "karlo\xffvac", 1)} {
 		_, err := contract.Decode([]byte(text))
-		var invalid *contract.Invalid
+		var invalid *contract.InvalidError
 		assert.Assert(t, errors.As(err, &invalid), "%.40q", text)
 		assert.Equal(t, invalid.Problems[0].Path, "", "%.40q", text)
 	}
@@ -86,7 +86,7 @@
 
 func TestDecodeListsAllProblemsAtOnce(t *testing.T) {
 	_, err := contract.Decode([]byte(`{"customer":"A","rate":0,"unit":"ms"}`))
-	var invalid *contract.Invalid
+	var invalid *contract.InvalidError
 	assert.Assert(t, errors.As(err, &invalid))
 	var paths []string
 	for _, p := range invalid.Problems {
@@ -100,10 +100,10 @@
 	assert.NilError(t, err)
 	b := a
 	b.Services = []string{"torque", "teardown"}
-	b.Change = "another"
-	assert.Assert(t, a.Same(b))
+	b.ChangeID = "another"
+	assert.Assert(t, a.SameTerms(b))
 	b.Burst++
-	assert.Assert(t, !a.Same(b))
+	assert.Assert(t, !a.SameTerms(b))
 }
 
 // FuzzDecode checks that the decoder never panics, that every error is a non-empty
@@ -117,7 +117,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := contract.Decode(text)
 		if err != nil {
-			var invalid *contract.Invalid
+			var invalid *contract.InvalidError
 			assert.Assert(t, errors.As(err, &invalid) && len(invalid.Problems) > 0)
 			assert.Assert(t, invalid.Error() != "")
 			return
@@ -127,7 +127,7 @@
 		assert.NilError(t, err)
 		decodedAgain, err := contract.Decode(encoded)
 		assert.NilError(t, err)
-		assert.Assert(t, decodedAgain.Same(c))
+		assert.Assert(t, decodedAgain.SameTerms(c))
 		encodedAgain, err := decodedAgain.Encode()
 		assert.NilError(t, err)
 		assert.Equal(t, string(encodedAgain), string(encoded))
--- a/contract/decode.go
+++ b/contract/decode.go
@@ -24,7 +24,7 @@
 	}
 	c := Contract{
 		State:     DefaultState,
-		Urgency:   DefaultUrgency,
+		Priority:  DefaultPriority,
 		RunLimit:  DefaultRunLimit,
 		Objective: DefaultObjective,
 	}
@@ -103,18 +103,18 @@
 		}
 	}
 	r := fieldReader{fields: fields, problems: p}
-	read(r, "customer", &c.Customer, required, allowName)
+	read(r, "customer", &c.Client, required, allowName)
 	read(r, "state", &c.State, optional, allowState)
 	read(r, "rate", &c.Rate, required, allowRate)
 	read(r, "burst", &c.Burst, required, allowBurst)
 	read(r, "in_flight", &c.InFlight, required, allowInFlight)
-	read(r, "urgency", &c.Urgency, optional, allowUrgency)
+	read(r, "urgency", &c.Priority, optional, allowUrgency)
 	read(r, "answer_time", &c.AnswerTime, required, allowAnswer)
 	read(r, "run_limit", &c.RunLimit, optional, allowRunLimit)
 	read(r, "objective", &c.Objective, optional, allowObjective)
 	read(r, "services", &c.Services, required, allowServices)
 	read(r, "token_digests", &c.TokenDigests, optional, allowTokens)
-	read(r, "change", &c.Change, optional, allowChange)
+	read(r, "change", &c.ChangeID, optional, allowChange)
 }
 
 func sortedKeys(fields map[string]json.RawMessage) []string {
--- a/contract/route/route.go
+++ b/contract/route/route.go
@@ -15,14 +15,14 @@
 	Host    string
 	Prefix  string
 	Service string
-	// Urgency is the contract's priority; 0 is the highest.
-	Urgency int
+	// Priority is the contract's priority; 0 is the highest.
+	Priority int
 	// MaxAttempts is the maximum number of failed runs of a task; at least 1.
 	MaxAttempts int
-	// Stretch and Allowance give the target latency of a job: Stretch times the run time
+	// TargetFactor and Allowance give the target latency of a job: Stretch times the run time
 	// of its critical path, plus Allowance.
-	Stretch   float64
-	Allowance time.Duration
+	TargetFactor float64
+	TargetMargin time.Duration
 	// Timeout is the timeout of a request; zero if the contract sets none.
 	Timeout time.Duration
 }
--- a/dispatch/admission/admission.go
+++ b/dispatch/admission/admission.go
@@ -43,20 +43,20 @@
 	// Idle is true if no task of the client is waiting.
 	Idle bool
 	// Ahead is the expected run time of the client's waiting tasks that go before the job's;
-	// SmallerRate is the rate at which such work arrives, in slots.
-	Ahead       time.Duration
-	SmallerRate float64
-	// Share is the client's fair share of the slots, from 0 to 1.
-	Share float64
-	// OthersRate is the number of slots that other clients use.
-	OthersRate float64
+	// SmallerArrivalRate is the rate at which such work arrives, in slots.
+	Ahead              time.Duration
+	SmallerArrivalRate float64
+	// FairShare is the client's fair share of the slots, from 0 to 1.
+	FairShare float64
+	// OthersSlots is the number of slots that other clients use.
+	OthersSlots float64
 }
 
 // Demand is what a job asks for.
 type Demand struct {
-	Customer string
-	Tasks    int
-	Bytes    int64
+	Client string
+	Tasks  int
+	Bytes  int64
 	// Work is the total expected run time of the job's tasks, Longest that of its longest task.
 	Work    time.Duration
 	Longest time.Duration
@@ -74,12 +74,12 @@
 	Admitted Verdict = iota
 	// TooLate: the job cannot be answered in time.
 	TooLate
-	// Full: the queue has reached one of its limits.
-	Full
+	// QueueFull: the queue has reached one of its limits.
+	QueueFull
 )
 
-// Gate decides on the admission of jobs. It is not safe for concurrent use.
-type Gate struct {
+// Controller decides on the admission of jobs. It is not safe for concurrent use.
+type Controller struct {
 	opts   Options
 	random *rand.Rand
 	// lastRetry holds, for each client with recently refused jobs, the latest retry time that
@@ -88,7 +88,7 @@
 }
 
 // New returns a Gate.
-func New(o Options, random *rand.Rand) *Gate {
+func New(o Options, random *rand.Rand) *Controller {
 	if o.MaxTasks == 0 {
 		o.MaxTasks = DefaultMaxTasks
 	}
@@ -104,14 +104,14 @@
 	if o.MaxRetry == 0 {
 		o.MaxRetry = DefaultMaxRetry
 	}
-	return &Gate{opts: o, random: random, lastRetry: map[string]time.Time{}}
+	return &Controller{opts: o, random: random, lastRetry: map[string]time.Time{}}
 }
 
 // Decide decides on one job. retryAfter is set for every verdict except Admitted.
-func (g *Gate) Decide(now time.Time, l Load, d Demand) (v Verdict, retryAfter time.Duration) {
+func (g *Controller) Decide(now time.Time, l Load, d Demand) (v Verdict, retryAfter time.Duration) {
 	rate := g.rate(l)
 	if l.Waiting+d.Tasks > g.opts.MaxTasks || l.Bytes+d.Bytes > g.opts.MaxBytes {
-		return Full, g.retryAfter(now, d, rate, g.opts.MinRetry)
+		return QueueFull, g.retryAfter(now, d, rate, g.opts.MinRetry)
 	}
 	late := g.Forecast(l, d).Lateness()
 	if late <= 0 || g.admitGuess(l, d) {
@@ -120,15 +120,15 @@
 	if !g.Feasible(l, d) {
 		// The job does not wait for other jobs, so reserving a retry time would only delay the
 		// later ones.
-		return TooLate, g.Spread(min(late, g.opts.MaxRetry))
+		return TooLate, g.AddJitter(min(late, g.opts.MaxRetry))
 	}
 	return TooLate, g.retryAfter(now, d, rate, late)
 }
 
 // Forecast is how long a job would take if it were admitted now.
 type Forecast struct {
-	// Rate is the number of slots that serve the client.
-	Rate float64
+	// Slots is the number of slots that serve the client.
+	Slots float64
 	// Drain is the time needed to run the job and all that goes before it, Allowed the time
 	// available for that: zero or less if the longest task alone exceeds it.
 	Drain, Allowed time.Duration
@@ -138,30 +138,30 @@
 func (f Forecast) Lateness() time.Duration { return f.Drain - f.Allowed }
 
 // Forecast returns how long a job would take if it were admitted now.
-func (g *Gate) Forecast(l Load, d Demand) Forecast {
+func (g *Controller) Forecast(l Load, d Demand) Forecast {
 	rate := g.rate(l)
 	return Forecast{
-		Rate:    rate,
+		Slots:   rate,
 		Drain:   drainTime(l, d, rate),
 		Allowed: time.Duration(g.opts.Margin*float64(d.AnswerTime)) - d.Longest,
 	}
 }
 
-// RetryAfterNone returns the retry time for a service without known endpoints: a random time
+// RetryAfterNoEndpoint returns the retry time for a service without known endpoints: a random time
 // of up to a second, in which one may announce itself.
-func (g *Gate) RetryAfterNone() time.Duration { return g.Spread(time.Second) }
+func (g *Controller) RetryAfterNoEndpoint() time.Duration { return g.AddJitter(time.Second) }
 
 // rate returns the number of slots that the client can count on: its fair share, or what the
 // other clients leave if that is more.
-func (g *Gate) rate(l Load) float64 {
+func (g *Controller) rate(l Load) float64 {
 	const least = 0.1
-	return max(least, l.Slots*l.Share, l.Slots-l.OthersRate)
+	return max(least, l.Slots*l.FairShare, l.Slots-l.OthersSlots)
 }
 
 // Feasible reports whether the job could be answered in time if it had the whole service to
 // itself.
-func (g *Gate) Feasible(l Load, d Demand) bool {
-	return g.Forecast(Load{Slots: l.Slots, Share: 1}, d).Lateness() <= 0
+func (g *Controller) Feasible(l Load, d Demand) bool {
+	return g.Forecast(Load{Slots: l.Slots, FairShare: 1}, d).Lateness() <= 0
 }
 
 // drainTime returns the time needed to run the job and what goes before it: smaller jobs of
@@ -171,8 +171,8 @@
 // goes before them.
 func drainTime(l Load, d Demand, rate float64) time.Duration {
 	ahead := (l.Ahead + d.Work).Seconds()
-	drain := (ahead + l.SmallerRate*d.AnswerTime.Seconds()*arrivalHorizon) / rate
-	if available := rate - l.SmallerRate; available > 0 {
+	drain := (ahead + l.SmallerArrivalRate*d.AnswerTime.Seconds()*arrivalHorizon) / rate
+	if available := rate - l.SmallerArrivalRate; available > 0 {
 		drain = min(drain, ahead/available)
 	}
 	return time.Duration(drain * float64(time.Second))
@@ -181,7 +181,7 @@
 // admitGuess reports whether to admit a job against a guessed estimate, which is the case if
 // nothing of its client is waiting. A guess that is far too long would otherwise lock out a
 // client for good, since no task of it could ever run and correct the guess.
-func (g *Gate) admitGuess(l Load, d Demand) bool {
+func (g *Controller) admitGuess(l Load, d Demand) bool {
 	return !d.Learnt && l.Idle
 }
 
@@ -189,29 +189,29 @@
 // shrunk enough, and from then on one job after another at the rate at which the client is
 // served. If all got the same time, they would all retry together and most would be refused
 // again.
-func (g *Gate) retryAfter(now time.Time, d Demand, rate float64, late time.Duration) time.Duration {
+func (g *Controller) retryAfter(now time.Time, d Demand, rate float64, late time.Duration) time.Duration {
 	g.removePassed(now)
 	at := now.Add(max(late, g.opts.MinRetry))
-	if previous := g.lastRetry[d.Customer]; previous.After(at) {
+	if previous := g.lastRetry[d.Client]; previous.After(at) {
 		at = previous
 	}
 	at = at.Add(time.Duration(d.Work.Seconds() / rate * float64(time.Second)))
 	if latest := now.Add(g.opts.MaxRetry); at.After(latest) {
 		at = latest
 	}
-	g.lastRetry[d.Customer] = at
-	return g.Spread(at.Sub(now))
+	g.lastRetry[d.Client] = at
+	return g.AddJitter(at.Sub(now))
 }
 
-// Spread adds random jitter, so that callers given the same time, by several entries or
+// AddJitter adds random jitter, so that callers given the same time, by several entries or
 // because it is the longest one, do not retry at the same moment.
-func (g *Gate) Spread(wait time.Duration) time.Duration {
+func (g *Controller) AddJitter(wait time.Duration) time.Duration {
 	const jitter = 0.2
 	return max(g.opts.MinRetry, time.Duration(float64(wait)*(1+jitter*g.random.Float64())))
 }
 
 // removePassed removes retry times that have passed once there are many entries.
-func (g *Gate) removePassed(now time.Time) {
+func (g *Controller) removePassed(now time.Time) {
 	const many = 1024
 	if len(g.lastRetry) < many {
 		return
--- a/dispatch/admission/admission_test.go
+++ b/dispatch/admission/admission_test.go
@@ -12,13 +12,13 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newGate() *admission.Gate {
+func newGate() *admission.Controller {
 	return admission.New(admission.Options{MaxTasks: 1000, MaxBytes: 1000}, rand.New(rand.NewPCG(1, 2)))
 }
 
 func TestDecide(t *testing.T) {
 	second := time.Second
-	free := admission.Load{Slots: 10, Share: 1}
+	free := admission.Load{Slots: 10, FairShare: 1}
 	job := admission.Demand{Tasks: 10, Work: 10 * second, Longest: second, AnswerTime: 10 * second, Learnt: true}
 	for name, c := range map[string]struct {
 		load   func(*admission.Load)
@@ -27,13 +27,13 @@
 	}{
 		"idle":               {want: admission.Admitted},
 		"backlog ahead":      {load: func(l *admission.Load) { l.Ahead = 60 * second }, want: admission.TooLate},
-		"small share":        {load: func(l *admission.Load) { l.Share, l.OthersRate = 0.1, 9.5 }, want: admission.TooLate},
-		"others leave room":  {load: func(l *admission.Load) { l.Share, l.OthersRate = 0.1, 5 }, want: admission.Admitted},
-		"stream of smaller":  {load: func(l *admission.Load) { l.SmallerRate = 12 }, want: admission.TooLate},
+		"small share":        {load: func(l *admission.Load) { l.FairShare, l.OthersSlots = 0.1, 9.5 }, want: admission.TooLate},
+		"others leave room":  {load: func(l *admission.Load) { l.FairShare, l.OthersSlots = 0.1, 5 }, want: admission.Admitted},
+		"stream of smaller":  {load: func(l *admission.Load) { l.SmallerArrivalRate = 12 }, want: admission.TooLate},
 		"guess, idle":        {demand: func(d *admission.Demand) { d.Work, d.Learnt = time.Hour, false }, load: func(l *admission.Load) { l.Idle = true }, want: admission.Admitted},
 		"learnt, too large":  {demand: func(d *admission.Demand) { d.Work = time.Hour }, load: func(l *admission.Load) { l.Idle = true }, want: admission.TooLate},
-		"bound of the tasks": {load: func(l *admission.Load) { l.Waiting = 995 }, want: admission.Full},
-		"bound of the bytes": {demand: func(d *admission.Demand) { d.Bytes = 1001 }, want: admission.Full},
+		"bound of the tasks": {load: func(l *admission.Load) { l.Waiting = 995 }, want: admission.QueueFull},
+		"bound of the bytes": {demand: func(d *admission.Demand) { d.Bytes = 1001 }, want: admission.QueueFull},
 	} {
 		load, demand := free, job
 		if c.load != nil {
@@ -53,8 +53,8 @@
 // over about the time that their work takes.
 func TestRetryAfterSpreadsClients(t *testing.T) {
 	g := newGate()
-	load := admission.Load{Slots: 10, Share: 1, Ahead: 100 * time.Second}
-	demand := admission.Demand{Customer: "c", Tasks: 1, Work: time.Second, AnswerTime: 5 * time.Second, Learnt: true}
+	load := admission.Load{Slots: 10, FairShare: 1, Ahead: 100 * time.Second}
+	demand := admission.Demand{Client: "c", Tasks: 1, Work: time.Second, AnswerTime: 5 * time.Second, Learnt: true}
 	// The backlog of 101 s on 10 slots is 6.6 s too long for 70 % of 5 s.
 	const soonest = 6600 * time.Millisecond
 	var early, late int
--- a/dispatch/baseline/baseline.go
+++ b/dispatch/baseline/baseline.go
@@ -46,7 +46,7 @@
 	var last *placement.Endpoint
 	for i := range all {
 		e := all[(first+i)%len(all)]
-		if e.Held() || e.Barred() {
+		if e.Excluded() || e.Unavailable() {
 			continue
 		}
 		if e != avoid {
@@ -71,12 +71,12 @@
 	return float64(j.Deadline.UnixMicro())
 }
 
-// FewestLeft starts the job with the fewest unfinished tasks first, relative to its
+// FewestTasksLeft starts the job with the fewest unfinished tasks first, relative to its
 // weight. It needs no run times.
-type FewestLeft struct{}
+type FewestTasksLeft struct{}
 
 // Key implements queue.Order.
-func (FewestLeft) Key(j *queue.Job) float64 { return float64(j.Left()) / j.Weight }
+func (FewestTasksLeft) Key(j *queue.Job) float64 { return float64(j.Left()) / j.Weight }
 
 // LeastSlowdown starts the job first for which the product of remaining expected run
 // time and run time of its longest task is least, relative to its weight. This is the
@@ -89,12 +89,12 @@
 	return j.Work().Seconds() * j.Longest().Seconds() / j.Weight
 }
 
-// FewestSlowdown is LeastSlowdown with the number of unfinished tasks in place of the
+// LeastTaskSlowdown is LeastSlowdown with the number of unfinished tasks in place of the
 // remaining run time.
-type FewestSlowdown struct{}
+type LeastTaskSlowdown struct{}
 
 // Key implements queue.Order.
-func (FewestSlowdown) Key(j *queue.Job) float64 {
+func (LeastTaskSlowdown) Key(j *queue.Job) float64 {
 	return float64(j.Left()) * j.Longest().Seconds() / j.Weight
 }
 
@@ -104,12 +104,12 @@
 	PlacementRandom     = "random"
 	PlacementTwoChoices = "two_choices"
 
-	OrderFewestLeft       = "fewest_left"
-	OrderFIFO             = "fifo"
-	OrderEarliestDeadline = "earliest_deadline"
-	OrderLeastWork        = "least_work"
-	OrderLeastSlowdown    = "least_slowdown"
-	OrderFewestSlowdown   = "fewest_slowdown"
+	OrderFewestTasksLeft   = "fewest_left"
+	OrderFIFO              = "fifo"
+	OrderEarliestDeadline  = "earliest_deadline"
+	OrderLeastWork         = "least_work"
+	OrderLeastSlowdown     = "least_slowdown"
+	OrderLeastTaskSlowdown = "fewest_slowdown"
 )
 
 // Variant selects one combination of policies. Empty fields select the production
@@ -120,15 +120,15 @@
 	// Ageing is the fraction of its answer time after which a job alternates with the
 	// first job of the order.
 	Ageing *float64 `json:"ageing,omitempty"`
-	// Floor is the minimum number of tasks in flight allowed per endpoint, whatever the
+	// MinInFlight is the minimum number of tasks in flight allowed per endpoint, whatever the
 	// reports say.
-	Floor *int `json:"floor,omitempty"`
+	MinInFlight *int `json:"floor,omitempty"`
 	// FairQueueing set to false makes the order alone decide between clients.
 	FairQueueing *bool `json:"fair_queueing,omitempty"`
-	// FairSlack is how far a client may be ahead of its fair share.
-	FairSlack *time.Duration `json:"fair_slack_ns,omitempty"`
-	// NoZone makes placement treat the endpoints of all data centres alike.
-	NoZone bool `json:"no_zone,omitempty"`
+	// FairnessSlack is how far a client may be ahead of its fair share.
+	FairnessSlack *time.Duration `json:"fair_slack_ns,omitempty"`
+	// IgnoreDataCentre makes placement treat the endpoints of all data centres alike.
+	IgnoreDataCentre bool `json:"no_zone,omitempty"`
 	// DeclaredOnly uses declared run times and disables learning.
 	DeclaredOnly bool `json:"declared_only,omitempty"`
 	// AdmitAll rejects no job for its forecast lateness.
@@ -152,32 +152,32 @@
 		o.Order = FIFO{}
 	case OrderEarliestDeadline:
 		o.Order = EarliestDeadline{}
-	case OrderFewestLeft:
-		o.Order = FewestLeft{}
+	case OrderFewestTasksLeft:
+		o.Order = FewestTasksLeft{}
 	case OrderLeastSlowdown:
 		o.Order = LeastSlowdown{}
-	case OrderFewestSlowdown:
-		o.Order = FewestSlowdown{}
+	case OrderLeastTaskSlowdown:
+		o.Order = LeastTaskSlowdown{}
 	default:
 		return o, fmt.Errorf("baseline: unknown order %q", v.Order)
 	}
 	if v.Ageing != nil {
 		o.Ageing = zeroMeansOff(*v.Ageing, scheduler.NoAgeing)
 	}
-	if v.Floor != nil {
-		o.Floor = zeroMeansOff(*v.Floor, scheduler.NoFloor)
+	if v.MinInFlight != nil {
+		o.MinInFlight = zeroMeansOff(*v.MinInFlight, scheduler.NoMinInFlight)
 	}
-	if v.FairSlack != nil {
-		o.FairSlack = zeroMeansOff(*v.FairSlack, scheduler.NoFairSlack)
+	if v.FairnessSlack != nil {
+		o.FairnessSlack = zeroMeansOff(*v.FairnessSlack, scheduler.NoFairnessSlack)
 	}
 	if v.FairQueueing != nil {
-		o.Unfair = !*v.FairQueueing
+		o.DisableFairQueueing = !*v.FairQueueing
 	}
-	if v.NoZone {
-		o.Zone = ""
+	if v.IgnoreDataCentre {
+		o.DataCentre = ""
 	}
 	o.Estimate.DeclaredOnly = v.DeclaredOnly
-	o.AdmitAll = v.AdmitAll
+	o.IgnoreLateness = v.AdmitAll
 	return o, nil
 }
 
--- a/dispatch/estimate/estimate.go
+++ b/dispatch/estimate/estimate.go
@@ -10,9 +10,9 @@
 
 // Defaults of Options.
 const (
-	DefaultFirstGuess = 200 * time.Millisecond
-	DefaultMaxKinds   = 4096
-	DefaultWindow     = 32
+	DefaultFallbackRunTime = 200 * time.Millisecond
+	DefaultMaxKinds        = 4096
+	DefaultWindow          = 32
 )
 
 // minSamples is the number of samples from which a mean counts as learnt.
@@ -20,8 +20,8 @@
 
 // Options configures a Table; zero values select the defaults.
 type Options struct {
-	// FirstGuess is the estimate used while nothing is declared or learnt.
-	FirstGuess time.Duration
+	// FallbackRunTime is the estimate used while nothing is declared or learnt.
+	FallbackRunTime time.Duration
 	// MaxKinds limits the number of kinds in the table; the least recently used one is
 	// evicted first.
 	MaxKinds int
@@ -38,12 +38,12 @@
 	// (zero while unknown).
 	Mean      time.Duration
 	Deviation time.Duration
-	// Shown is the observed run time: Mean when learnt, otherwise the observed mean of
+	// Observed is the observed run time: Mean when learnt, otherwise the observed mean of
 	// the closest of kind, client and service that has any samples. Decisions against a
 	// job or an endpoint use it, because a declared time may be far off.
-	Shown time.Duration
-	// Learnt is false when Mean doesn't come from enough samples.
-	Learnt bool
+	Observed time.Duration
+	// FromSamples is false when Mean doesn't come from enough samples.
+	FromSamples bool
 }
 
 // Table holds the learnt run times. It is not safe for concurrent use.
@@ -65,8 +65,8 @@
 
 // New returns an empty table.
 func New(o Options) *Table {
-	if o.FirstGuess == 0 {
-		o.FirstGuess = DefaultFirstGuess
+	if o.FallbackRunTime == 0 {
+		o.FallbackRunTime = DefaultFallbackRunTime
 	}
 	if o.MaxKinds == 0 {
 		o.MaxKinds = DefaultMaxKinds
@@ -80,22 +80,22 @@
 // Estimate returns the expected run time of a task. declared is the run time declared
 // by the caller, zero when none; limit caps the result, zero for no limit. The first
 // available one of these is used: the samples of the kind, the declared time, the
-// samples of the client over all kinds, those of the service, Options.FirstGuess.
+// samples of the client over all kinds, those of the service, Options.FallbackRunTime.
 func (t *Table) Estimate(client, name string, declared, limit time.Duration) Estimate {
 	e := t.uncapped(client, name, declared)
-	e.Shown = e.Mean
-	if !e.Learnt && !t.opts.DeclaredOnly {
-		e.Shown = t.observed(client, name, e.Mean)
+	e.Observed = e.Mean
+	if !e.FromSamples && !t.opts.DeclaredOnly {
+		e.Observed = t.observed(client, name, e.Mean)
 	}
 	if limit > 0 {
 		e.Mean = min(e.Mean, limit)
-		e.Shown = min(e.Shown, limit)
+		e.Observed = min(e.Observed, limit)
 	}
 	return e
 }
 
 // observed returns the mean of the closest of kind, client and service that has
-// samples. Without any samples it returns guess, but at most Options.FirstGuess.
+// samples. Without any samples it returns guess, but at most Options.FallbackRunTime.
 func (t *Table) observed(client, name string, guess time.Duration) time.Duration {
 	for _, k := range []key{{client, name}, {client: client}} {
 		if s := t.lookUp(k); s != nil {
@@ -105,7 +105,7 @@
 	if t.service.samples > 0 {
 		return t.Mean()
 	}
-	return min(guess, t.opts.FirstGuess)
+	return min(guess, t.opts.FallbackRunTime)
 }
 
 func (t *Table) uncapped(client, name string, declared time.Duration) Estimate {
@@ -124,20 +124,20 @@
 	if t.service.samples > 0 {
 		return Estimate{Mean: seconds(t.service.mean)}
 	}
-	return Estimate{Mean: t.opts.FirstGuess}
+	return Estimate{Mean: t.opts.FallbackRunTime}
 }
 
 func (t *Table) declaredOrFirstGuess(declared time.Duration) time.Duration {
 	if declared > 0 {
 		return declared
 	}
-	return t.opts.FirstGuess
+	return t.opts.FallbackRunTime
 }
 
 // Mean returns the expected run time of an arbitrary task of the service.
 func (t *Table) Mean() time.Duration {
 	if t.service.samples == 0 {
-		return t.opts.FirstGuess
+		return t.opts.FallbackRunTime
 	}
 	return seconds(t.service.mean)
 }
@@ -146,9 +146,9 @@
 // kinds together.
 func (t *Table) Kinds() int { return t.recent.Len() }
 
-// Learn records the run time of a completed task. It returns true when that was the
+// Add records the run time of a completed task. It returns true when that was the
 // first sample of the kind, or the one from which its mean counts as learnt.
-func (t *Table) Learn(client, name string, run time.Duration) (changed bool) {
+func (t *Table) Add(client, name string, run time.Duration) (changed bool) {
 	if run <= 0 {
 		return false
 	}
@@ -229,7 +229,7 @@
 		n := float64(s.samples)
 		mean = (mean*n + guess.Seconds()) / (n + 1)
 	}
-	return Estimate{Mean: seconds(mean), Deviation: seconds(s.deviation), Learnt: learnt}
+	return Estimate{Mean: seconds(mean), Deviation: seconds(s.deviation), FromSamples: learnt}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/dispatch/estimate/estimate_test.go
+++ b/dispatch/estimate/estimate_test.go
@@ -16,19 +16,19 @@
 // the measured ones, and is ignored once the kind is learnt.
 func TestLearning(t *testing.T) {
 	e := estimate.New(estimate.Options{})
-	assert.Equal(t, e.Estimate("c", "k", 0, 0).Mean, estimate.DefaultFirstGuess)
+	assert.Equal(t, e.Estimate("c", "k", 0, 0).Mean, estimate.DefaultFallbackRunTime)
 	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 5000*ms).Mean, 5000*ms)
 	for range 3 {
-		e.Learn("c", "k", 100*ms)
+		e.Add("c", "k", 100*ms)
 	}
 	assert.Equal(t, e.Estimate("c", "k", 10_100*ms, 0).Mean, 2600*ms)
-	e.Learn("c", "k", 100*ms)
+	e.Add("c", "k", 100*ms)
 	got := e.Estimate("c", "k", 10_000*ms, 0)
-	assert.Assert(t, got.Learnt && got.Mean == 100*ms && got.Deviation == 0)
+	assert.Assert(t, got.FromSamples && got.Mean == 100*ms && got.Deviation == 0)
 	assert.Equal(t, e.Estimate("c", "unknown", 0, 0).Mean, 100*ms)
 	assert.Equal(t, e.Estimate("other", "unknown", 0, 0).Mean, 100*ms)
 	for range 100 {
-		e.Learn("c", "k", 200*ms)
+		e.Add("c", "k", 200*ms)
 	}
 	assert.Assert(t, e.Estimate("c", "k", 0, 0).Mean > 190*ms)
 }
@@ -38,17 +38,17 @@
 // first guess.
 func TestObserved(t *testing.T) {
 	e := estimate.New(estimate.Options{})
-	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Shown, estimate.DefaultFirstGuess)
-	assert.Equal(t, e.Estimate("c", "k", ms, 0).Shown, ms)
-	assert.Assert(t, e.Learn("other", "k", 40*ms))
-	assert.Equal(t, e.Estimate("c", "k", ms, 0).Shown, 40*ms)
-	assert.Assert(t, e.Learn("c", "other", 60*ms))
-	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Shown, 60*ms)
+	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Observed, estimate.DefaultFallbackRunTime)
+	assert.Equal(t, e.Estimate("c", "k", ms, 0).Observed, ms)
+	assert.Assert(t, e.Add("other", "k", 40*ms))
+	assert.Equal(t, e.Estimate("c", "k", ms, 0).Observed, 40*ms)
+	assert.Assert(t, e.Add("c", "other", 60*ms))
+	assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Observed, 60*ms)
 	for _, changed := range []bool{true, false, false, true, false} {
-		assert.Equal(t, e.Learn("c", "k", 20*ms), changed)
-		assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Shown, 20*ms)
+		assert.Equal(t, e.Add("c", "k", 20*ms), changed)
+		assert.Equal(t, e.Estimate("c", "k", 10_000*ms, 0).Observed, 20*ms)
 	}
-	assert.Equal(t, e.Estimate("c", "k", 0, 10*ms).Shown, 10*ms)
+	assert.Equal(t, e.Estimate("c", "k", 0, 10*ms).Observed, 10*ms)
 }
 
 // TestKindsAreBounded: a caller that names a new kind for each task must not make the
@@ -56,10 +56,10 @@
 func TestKindsAreBounded(t *testing.T) {
 	e := estimate.New(estimate.Options{MaxKinds: 10})
 	for i := range 1000 {
-		e.Learn("c", "steady", 50*ms)
-		e.Learn("c", strconv.Itoa(i), 100*ms)
+		e.Add("c", "steady", 50*ms)
+		e.Add("c", strconv.Itoa(i), 100*ms)
 	}
 	assert.Assert(t, e.Kinds() <= 10)
 	assert.Equal(t, e.Estimate("c", "steady", 0, 0).Mean, 50*ms)
-	assert.Assert(t, !e.Estimate("c", "0", 0, 0).Learnt)
+	assert.Assert(t, !e.Estimate("c", "0", 0, 0).FromSamples)
 }
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -22,9 +22,9 @@
 
 // Defaults of Options.
 const (
-	DefaultHalfLife   = 10 * time.Second
-	DefaultFirstPause = 2 * time.Second
-	DefaultMaxPause   = time.Minute
+	DefaultHalfLife         = 10 * time.Second
+	DefaultMinProbeInterval = 2 * time.Second
+	DefaultMaxProbeInterval = time.Minute
 )
 
 const (
@@ -59,33 +59,33 @@
 	maxDegradedDivisor = 3
 )
 
-// Standing is the health status of an endpoint, which determines how it is used.
-type Standing int
+// Status is the health status of an endpoint, which determines how it is used.
+type Status int
 
 // Health statuses in order of increasing severity.
 const (
-	// Steady: as healthy as its peers.
-	Steady Standing = iota
+	// Healthy: as healthy as its peers.
+	Healthy Status = iota
 	// Slow: used last, and in proportion to its speed.
 	Slow
 	// Suspect: used last, and with one task at a time.
 	Suspect
-	// Crawling (far too slow) and Failing: ejected, receiving probes only.
-	Crawling
-	Failing
+	// EjectedSlow (far too slow) and Failing: ejected, receiving probes only.
+	EjectedSlow
+	EjectedFailing
 )
 
-// Aside reports whether an endpoint with this status is ejected and receives probes
+// Ejected reports whether an endpoint with this status is ejected and receives probes
 // only.
-func (s Standing) Aside() bool { return s == Failing || s == Crawling }
+func (s Status) Ejected() bool { return s == EjectedFailing || s == EjectedSlow }
 
 // Options configures a Monitor; zero values select the defaults.
 type Options struct {
 	// HalfLife is the half-life of the decaying counts.
 	HalfLife time.Duration
-	// FirstPause and MaxPause bound the interval between probes.
-	FirstPause time.Duration
-	MaxPause   time.Duration
+	// MinProbeInterval and MaxProbeInterval bound the interval between probes.
+	MinProbeInterval time.Duration
+	MaxProbeInterval time.Duration
 	// Rand randomizes the probe intervals, so that several entries don't probe at the
 	// same time; nil disables this.
 	Rand *rand.Rand
@@ -104,12 +104,12 @@
 
 // Task describes a task that ended at an endpoint.
 type Task struct {
-	Job, Customer string
-	// Began is the time at which it was started there.
-	Began time.Time
+	Job, Client string
+	// StartedAt is the time at which it was started there.
+	StartedAt time.Time
 	// Expected and Used are the expected and the actual run time; they are ignored for
 	// a failed task.
-	Expected, Used time.Duration
+	Expected, RunTime time.Duration
 }
 
 // decaying abbreviates the type of the exponentially decaying counts.
@@ -119,8 +119,8 @@
 type Record struct {
 	seen     evidence
 	streak   streak
-	reported Past
-	standing Standing
+	reported OutcomeCounts
+	standing Status
 	speed    float64
 	// probing is true while a probe is in flight; probeAt is when the next is due;
 	// successes is the number of consecutive successful probes.
@@ -145,11 +145,11 @@
 	if o.HalfLife == 0 {
 		o.HalfLife = DefaultHalfLife
 	}
-	if o.FirstPause == 0 {
-		o.FirstPause = DefaultFirstPause
+	if o.MinProbeInterval == 0 {
+		o.MinProbeInterval = DefaultMinProbeInterval
 	}
-	if o.MaxPause == 0 {
-		o.MaxPause = DefaultMaxPause
+	if o.MaxProbeInterval == 0 {
+		o.MaxProbeInterval = DefaultMaxProbeInterval
 	}
 	return &Monitor{opts: o, clients: map[string]*outcomes{}}
 }
@@ -173,12 +173,12 @@
 	}
 	m.forget(now, r)
 	m.records = slices.Delete(m.records, i, i+1)
-	m.setStanding(r, Steady)
+	m.setStanding(r, Healthy)
 	for _, other := range m.records {
 		if m.degraded <= m.maxDegraded() {
 			return anyReset
 		}
-		if other.standing != Steady {
+		if other.standing != Healthy {
 			m.reset(now, other)
 			anyReset = true
 		}
@@ -187,21 +187,21 @@
 }
 
 // setStanding changes the health status of an endpoint.
-func (m *Monitor) setStanding(r *Record, standing Standing) {
-	if r.standing != Steady {
+func (m *Monitor) setStanding(r *Record, standing Status) {
+	if r.standing != Healthy {
 		m.degraded--
 	}
-	if standing != Steady {
+	if standing != Healthy {
 		m.degraded++
 	}
 	r.standing = standing
 }
 
-// Aside returns the number of ejected endpoints.
-func (m *Monitor) Aside() int {
+// Ejected returns the number of ejected endpoints.
+func (m *Monitor) Ejected() int {
 	n := 0
 	for _, r := range m.records {
-		if r.standing.Aside() {
+		if r.standing.Ejected() {
 			n++
 		}
 	}
@@ -218,36 +218,36 @@
 	return len(m.records) / maxDegradedDivisor
 }
 
-// Good records a completed task.
-func (m *Monitor) Good(now time.Time, r *Record, t Task) {
+// TaskCompleted records a completed task.
+func (m *Monitor) TaskCompleted(now time.Time, r *Record, t Task) {
 	halfLife := m.opts.HalfLife
 	for _, e := range []*evidence{&r.seen, &m.sum} {
 		e.successes.Add(now, halfLife, 1)
 		e.expected.Add(now, halfLife, t.Expected.Seconds())
-		e.used.Add(now, halfLife, t.Used.Seconds())
+		e.used.Add(now, halfLife, t.RunTime.Seconds())
 	}
-	m.client(t.Customer).add(now, halfLife, 1, 0)
+	m.client(t.Client).add(now, halfLife, 1, 0)
 	r.streak.prune(t)
 }
 
-// Bad records a task that failed at the endpoint or was lost there. A refusal isn't
+// TaskFailed records a task that failed at the endpoint or was lost there. A refusal isn't
 // recorded: a full endpoint refuses too, and the backoff handles that.
-func (m *Monitor) Bad(now time.Time, r *Record, t Task) {
+func (m *Monitor) TaskFailed(now time.Time, r *Record, t Task) {
 	halfLife := m.opts.HalfLife
 	blame := m.blame(now, r, t)
 	r.seen.failures.Add(now, halfLife, blame)
 	m.sum.failures.Add(now, halfLife, blame)
-	m.client(t.Customer).add(now, halfLife, 0, 1)
+	m.client(t.Client).add(now, halfLife, 0, 1)
 	r.streak.add(t)
 }
 
-// Judge updates the endpoint's speed and health status, within the limit of degraded
+// Evaluate updates the endpoint's speed and health status, within the limit of degraded
 // endpoints. overdue is the total time by which its tasks in flight exceed their
 // expected run times, so that an endpoint which stopped answering is detected before
 // its first answer. typical is the mean run time of the service. changed is true when
 // the status changed, resetOther when another endpoint was reset to Steady in exchange.
-func (m *Monitor) Judge(now time.Time, r *Record, overdue, typical time.Duration) (changed, resetOther bool) {
-	if r.standing.Aside() {
+func (m *Monitor) Evaluate(now time.Time, r *Record, overdue, typical time.Duration) (changed, resetOther bool) {
+	if r.standing.Ejected() {
 		return false, false
 	}
 	r.speed = m.relativeSpeed(now, r, overdue, typical)
@@ -255,13 +255,13 @@
 	if standing == r.standing {
 		return false, false
 	}
-	if r.standing == Steady && m.degraded >= m.maxDegraded() {
+	if r.standing == Healthy && m.degraded >= m.maxDegraded() {
 		if resetOther = m.resetMildest(now, standing); !resetOther {
 			return false, false
 		}
 	}
 	m.setStanding(r, standing)
-	if standing.Aside() {
+	if standing.Ejected() {
 		m.eject(now, r)
 	}
 	return true, resetOther
@@ -271,10 +271,10 @@
 // status is less severe than standing. Of three endpoints only one may be degraded: if
 // a slightly slow one held that place, another that fails at once would stay in use,
 // look free all the time and fail nearly all jobs.
-func (m *Monitor) resetMildest(now time.Time, standing Standing) bool {
+func (m *Monitor) resetMildest(now time.Time, standing Status) bool {
 	var mildest *Record
 	for _, r := range m.records {
-		if r.standing != Steady && (mildest == nil || r.standing < mildest.standing) {
+		if r.standing != Healthy && (mildest == nil || r.standing < mildest.standing) {
 			mildest = r
 		}
 	}
@@ -286,13 +286,13 @@
 }
 
 // assess returns the health status that the observations call for.
-func (m *Monitor) assess(now time.Time, r *Record) Standing {
+func (m *Monitor) assess(now time.Time, r *Record) Status {
 	streakStanding := m.assessStreaks(now, r)
 	switch {
-	case streakStanding == Failing, m.failsMoreThanPeers(now, r):
-		return Failing
+	case streakStanding == EjectedFailing, m.failsMoreThanPeers(now, r):
+		return EjectedFailing
 	case r.speed < ejectSpeed:
-		return Crawling
+		return EjectedSlow
 	case streakStanding == Suspect:
 		return Suspect
 	case r.speed < slowSpeed:
@@ -300,7 +300,7 @@
 	case r.speed < recoveredSpeed && r.standing == Slow:
 		return Slow
 	}
-	return Steady
+	return Healthy
 }
 
 // relativeSpeed returns the endpoint's speed relative to its peers, 1 when equal. While
--- a/dispatch/health/health_test.go
+++ b/dispatch/health/health_test.go
@@ -16,7 +16,7 @@
 
 // task returns a task that is the only one of its job.
 func task(n int, expected, used time.Duration) health.Task {
-	return health.Task{Job: fmt.Sprint(n), Customer: "c", Began: origin, Expected: expected, Used: used}
+	return health.Task{Job: fmt.Sprint(n), Client: "c", StartedAt: origin, Expected: expected, RunTime: used}
 }
 
 func newMonitor(endpoints int) (*health.Monitor, []*health.Record) {
@@ -28,9 +28,9 @@
 	return m, records
 }
 
-func judge(m *health.Monitor, now time.Time, r *health.Record) health.Standing {
-	m.Judge(now, r, 0, run)
-	return r.Standing()
+func judge(m *health.Monitor, now time.Time, r *health.Record) health.Status {
+	m.Evaluate(now, r, 0, run)
+	return r.Status()
 }
 
 // TestFailingAgainstPeers: one endpoint fails while its peers complete tasks, and is
@@ -38,19 +38,19 @@
 func TestFailingAgainstPeers(t *testing.T) {
 	m, r := newMonitor(6)
 	for i := range 3 {
-		m.Bad(origin, r[0], task(i, 0, 0))
-		m.Good(origin, r[1], task(i, run, run))
+		m.TaskFailed(origin, r[0], task(i, 0, 0))
+		m.TaskCompleted(origin, r[1], task(i, run, run))
 	}
-	assert.Equal(t, judge(m, origin, r[0]), health.Failing)
-	assert.Equal(t, judge(m, origin, r[1]), health.Steady)
+	assert.Equal(t, judge(m, origin, r[0]), health.EjectedFailing)
+	assert.Equal(t, judge(m, origin, r[1]), health.Healthy)
 	m, r = newMonitor(6)
 	for i := range 10 {
 		for _, one := range r {
-			m.Bad(origin, one, task(i, 0, 0))
+			m.TaskFailed(origin, one, task(i, 0, 0))
 		}
 	}
 	for _, one := range r {
-		assert.Equal(t, judge(m, origin, one), health.Steady)
+		assert.Equal(t, judge(m, origin, one), health.Healthy)
 	}
 }
 
@@ -60,18 +60,18 @@
 	m, r := newMonitor(6)
 	for i := range 5 {
 		for _, one := range r[3:] {
-			m.Good(origin, one, task(i, run, run))
+			m.TaskCompleted(origin, one, task(i, run, run))
 		}
 	}
 	for _, one := range r[:3] {
 		for i := range 5 {
-			m.Bad(origin, one, task(i, 0, 0))
+			m.TaskFailed(origin, one, task(i, 0, 0))
 		}
 		judge(m, origin, one)
 	}
-	assert.Equal(t, m.Aside(), 2)
+	assert.Equal(t, m.Ejected(), 2)
 	assert.Assert(t, m.Remove(origin, r[5]))
-	assert.Equal(t, m.Aside(), 1)
+	assert.Equal(t, m.Ejected(), 1)
 }
 
 // TestMoreSevereFaultTakesPrecedence: one of three endpoints is slow, which reaches the
@@ -81,25 +81,25 @@
 func TestMoreSevereFaultTakesPrecedence(t *testing.T) {
 	m, r := newMonitor(3)
 	for i := range 20 {
-		m.Good(origin, r[0], task(i, run, 3*run))
-		m.Good(origin, r[1], task(i, run, run))
-		m.Good(origin, r[2], task(i, run, run))
+		m.TaskCompleted(origin, r[0], task(i, run, 3*run))
+		m.TaskCompleted(origin, r[1], task(i, run, run))
+		m.TaskCompleted(origin, r[2], task(i, run, run))
 	}
 	assert.Equal(t, judge(m, origin, r[0]), health.Slow)
 	for i := range 40 {
-		m.Bad(origin, r[1], task(100+i, 0, 0))
+		m.TaskFailed(origin, r[1], task(100+i, 0, 0))
 	}
-	changed, relieved := m.Judge(origin, r[1], 0, run)
+	changed, relieved := m.Evaluate(origin, r[1], 0, run)
 	assert.Assert(t, changed && relieved)
-	assert.Equal(t, r[1].Standing(), health.Failing)
-	assert.Equal(t, r[0].Standing(), health.Steady)
+	assert.Equal(t, r[1].Status(), health.EjectedFailing)
+	assert.Equal(t, r[0].Status(), health.Healthy)
 	for i := range 80 {
-		m.Good(origin, r[0], task(i, run, 9*run))
-		m.Bad(origin, r[2], task(200+i, 0, 0))
+		m.TaskCompleted(origin, r[0], task(i, run, 9*run))
+		m.TaskFailed(origin, r[2], task(200+i, 0, 0))
 	}
-	assert.Equal(t, judge(m, origin, r[0]), health.Steady)
-	assert.Equal(t, judge(m, origin, r[2]), health.Steady)
-	assert.Equal(t, m.Aside(), 1)
+	assert.Equal(t, judge(m, origin, r[0]), health.Healthy)
+	assert.Equal(t, judge(m, origin, r[2]), health.Healthy)
+	assert.Equal(t, m.Ejected(), 1)
 }
 
 // TestProbes: the intervals between probes double up to the maximum, one successful
@@ -110,28 +110,28 @@
 	now := origin
 	fail := func() {
 		for i := range 4 {
-			m.Bad(now, r[0], task(i, 0, 0))
+			m.TaskFailed(now, r[0], task(i, 0, 0))
 		}
-		assert.Equal(t, judge(m, now, r[0]), health.Failing)
+		assert.Equal(t, judge(m, now, r[0]), health.EjectedFailing)
 	}
 	fail()
-	pause := health.DefaultFirstPause
+	pause := health.DefaultMinProbeInterval
 	for range 10 {
 		assert.Equal(t, r[0].ProbeAt(), now.Add(pause))
 		now = r[0].ProbeAt()
-		m.Probe(r[0])
+		m.ProbeStarted(r[0])
 		assert.Assert(t, r[0].ProbeAt().IsZero())
-		m.ProbeBad(now, r[0], task(0, 0, 0))
-		pause = min(2*pause, health.DefaultMaxPause)
+		m.ProbeFailed(now, r[0], task(0, 0, 0))
+		pause = min(2*pause, health.DefaultMaxProbeInterval)
 	}
 	for range 3 {
-		assert.Equal(t, r[0].Standing(), health.Failing)
-		m.Probe(r[0])
-		m.ProbeGood(now, r[0], run, run)
+		assert.Equal(t, r[0].Status(), health.EjectedFailing)
+		m.ProbeStarted(r[0])
+		m.ProbeCompleted(now, r[0], run, run)
 	}
-	assert.Equal(t, r[0].Standing(), health.Steady)
+	assert.Equal(t, r[0].Status(), health.Healthy)
 	fail()
-	assert.Equal(t, r[0].ProbeAt(), now.Add(health.DefaultMaxPause))
+	assert.Equal(t, r[0].ProbeAt(), now.Add(health.DefaultMaxProbeInterval))
 }
 
 // TestSpeed: an endpoint that takes three times as long as its peers is slow, one whose
@@ -140,16 +140,16 @@
 func TestSpeed(t *testing.T) {
 	m, r := newMonitor(9)
 	for range 50 {
-		m.Good(origin, r[0], task(0, run, 3*run))
-		m.Good(origin, r[1], task(0, run, run))
+		m.TaskCompleted(origin, r[0], task(0, run, 3*run))
+		m.TaskCompleted(origin, r[1], task(0, run, run))
 	}
 	assert.Equal(t, judge(m, origin, r[0]), health.Slow)
-	assert.Equal(t, judge(m, origin, r[1]), health.Steady)
-	assert.Equal(t, judge(m, origin.Add(time.Minute), r[0]), health.Steady)
+	assert.Equal(t, judge(m, origin, r[1]), health.Healthy)
+	assert.Equal(t, judge(m, origin.Add(time.Minute), r[0]), health.Healthy)
 	// The slow endpoint halves the mean speed of the peers, so a quarter of that is an
 	// eighth.
-	m.Judge(origin, r[2], 60*run, run)
-	assert.Equal(t, r[2].Standing(), health.Crawling)
+	m.Evaluate(origin, r[2], 60*run, run)
+	assert.Equal(t, r[2].Status(), health.EjectedSlow)
 }
 
 // TestFailsAfterLongHealth: an endpoint begins to fail everything at once after a long
@@ -160,32 +160,32 @@
 	m, r := newMonitor(6)
 	for i := range 500 {
 		for _, one := range r {
-			m.Good(origin, one, task(i, run, run))
+			m.TaskCompleted(origin, one, task(i, run, run))
 		}
 	}
 	broken := origin.Add(time.Second)
-	fail := func(i int) health.Standing {
+	fail := func(i int) health.Status {
 		failed := task(1000+i, 0, 0)
-		failed.Began = broken.Add(time.Duration(i) * time.Millisecond)
-		m.Bad(broken, r[0], failed)
-		m.Good(broken, r[0], task(2000+i, run, run))
+		failed.StartedAt = broken.Add(time.Duration(i) * time.Millisecond)
+		m.TaskFailed(broken, r[0], failed)
+		m.TaskCompleted(broken, r[0], task(2000+i, run, run))
 		return judge(m, broken, r[0])
 	}
 	assert.Equal(t, fail(1), health.Suspect)
 	assert.Equal(t, fail(2), health.Suspect)
-	assert.Equal(t, fail(3), health.Failing)
+	assert.Equal(t, fail(3), health.EjectedFailing)
 }
 
 // TestSuspectUntilASuccess: a completed task that began after the failure makes the
 // endpoint healthy again.
 func TestSuspectUntilASuccess(t *testing.T) {
 	m, r := newMonitor(6)
-	m.Bad(origin, r[0], task(1, 0, 0))
+	m.TaskFailed(origin, r[0], task(1, 0, 0))
 	assert.Equal(t, judge(m, origin, r[0]), health.Suspect)
 	later := task(2, run, run)
-	later.Began = origin.Add(run)
-	m.Good(origin.Add(2*run), r[0], later)
-	assert.Equal(t, judge(m, origin.Add(2*run), r[0]), health.Steady)
+	later.StartedAt = origin.Add(run)
+	m.TaskCompleted(origin.Add(2*run), r[0], later)
+	assert.Equal(t, judge(m, origin.Add(2*run), r[0]), health.Healthy)
 }
 
 // TestClientWhoseTasksFail: all tasks of one client fail wherever they run. Endpoints
@@ -195,14 +195,14 @@
 	for i := range 5 {
 		for k, one := range r {
 			failed := task(10*i+k, 0, 0)
-			failed.Customer = "failing"
-			failed.Began = origin.Add(time.Second)
-			m.Good(origin, one, task(100+10*i+k, run, run))
-			m.Bad(origin.Add(time.Second), one, failed)
+			failed.Client = "failing"
+			failed.StartedAt = origin.Add(time.Second)
+			m.TaskCompleted(origin, one, task(100+10*i+k, run, run))
+			m.TaskFailed(origin.Add(time.Second), one, failed)
 		}
 	}
 	for _, one := range r {
-		assert.Equal(t, judge(m, origin.Add(time.Second), one), health.Steady)
+		assert.Equal(t, judge(m, origin.Add(time.Second), one), health.Healthy)
 	}
 }
 
@@ -211,22 +211,22 @@
 // postpones this entry's. When peers report the same, the tasks are at fault.
 func TestReportedFailures(t *testing.T) {
 	m, r := newMonitor(6)
-	m.Report(origin, r[0], health.Past{Completed: 100, Failed: 1, FailedInRow: 1})
+	m.ApplyOutcomeCounts(origin, r[0], health.OutcomeCounts{Completed: 100, Failed: 1, ConsecutiveFailedJobs: 1})
 	assert.Equal(t, judge(m, origin, r[0]), health.Suspect)
-	m.Report(origin, r[0], health.Past{Completed: 100, Failed: 3, FailedInRow: 3})
-	assert.Equal(t, judge(m, origin, r[0]), health.Failing)
+	m.ApplyOutcomeCounts(origin, r[0], health.OutcomeCounts{Completed: 100, Failed: 3, ConsecutiveFailedJobs: 3})
+	assert.Equal(t, judge(m, origin, r[0]), health.EjectedFailing)
 	due := r[0].ProbeAt()
-	assert.Assert(t, !m.Report(origin, r[0], health.Past{Completed: 100, Failed: 4, FailedInRow: 4}))
-	assert.Assert(t, m.Report(due, r[0], health.Past{Completed: 100, Failed: 5, FailedInRow: 5}))
-	assert.Equal(t, r[0].ProbeAt(), due.Add(2*health.DefaultFirstPause))
-	assert.Assert(t, m.Report(due, r[0], health.Past{Completed: 101, Failed: 5}))
+	assert.Assert(t, !m.ApplyOutcomeCounts(origin, r[0], health.OutcomeCounts{Completed: 100, Failed: 4, ConsecutiveFailedJobs: 4}))
+	assert.Assert(t, m.ApplyOutcomeCounts(due, r[0], health.OutcomeCounts{Completed: 100, Failed: 5, ConsecutiveFailedJobs: 5}))
+	assert.Equal(t, r[0].ProbeAt(), due.Add(2*health.DefaultMinProbeInterval))
+	assert.Assert(t, m.ApplyOutcomeCounts(due, r[0], health.OutcomeCounts{Completed: 101, Failed: 5}))
 	assert.Equal(t, r[0].ProbeAt(), due)
 
 	m, r = newMonitor(6)
 	for _, one := range r {
-		m.Report(origin, one, health.Past{Failed: 3, FailedInRow: 3})
+		m.ApplyOutcomeCounts(origin, one, health.OutcomeCounts{Failed: 3, ConsecutiveFailedJobs: 3})
 	}
 	for _, one := range r {
-		assert.Equal(t, judge(m, origin, one), health.Steady)
+		assert.Equal(t, judge(m, origin, one), health.Healthy)
 	}
 }
--- a/dispatch/health/probe.go
+++ b/dispatch/health/probe.go
@@ -14,7 +14,7 @@
 
 // postpone schedules the next probe after a longer interval.
 func (m *Monitor) postpone(now time.Time, r *Record) {
-	r.probeInterval = min(max(2*r.probeInterval, m.opts.FirstPause), m.opts.MaxPause)
+	r.probeInterval = min(max(2*r.probeInterval, m.opts.MinProbeInterval), m.opts.MaxProbeInterval)
 	r.probeAt = now.Add(m.jitter(r.probeInterval))
 	r.postponedAt = now
 	r.probing = false
@@ -32,7 +32,7 @@
 }
 
 func (m *Monitor) reset(now time.Time, r *Record) {
-	m.setStanding(r, Steady)
+	m.setStanding(r, Healthy)
 	r.speed = 1
 	r.probing = false
 	r.resetAt = now
@@ -53,16 +53,16 @@
 	r.streak = streak{}
 }
 
-// Standing returns the health status of the endpoint.
-func (r *Record) Standing() Standing { return r.standing }
+// Status returns the health status of the endpoint.
+func (r *Record) Status() Status { return r.standing }
 
-// Pace returns the endpoint's speed relative to its peers, 1 when equal.
-func (r *Record) Pace() float64 { return r.speed }
+// RelativeSpeed returns the endpoint's speed relative to its peers, 1 when equal.
+func (r *Record) RelativeSpeed() float64 { return r.speed }
 
 // ProbeAt returns when the next probe is due; zero while one is in flight or none is
 // needed.
 func (r *Record) ProbeAt() time.Time {
-	if !r.standing.Aside() || r.probing {
+	if !r.standing.Ejected() || r.probing {
 		return time.Time{}
 	}
 	return r.probeAt
@@ -71,17 +71,17 @@
 // Probing reports whether a probe is in flight.
 func (r *Record) Probing() bool { return r.probing }
 
-// OverdueAt returns the time at which the due probe is overdue: it has then waited for
+// ProbeOverdueAt returns the time at which the due probe is overdue: it has then waited for
 // as long as the interval before it.
-func (r *Record) OverdueAt() time.Time { return r.probeAt.Add(r.probeInterval) }
+func (r *Record) ProbeOverdueAt() time.Time { return r.probeAt.Add(r.probeInterval) }
 
-// Probe records the start of a probe.
-func (m *Monitor) Probe(r *Record) { r.probing = true }
+// ProbeStarted records the start of a probe.
+func (m *Monitor) ProbeStarted(r *Record) { r.probing = true }
 
-// ProbeGood records a completed probe. Another one is due at once, until enough in a
+// ProbeCompleted records a completed probe. Another one is due at once, until enough in a
 // row were successful and the endpoint is readmitted. A probe that ran too slowly
 // counts as failed.
-func (m *Monitor) ProbeGood(now time.Time, r *Record, expected, used time.Duration) {
+func (m *Monitor) ProbeCompleted(now time.Time, r *Record, expected, used time.Duration) {
 	if used.Seconds()*ejectSpeed > expected.Seconds() {
 		m.postpone(now, r)
 		return
@@ -94,15 +94,15 @@
 	}
 }
 
-// ProbeBad records a failed probe. The probe is inconclusive when the client's tasks
+// ProbeFailed records a failed probe. The probe is inconclusive when the client's tasks
 // fail on other endpoints too.
-func (m *Monitor) ProbeBad(now time.Time, r *Record, t Task) {
+func (m *Monitor) ProbeFailed(now time.Time, r *Record, t Task) {
 	if m.blame(now, r, t) < minProbeBlame {
-		m.ProbeVoid(r)
+		m.ProbeInconclusive(r)
 		return
 	}
 	m.postpone(now, r)
 }
 
-// ProbeVoid records an inconclusive probe; another is due at once.
-func (m *Monitor) ProbeVoid(r *Record) { r.probing = false }
+// ProbeInconclusive records an inconclusive probe; another is due at once.
+func (m *Monitor) ProbeInconclusive(r *Record) { r.probing = false }
--- a/dispatch/health/streak.go
+++ b/dispatch/health/streak.go
@@ -40,12 +40,12 @@
 func (s *streak) add(t Task) {
 	for i, f := range s.failures {
 		if f.job == t.Job {
-			s.failures[i].began = later(f.began, t.Began)
+			s.failures[i].began = later(f.began, t.StartedAt)
 			return
 		}
 	}
 	if len(s.failures) < maxStreakJobs {
-		s.failures = append(s.failures, failure{job: t.Job, client: t.Customer, began: t.Began})
+		s.failures = append(s.failures, failure{job: t.Job, client: t.Client, began: t.StartedAt})
 	}
 }
 
@@ -53,7 +53,7 @@
 // tasks that began after the successful one, because the endpoint may have broken in
 // between.
 func (s *streak) prune(t Task) {
-	s.failures = slices.DeleteFunc(s.failures, func(f failure) bool { return !f.began.After(t.Began) })
+	s.failures = slices.DeleteFunc(s.failures, func(f failure) bool { return !f.began.After(t.StartedAt) })
 }
 
 func later(a, b time.Time) time.Time {
@@ -127,7 +127,7 @@
 // blame returns the part of a failure that is attributed to the endpoint: one minus the
 // failure ratio of the client's tasks elsewhere.
 func (m *Monitor) blame(now time.Time, r *Record, t Task) float64 {
-	return 1 - m.clientFailureRatio(now, r, t.Customer, m.peersFailureRatio(now, r))
+	return 1 - m.clientFailureRatio(now, r, t.Client, m.peersFailureRatio(now, r))
 }
 
 // clientFailureRatio returns the failure ratio of a client's tasks without those of the
@@ -144,33 +144,33 @@
 	return (failures + peers) / (failures + successes + 1)
 }
 
-// Past holds an endpoint's own counts of the tasks of all entries.
-type Past struct {
-	Completed, Failed uint64
-	FailedInRow       int
+// OutcomeCounts holds an endpoint's own counts of the tasks of all entries.
+type OutcomeCounts struct {
+	Completed, Failed     uint64
+	ConsecutiveFailedJobs int
 }
 
 // newer reports whether these counts were taken after the other ones.
-func (p Past) newer(other Past) bool {
+func (p OutcomeCounts) newer(other OutcomeCounts) bool {
 	return p.Completed+p.Failed > other.Completed+other.Failed
 }
 
-// Report applies the counts that an endpoint reports. They let every entry detect a
+// ApplyOutcomeCounts applies the counts that an endpoint reports. They let every entry detect a
 // failing endpoint before each has lost its own jobs there, and make one entry's probe
 // count for all. Report returns true when it rescheduled the next probe.
-func (m *Monitor) Report(now time.Time, r *Record, p Past) (rescheduled bool) {
+func (m *Monitor) ApplyOutcomeCounts(now time.Time, r *Record, p OutcomeCounts) (rescheduled bool) {
 	before := r.reported
 	if !p.newer(before) {
 		return false
 	}
 	r.reported = p
-	if r.standing != Failing || r.probing {
+	if r.standing != EjectedFailing || r.probing {
 		return false
 	}
 	switch {
-	case p.FailedInRow > 0 && p.Failed > before.Failed:
+	case p.ConsecutiveFailedJobs > 0 && p.Failed > before.Failed:
 		return m.postponeForPeerProbe(now, r)
-	case p.FailedInRow == 0 && r.probeAt.After(now):
+	case p.ConsecutiveFailedJobs == 0 && r.probeAt.After(now):
 		r.probeAt = now
 		return true
 	}
@@ -194,10 +194,10 @@
 // The result is Chernoff's bound on the tail of a Poisson distribution with the peers'
 // mean.
 func (m *Monitor) reportedImprobability(r *Record) float64 {
-	if r.reported.FailedInRow == 0 {
+	if r.reported.ConsecutiveFailedJobs == 0 {
 		return 0
 	}
-	n := float64(r.reported.FailedInRow)
+	n := float64(r.reported.ConsecutiveFailedJobs)
 	mean := m.peersMeanStreak(r)
 	return max(0, n*math.Log(n/(math.E*mean))+mean)
 }
@@ -206,8 +206,8 @@
 func (m *Monitor) peersMeanStreak(r *Record) float64 {
 	sum, peers := 0, 0
 	for _, other := range m.records {
-		if other != r && !other.standing.Aside() {
-			sum += min(other.reported.FailedInRow, minEjectJobs)
+		if other != r && !other.standing.Ejected() {
+			sum += min(other.reported.ConsecutiveFailedJobs, minEjectJobs)
 			peers++
 		}
 	}
@@ -216,15 +216,15 @@
 
 // assessStreaks returns the health status that the observed and the reported streak
 // call for.
-func (m *Monitor) assessStreaks(now time.Time, r *Record) Standing {
+func (m *Monitor) assessStreaks(now time.Time, r *Record) Status {
 	own, reported := m.improbability(now, r), m.reportedImprobability(r)
 	switch {
 	case len(r.streak.failures) >= minEjectJobs && own >= ejectImprobability:
-		return Failing
-	case r.reported.FailedInRow >= minEjectJobs && reported >= ejectImprobability:
-		return Failing
+		return EjectedFailing
+	case r.reported.ConsecutiveFailedJobs >= minEjectJobs && reported >= ejectImprobability:
+		return EjectedFailing
 	case max(own, reported) >= suspectImprobability:
 		return Suspect
 	}
-	return Steady
+	return Healthy
 }
--- a/dispatch/placement/endpoint.go
+++ b/dispatch/placement/endpoint.go
@@ -11,8 +11,8 @@
 // Endpoint is what an entry knows about the slots of one endpoint.
 type Endpoint struct {
 	// ID is the name of the endpoint, Zone its data centre.
-	ID   string
-	Zone string
+	ID         string
+	DataCentre string
 
 	slots    int
 	ownLimit int
@@ -51,11 +51,11 @@
 // Leaving reports whether the endpoint is draining: no new task may be started there.
 func (e *Endpoint) Leaving() bool { return e.leaving }
 
-// Held reports whether the endpoint is excluded from placement by Hold.
-func (e *Endpoint) Held() bool { return e.excluded }
+// Excluded reports whether the endpoint is excluded from placement by Hold.
+func (e *Endpoint) Excluded() bool { return e.excluded }
 
-// Barred reports whether no task may be started there, whatever its load.
-func (e *Endpoint) Barred() bool {
+// Unavailable reports whether no task may be started there, whatever its load.
+func (e *Endpoint) Unavailable() bool {
 	return !e.Usable() || e.ownLimit > 0 && e.own >= e.ownLimit
 }
 
@@ -113,7 +113,7 @@
 // starts than floor: a task waiting for a normal endpoint is mostly answered sooner. One on
 // trial comes last.
 func (e *Endpoint) rank(floor int) int {
-	if e.excluded || e.Barred() {
+	if e.excluded || e.Unavailable() {
 		return noLevel
 	}
 	free := e.freeSlots()
--- a/dispatch/placement/placement_test.go
+++ b/dispatch/placement/placement_test.go
@@ -13,7 +13,7 @@
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newSet(floor int) *placement.Set {
-	return placement.New(placement.Options{Zone: "near", Floor: floor}, rand.New(rand.NewPCG(1, 2)))
+	return placement.New(placement.Options{DataCentre: "near", MinInFlight: floor}, rand.New(rand.NewPCG(1, 2)))
 }
 
 func add(s *placement.Set, id, dataCentre string, slots int) *placement.Endpoint {
@@ -32,16 +32,16 @@
 	full := add(s, "full", "near", 1)
 	slow := add(s, "slow", "near", 8)
 	s.Report(origin, full, placement.Report{Version: 1, Others: 5})
-	s.SetPace(slow, 0.25)
+	s.SetSlotWeight(slow, 0.25)
 	assert.Equal(t, s.Choose(near), far)
 	var got []string
 	for e := s.Choose(nil); e != nil; e = s.Choose(nil) {
 		got = append(got, e.ID)
-		s.Open(e)
+		s.CountStart(e)
 	}
 	want := []string{"near", "far", "near", "far", "near", "far", "full", "slow", "slow"}
 	assert.DeepEqual(t, got, want)
-	s.Close(far)
+	s.CountEnd(far)
 	assert.Equal(t, s.Choose(far), far)
 }
 
@@ -63,9 +63,9 @@
 	s := newSet(4)
 	e := s.Add("a", "near")
 	s.Configure(e, 8, 2, false)
-	s.Open(e)
+	s.CountStart(e)
 	assert.Equal(t, s.Choose(nil), e)
-	s.Open(e)
+	s.CountStart(e)
 	assert.Assert(t, s.Choose(nil) == nil)
 	slots, _ := s.Capacity()
 	assert.Equal(t, slots, 2.0)
@@ -81,7 +81,7 @@
 	s.SetNoQueue(e, true)
 	s.Configure(e, 8, 8, false)
 	for range 4 {
-		s.Open(e)
+		s.CountStart(e)
 	}
 	s.Report(origin, e, placement.Report{Version: 1, Others: 8})
 	slots, usable := s.Capacity()
@@ -94,15 +94,15 @@
 	s := newSet(1)
 	trial := add(s, "trial", "near", 8)
 	steady := add(s, "steady", "near", 1)
-	s.Open(trial)
-	s.SetTrial(trial, true)
+	s.CountStart(trial)
+	s.SetProbing(trial, true)
 	assert.Equal(t, s.Choose(nil), steady)
-	s.Open(steady)
+	s.CountStart(steady)
 	assert.Assert(t, s.Choose(nil) == nil)
-	s.Close(trial)
+	s.CountEnd(trial)
 	assert.Equal(t, s.Choose(nil), trial)
-	s.SetTrial(trial, false)
-	s.Open(trial)
+	s.SetProbing(trial, false)
+	s.CountStart(trial)
 	assert.Equal(t, s.Choose(nil), trial)
 }
 
@@ -117,6 +117,6 @@
 	assert.Assert(t, s.Choose(nil) == nil)
 	s.Report(origin, e, placement.Report{Version: 2, Others: 7})
 	assert.Equal(t, s.Choose(nil), e)
-	s.Open(e)
+	s.CountStart(e)
 	assert.Assert(t, s.Choose(nil) == nil)
 }
--- a/dispatch/placement/set.go
+++ b/dispatch/placement/set.go
@@ -35,13 +35,13 @@
 
 // Options configure a Set.
 type Options struct {
-	// Zone is this entry's data centre; its endpoints are preferred on a tie.
-	Zone string
-	// Floor is the number of own starts that may be open on an endpoint whatever its last
+	// DataCentre is this entry's data centre; its endpoints are preferred on a tie.
+	DataCentre string
+	// MinInFlight is the number of own starts that may be open on an endpoint whatever its last
 	// report says. Without it a report of a full endpoint would never be corrected, since only
 	// replies bring new reports, and the entry would starve. Starts above the slots wait in the
 	// guard's queue.
-	Floor int
+	MinInFlight int
 	// Chooser is the placement policy; nil takes KnownFree.
 	Chooser Chooser
 }
@@ -72,8 +72,8 @@
 
 // Add adds a new endpoint.
 func (s *Set) Add(id, dataCentre string) *Endpoint {
-	e := &Endpoint{ID: id, Zone: dataCentre, slotWeight: 1, level: noLevel, all: len(s.all)}
-	e.local = dataCentre == s.opts.Zone
+	e := &Endpoint{ID: id, DataCentre: dataCentre, slotWeight: 1, level: noLevel, all: len(s.all)}
+	e.local = dataCentre == s.opts.DataCentre
 	s.all = append(s.all, e)
 	return e
 }
@@ -120,35 +120,35 @@
 	return true
 }
 
-// Open counts one more open start of this entry.
-func (s *Set) Open(e *Endpoint) {
+// CountStart counts one more open start of this entry.
+func (s *Set) CountStart(e *Endpoint) {
 	e.own++
 	s.relink(e)
 }
 
-// Close counts the end of one open start of this entry.
-func (s *Set) Close(e *Endpoint) {
+// CountEnd counts the end of one open start of this entry.
+func (s *Set) CountEnd(e *Endpoint) {
 	e.own--
 	s.relink(e)
 }
 
-// Hold excludes the endpoint from placement, or includes it again.
-func (s *Set) Hold(e *Endpoint, excluded bool) {
+// SetExcluded excludes the endpoint from placement, or includes it again.
+func (s *Set) SetExcluded(e *Endpoint, excluded bool) {
 	if e.excluded != excluded {
 		e.excluded = excluded
 		s.relink(e)
 	}
 }
 
-// SetPace sets the fraction of the endpoint's slots that counts: 1 for a normal endpoint, less
+// SetSlotWeight sets the fraction of the endpoint's slots that counts: 1 for a normal endpoint, less
 // for a slow one.
-func (s *Set) SetPace(e *Endpoint, slotWeight float64) {
+func (s *Set) SetSlotWeight(e *Endpoint, slotWeight float64) {
 	e.slotWeight = slotWeight
 	s.relink(e)
 }
 
-// SetTrial makes the endpoint the last choice, with one task at a time.
-func (s *Set) SetTrial(e *Endpoint, probing bool) {
+// SetProbing makes the endpoint the last choice, with one task at a time.
+func (s *Set) SetProbing(e *Endpoint, probing bool) {
 	if e.probing != probing {
 		e.probing = probing
 		s.relink(e)
@@ -178,7 +178,7 @@
 
 // relink moves the endpoint to its current level in the index.
 func (s *Set) relink(e *Endpoint) {
-	rank := e.rank(s.opts.Floor)
+	rank := e.rank(s.opts.MinInFlight)
 	if rank == e.level {
 		return
 	}
--- a/dispatch/planner/crash.go
+++ b/dispatch/planner/crash.go
@@ -39,8 +39,8 @@
 type Crash struct {
 	// Runner is the process that crashed; empty from guards that do not report it.
 	Runner work.Incarnation
-	// Others counts the other runs on that runner.
-	Others int
+	// OtherCount counts the other runs on that runner.
+	OtherCount int
 	// Newest is true for the run that started last.
 	Newest bool
 }
@@ -64,7 +64,7 @@
 // CrashCounts count what became of the reported crashes, one per run.
 type CrashCounts struct {
 	// Attributed crashes count against their tasks; Common ones had a common cause and do not.
-	Attributed, Common int
+	Attributed, CommonCause int
 	// Suspects counts the unfinished tasks of open jobs that have crashes attributed to them.
 	Suspects int
 }
@@ -86,9 +86,9 @@
 	return c
 }
 
-// Crash handles a guard's report that its runner crashed while running a task, and returns how
+// ReportCrash handles a guard's report that its runner crashed while running a task, and returns how
 // long the run lasted.
-func (p *Planner) Crash(now time.Duration, id string, run work.RunID, ran time.Duration, c Crash) time.Duration {
+func (p *Planner) ReportCrash(now time.Duration, id string, run work.RunID, ran time.Duration, c Crash) time.Duration {
 	e := p.endpoints[id]
 	if e == nil {
 		return 0
@@ -129,14 +129,14 @@
 	x := p.crashRecord(now, e, c.Runner)
 	x.suspects = append(x.suspects, suspect{t, c.Newest})
 	if x.common {
-		p.crashCounts.Common++
+		p.crashCounts.CommonCause++
 		return
 	}
 	p.crashCounts.Attributed++
 	t.addCrashes(1, c.Newest)
 	p.discountCommon(x)
 	if t.job.outcome == 0 && t.crashesConclusive(c) {
-		p.end(now, t.job, Failed, WhyCrashes)
+		p.end(now, t.job, Failed, ReasonCrashes)
 	}
 }
 
@@ -153,7 +153,7 @@
 	if t.crashes >= maxTaskCrashes {
 		return true
 	}
-	return t.crashes >= minConclusiveCrashes && (c.Others == 0 || t.newestCrashes == t.crashes)
+	return t.crashes >= minConclusiveCrashes && (c.OtherCount == 0 || t.newestCrashes == t.crashes)
 }
 
 // crashRecord returns the crash record of a runner's incarnation at an endpoint, and adds it if
@@ -187,7 +187,7 @@
 			}
 			c.common = true
 			p.crashCounts.Attributed -= len(c.suspects)
-			p.crashCounts.Common += len(c.suspects)
+			p.crashCounts.CommonCause += len(c.suspects)
 			for _, s := range c.suspects {
 				s.task.addCrashes(-1, s.newest)
 			}
--- a/dispatch/planner/crash_test.go
+++ b/dispatch/planner/crash_test.go
@@ -13,7 +13,7 @@
 // crash reports the crash of the runner of a start, and restarts the runner as a new
 // incarnation.
 func (f *fleet) crash(s Start, c Crash) Actions {
-	f.Crash(f.now, s.Endpoint, s.Run, 0, c)
+	f.ReportCrash(f.now, s.Endpoint, s.Run, 0, c)
 	a := f.act()
 	f.restartRunner(s.Endpoint)
 	return a
@@ -21,13 +21,13 @@
 
 func (f *fleet) restartRunner(id string) {
 	f.incarnations++
-	f.Describe(f.now, id, Room{Service: "teardown", Runner: work.Incarnation{ID: fmt.Sprint("life-", f.incarnations)}, Open: true, Total: work.Amounts{CPUMilli: 8000, MemoryMB: 512}})
+	f.UpdateEndpoint(f.now, id, EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: fmt.Sprint("life-", f.incarnations)}, AcceptsStarts: true, Total: work.Amounts{CPUMilli: 8000, MemoryMB: 512}})
 }
 
 // submitLongWait submits a job whose caller waits long enough for many starts.
 func (f *fleet) submitLongWait(id string, tasks int) Actions {
 	w := work.Job{ID: id, Steps: []work.Step{{Count: tasks, Need: core, Declared: 60 * ms}}}
-	assert.Equal(f.t, f.Submit(f.now, f.now+time.Minute, w, terms), Taken)
+	assert.Equal(f.t, f.Submit(f.now, f.now+time.Minute, w, terms), Accepted)
 	return f.act()
 }
 
@@ -36,14 +36,14 @@
 func TestTaskThatCrashesTwoRunnersAloneIsGivenUp(t *testing.T) {
 	f := newFleet(t, 8, 8, 8)
 	first := f.submitLongWait("poison", 1).Starts[0]
-	a := f.crash(first, Crash{Others: 7})
+	a := f.crash(first, Crash{OtherCount: 7})
 	assert.Equal(t, len(a.Starts), 1)
 	assert.Assert(t, a.Starts[0].Endpoint != first.Endpoint)
 	a = f.crash(a.Starts[0], Crash{})
 	assert.Equal(t, len(a.Starts), 0)
 	assert.Equal(t, len(a.Ended), 1)
 	assert.Equal(t, a.Ended[0].Outcome, Failed)
-	assert.Equal(t, a.Ended[0].Why, WhyCrashes)
+	assert.Equal(t, a.Ended[0].Reason, ReasonCrashes)
 }
 
 // At each crash other tasks were running and had started after this one, so the cause stays
@@ -52,13 +52,13 @@
 	f := newFleet(t, 8, 8, 8, 8)
 	s := f.submitLongWait("late", 1).Starts[0]
 	for n := 1; n <= 2; n++ {
-		a := f.crash(s, Crash{Others: 7})
+		a := f.crash(s, Crash{OtherCount: 7})
 		assert.Equal(t, len(a.Starts), 1, "after %d", n)
 		s = a.Starts[0]
 	}
-	a := f.crash(s, Crash{Others: 7})
+	a := f.crash(s, Crash{OtherCount: 7})
 	assert.Equal(t, len(a.Starts), 0)
-	assert.Equal(t, a.Ended[0].Why, WhyCrashes)
+	assert.Equal(t, a.Ended[0].Reason, ReasonCrashes)
 }
 
 // A job's task was running on two runners that a task of another job crashed. It had started
@@ -67,7 +67,7 @@
 	f := newFleet(t, 8, 8, 8)
 	s := f.submitLongWait("sound", 1).Starts[0]
 	for range 2 {
-		a := f.crash(s, Crash{Others: 1})
+		a := f.crash(s, Crash{OtherCount: 1})
 		assert.Equal(t, len(a.Ended), 0)
 		s = a.Starts[0]
 	}
@@ -83,10 +83,10 @@
 	first := f.submitLongWait("poison", 1).Starts[0]
 	f.report(first, Stopped)
 	second := f.act().Starts[0]
-	f.Crash(f.now, first.Endpoint, first.Run, 0, Crash{})
+	f.ReportCrash(f.now, first.Endpoint, first.Run, 0, Crash{})
 	assert.Equal(t, len(f.act().Ended), 0, "one crash")
 	a := f.crash(second, Crash{})
-	assert.Equal(t, a.Ended[0].Why, WhyCrashes)
+	assert.Equal(t, a.Ended[0].Reason, ReasonCrashes)
 }
 
 // Four tasks of one job were on a runner that crashed. Placed together again, one of them
@@ -97,7 +97,7 @@
 	starts := f.submitLongWait("wide", 4).Starts
 	assert.Equal(t, len(starts), 4)
 	for _, s := range starts {
-		f.Crash(f.now, s.Endpoint, s.Run, 0, Crash{Others: 3})
+		f.ReportCrash(f.now, s.Endpoint, s.Run, 0, Crash{OtherCount: 3})
 	}
 	f.restartRunner(starts[0].Endpoint)
 	again := f.act().Starts
@@ -118,12 +118,12 @@
 func TestRackFailureIsNotCountedAgainstTasks(t *testing.T) {
 	f := newFleet(t)
 	for i := range 6 {
-		f.Attach(f.id(i), fmt.Sprint("zone", i%2), true)
+		f.AttachEndpoint(f.id(i), fmt.Sprint("zone", i%2), true)
 		label := "rack-1"
 		if i >= 4 {
 			label = "rack-2"
 		}
-		f.Describe(f.now, f.id(i), Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Open: true, Labels: []string{"kind", label},
+		f.UpdateEndpoint(f.now, f.id(i), EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}, AcceptsStarts: true, Labels: []string{"kind", label},
 			Total: work.Amounts{CPUMilli: 1000, MemoryMB: 64}})
 	}
 	var starts []Start
@@ -134,20 +134,20 @@
 	for _, s := range starts {
 		if s.Endpoint < f.id(4) {
 			f.now += 200 * ms
-			f.Crash(f.now, s.Endpoint, s.Run, 0, Crash{})
+			f.ReportCrash(f.now, s.Endpoint, s.Run, 0, Crash{})
 		}
 	}
 	for _, j := range f.jobs {
 		assert.Equal(t, j.tasks[0].crashes, 0, "%s has crashes attributed", j.work.ID)
 	}
-	assert.Equal(t, f.CrashCounts(), CrashCounts{Common: 4})
+	assert.Equal(t, f.CrashCounts(), CrashCounts{CommonCause: 4})
 }
 
 // Guards against suspects and crashes that no metric shows.
 func TestCrashesAndSuspectsAreCounted(t *testing.T) {
 	f := newFleet(t, 8, 8, 8)
 	s := f.submitLongWait("crashing", 1).Starts[0]
-	a := f.crash(s, Crash{Others: 1})
+	a := f.crash(s, Crash{OtherCount: 1})
 	assert.Equal(t, f.CrashCounts(), CrashCounts{Attributed: 1, Suspects: 1})
 	f.crash(a.Starts[0], Crash{})
 	assert.Equal(t, f.CrashCounts(), CrashCounts{Attributed: 2})
--- a/dispatch/planner/endpoint.go
+++ b/dispatch/planner/endpoint.go
@@ -7,18 +7,18 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Room is an endpoint's state as its guard reports it.
-type Room struct {
+// EndpointStatus is an endpoint's state as its guard reports it.
+type EndpointStatus struct {
 	Service string
 	// Runner is the runner's current process; empty while there is none.
-	Runner work.Incarnation
-	Open   bool
-	Total  work.Amounts
-	Used   work.Amounts
-	Labels []string
-	// Cleared is true once no run that an earlier incarnation of the guard ordered is running
+	Runner        work.Incarnation
+	AcceptsStarts bool
+	Total         work.Amounts
+	Used          work.Amounts
+	Labels        []string
+	// Reconciled is true once no run that an earlier incarnation of the guard ordered is running
 	// or can still start.
-	Cleared bool
+	Reconciled bool
 }
 
 // endpoint is a runner with its guard.
@@ -48,11 +48,11 @@
 
 func (e *endpoint) free() work.Amounts { return e.total.Sub(e.used).Sub(e.ordered) }
 
-// Attach adds an endpoint, or marks it reachable again, and returns the runs whose state its
+// AttachEndpoint adds an endpoint, or marks it reachable again, and returns the runs whose state its
 // guard is to be asked for. newGuard is true for a new incarnation of the guard: it knows
 // nothing of the runs that the earlier one was given, and these may go on until it has cleared
 // its runner. Starting one of their tasks elsewhere before that would run it twice.
-func (p *Planner) Attach(id, dataCentre string, newGuard bool) []work.RunID {
+func (p *Planner) AttachEndpoint(id, dataCentre string, newGuard bool) []work.RunID {
 	e := p.endpoints[id]
 	if e == nil {
 		e = &endpoint{id: id, dataCentre: dataCentre, runs: map[work.TaskID]*task{}}
@@ -91,17 +91,17 @@
 	}
 }
 
-// Detach marks an endpoint whose guard cannot be reached. Its runs stay open, as they may
+// DetachEndpoint marks an endpoint whose guard cannot be reached. Its runs stay open, as they may
 // still be in progress.
-func (p *Planner) Detach(id string) {
+func (p *Planner) DetachEndpoint(id string) {
 	if e := p.endpoints[id]; e != nil {
 		e.attached = false
 	}
 }
 
-// Release removes an endpoint whose guard serves other entries from now on. It returns false
+// ReleaseEndpoint removes an endpoint whose guard serves other entries from now on. It returns false
 // while runs are open there or it accepts starts.
-func (p *Planner) Release(id string) bool {
+func (p *Planner) ReleaseEndpoint(id string) bool {
 	e := p.endpoints[id]
 	if e == nil {
 		return true
@@ -109,13 +109,13 @@
 	if len(e.runs) > 0 || e.open {
 		return false
 	}
-	p.Detach(id)
-	return p.Forget(id)
+	p.DetachEndpoint(id)
+	return p.RemoveEndpoint(id)
 }
 
-// Forget removes a detached endpoint without open runs. It returns false if it has open runs
+// RemoveEndpoint removes a detached endpoint without open runs. It returns false if it has open runs
 // or is attached.
-func (p *Planner) Forget(id string) bool {
+func (p *Planner) RemoveEndpoint(id string) bool {
 	e := p.endpoints[id]
 	if e == nil {
 		return true
@@ -128,13 +128,13 @@
 	return true
 }
 
-// Describe updates an endpoint from its guard's report.
-func (p *Planner) Describe(now time.Duration, id string, r Room) {
+// UpdateEndpoint updates an endpoint from its guard's report.
+func (p *Planner) UpdateEndpoint(now time.Duration, id string, r EndpointStatus) {
 	e := p.endpoints[id]
 	if e == nil {
 		return
 	}
-	if r.Cleared {
+	if r.Reconciled {
 		p.closeOrphans(e)
 	}
 	if r.Service != "" {
@@ -146,7 +146,7 @@
 	}
 	e.reportedAt = now
 	e.runner = r.Runner
-	e.open = r.Open
+	e.open = r.AcceptsStarts
 	e.total = r.Total
 	e.maxTotal = e.maxTotal.Max(r.Total)
 	e.used = r.Used
@@ -167,8 +167,8 @@
 	}
 }
 
-// Reachable counts the endpoints that accept starts.
-func (p *Planner) Reachable() int {
+// CountAccepting counts the endpoints that accept starts.
+func (p *Planner) CountAccepting() int {
 	n := 0
 	for _, e := range p.endpoints {
 		if e.attached && e.open {
@@ -183,23 +183,23 @@
 
 // Values of State.
 const (
-	// Taking: it gets starts.
-	Taking State = "taking"
+	// Accepting: it gets starts.
+	Accepting State = "taking"
 	// Closed: its guard accepts no starts.
 	Closed State = "closed"
-	// SetAside: it is ejected because its runs fail; a single task is tried there now and then.
-	SetAside State = "set_aside"
-	// Silent: a start order there is overdue for an answer.
-	Silent State = "silent"
+	// Ejected: it is ejected because its runs fail; a single task is tried there now and then.
+	Ejected State = "set_aside"
+	// Unresponsive: a start order there is overdue for an answer.
+	Unresponsive State = "silent"
 	// Detached: its guard cannot be reached.
 	Detached State = "detached"
 )
 
 // States returns all values of State.
-func States() []State { return []State{Taking, Closed, SetAside, Silent, Detached} }
+func States() []State { return []State{Accepting, Closed, Ejected, Unresponsive, Detached} }
 
-// Endpoints counts the endpoints by state; every state is in the result.
-func (p *Planner) Endpoints(now time.Duration) map[State]int {
+// CountEndpoints counts the endpoints by state; every state is in the result.
+func (p *Planner) CountEndpoints(now time.Duration) map[State]int {
 	n := map[State]int{}
 	for _, s := range States() {
 		n[s] = 0
@@ -217,11 +217,11 @@
 	case !e.open:
 		return Closed
 	case e.unanswered(now):
-		return Silent
+		return Unresponsive
 	case e.health.ejected:
-		return SetAside
+		return Ejected
 	default:
-		return Taking
+		return Accepting
 	}
 }
 
--- a/dispatch/planner/job.go
+++ b/dispatch/planner/job.go
@@ -62,7 +62,7 @@
 	ordered, running time.Duration
 	// stopping is true once the stop of the open run was ordered, and stopReason is the reason.
 	stopping   bool
-	stopReason Why
+	stopReason Reason
 	// orphaned is true when the guard that got the open run is gone and its successor has not
 	// cleared the runner yet.
 	orphaned bool
@@ -109,7 +109,7 @@
 		j.minCriticalPath = max(j.minCriticalPath, minEnds[s])
 	}
 	longest := time.Duration(float64(criticalPath) * maxToMeanRunTime)
-	target := time.Duration(float64(criticalPath)*j.terms.Stretch) + j.terms.Allowance
+	target := time.Duration(float64(criticalPath)*j.terms.TargetFactor) + j.terms.TargetMargin
 	end := j.deadline - answerMargin
 	margin := min(startMargin, max(target-longest, 0)/startMarginDivisor)
 	j.startBy = min(j.arrived+target, end) - longest - margin
@@ -187,7 +187,7 @@
 		if o.startBy != j.startBy {
 			return o.startBy > j.startBy
 		}
-		return o.terms.Urgency > j.terms.Urgency
+		return o.terms.Priority > j.terms.Priority
 	})
 	s.unstarted = slices.Insert(s.unstarted, at, j)
 	j.queued = true
@@ -195,8 +195,8 @@
 
 func (s *service) addStarted(j *job) {
 	at := sortIndex(s.started, func(o *job) bool {
-		if o.terms.Urgency != j.terms.Urgency {
-			return o.terms.Urgency > j.terms.Urgency
+		if o.terms.Priority != j.terms.Priority {
+			return o.terms.Priority > j.terms.Priority
 		}
 		return o.arrived > j.arrived
 	})
--- a/dispatch/planner/overload_test.go
+++ b/dispatch/planner/overload_test.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		refused++
-		assert.Equal(t, e.Why, WhyOverload)
+		assert.Equal(t, e.Reason, ReasonOverload)
 		assert.Assert(t, e.RetryAfter >= time.Second)
 		assert.Assert(t, e.Waited < 100*ms, "%s waited %s before it was refused", e.Job, e.Waited)
 	}
@@ -97,7 +97,7 @@
 	for range 15 {
 		assert.Equal(t, len(f.after(10*ms).Ended), 0)
 	}
-	f.Attach(f.id(0), "a", true)
+	f.AttachEndpoint(f.id(0), "a", true)
 	f.setCapacity(0, 1, 0)
 	a := f.act()
 	assert.Equal(t, len(a.Starts), 1)
@@ -108,7 +108,7 @@
 	w := work.Job{ID: id, Steps: []work.Step{{Count: 1, Need: work.Amounts{CPUMilli: 1000, MemoryMB: 64}, Declared: 60 * ms}}}
 	t := terms
 	t.Contract = fmt.Sprint("urgency-", priority)
-	t.Urgency = priority
+	t.Priority = priority
 	f.Submit(f.now, f.now+1500*ms, w, t)
 }
 
--- a/dispatch/planner/place.go
+++ b/dispatch/planner/place.go
@@ -50,7 +50,7 @@
 	late := sortIndex(s.unstarted, func(j *job) bool { return j.startBy >= now })
 	inTime := slices.Clone(s.unstarted[late:])
 	if s.startedJobs%latestStartInterval != latestStartInterval-1 {
-		slices.SortStableFunc(inTime, func(a, b *job) int { return a.terms.Urgency - b.terms.Urgency })
+		slices.SortStableFunc(inTime, func(a, b *job) int { return a.terms.Priority - b.terms.Priority })
 	}
 	return slices.Concat(s.started, inTime, s.unstarted[:late])
 }
@@ -205,7 +205,7 @@
 		return score{}
 	}
 	free := e.free()
-	tasks := (spec.Need.Times(free, capacityShareDivisor*want) + capacityShareDivisor - 1) / capacityShareDivisor
+	tasks := (spec.Need.CountFitting(free, capacityShareDivisor*want) + capacityShareDivisor - 1) / capacityShareDivisor
 	if st == tierProbe {
 		tasks = min(tasks, 1)
 	}
@@ -223,7 +223,7 @@
 		freeShare = float64(free.CPUMilli) / float64(e.total.CPUMilli)
 	}
 	remoteRack := spec.DataRack != "" && !slices.Contains(e.labels, spec.DataRack)
-	return score{tasks: tasks, tier: st, remoteRack: remoteRack, freeShare: freeShare, sameDataCentre: e.dataCentre == p.opt.Zone}
+	return score{tasks: tasks, tier: st, remoteRack: remoteRack, freeShare: freeShare, sameDataCentre: e.dataCentre == p.opt.DataCentre}
 }
 
 // canWait reports whether a run at a slow endpoint would still end before the caller's
@@ -267,12 +267,12 @@
 		j.firstStart = now
 	}
 	p.out.Starts = append(p.out.Starts, Start{
-		Endpoint: e.id,
-		Run:      t.run(),
-		Spec:     j.work.Spec,
-		Need:     need,
-		Life:     j.deadline - now,
-		Free:     free,
-		Age:      now - e.reportedAt,
+		Endpoint:  e.id,
+		Run:       t.run(),
+		Spec:      j.work.Spec,
+		Need:      need,
+		TimeLeft:  j.deadline - now,
+		FreeMilli: free,
+		ReportAge: now - e.reportedAt,
 	})
 }
--- a/dispatch/planner/planner.go
+++ b/dispatch/planner/planner.go
@@ -24,8 +24,8 @@
 
 // Options configure a Planner. Zero values take the defaults.
 type Options struct {
-	// Zone is the data centre of this entry.
-	Zone string
+	// DataCentre is the data centre of this entry.
+	DataCentre string
 	// Seed is the random seed for the choice between equal endpoints.
 	Seed uint64
 }
@@ -132,28 +132,28 @@
 	return s
 }
 
-// Outlook is the forecast for a job at its submission.
-type Outlook struct {
-	// StartIn is the time left for a start that meets the response-time target, KeepFor the
+// JobForecast is the forecast for a job at its submission.
+type JobForecast struct {
+	// StartIn is the time left for a start that meets the response-time target, MaxWait the
 	// longest time for which the job may wait at all.
-	StartIn, KeepFor time.Duration
-	// Expected is the expected run time of a task of the first step.
-	Expected time.Duration
-	// Ahead counts the waiting jobs.
-	Ahead int
+	StartIn, MaxWait time.Duration
+	// ExpectedRunTime is the expected run time of a task of the first step.
+	ExpectedRunTime time.Duration
+	// JobsWaiting counts the waiting jobs.
+	JobsWaiting int
 }
 
-// Outlook returns the forecast for an open job.
-func (p *Planner) Outlook(id string) Outlook {
+// JobForecast returns the forecast for an open job.
+func (p *Planner) Forecast(id string) JobForecast {
 	j := p.jobs[id]
 	if j == nil {
-		return Outlook{}
+		return JobForecast{}
 	}
-	return Outlook{
-		StartIn:  j.startBy - j.arrived,
-		KeepFor:  j.keepUntil - j.arrived,
-		Expected: j.expected[0],
-		Ahead:    len(j.service.unstarted) + len(j.service.started),
+	return JobForecast{
+		StartIn:         j.startBy - j.arrived,
+		MaxWait:         j.keepUntil - j.arrived,
+		ExpectedRunTime: j.expected[0],
+		JobsWaiting:     len(j.service.unstarted) + len(j.service.started),
 	}
 }
 
@@ -162,21 +162,21 @@
 
 // Values of Verdict.
 const (
-	// Taken: the job was accepted; it waits or runs.
-	Taken Verdict = iota + 1
-	// Known: a job with this id is already open; the caller joins it.
-	Known
-	// Ending: a job with this id has ended, and a run of it may still be in progress.
-	Ending
+	// Accepted: the job was accepted; it waits or runs.
+	Accepted Verdict = iota + 1
+	// Duplicate: a job with this id is already open; the caller joins it.
+	Duplicate
+	// StillEnding: a job with this id has ended, and a run of it may still be in progress.
+	StillEnding
 )
 
 // Submit adds a job whose caller waits until the deadline.
 func (p *Planner) Submit(now, deadline time.Duration, w work.Job, t Terms) Verdict {
 	if j := p.jobs[w.ID]; j != nil {
 		if j.outcome != 0 {
-			return Ending
+			return StillEnding
 		}
-		return Known
+		return Duplicate
 	}
 	j := newJob(now, deadline, w, t)
 	j.service = p.service(t.Service)
@@ -194,17 +194,17 @@
 		}
 		j.service.addUnstarted(j)
 	case fit == tooLarge:
-		p.end(now, j, Failed, WhyTooLarge)
+		p.end(now, j, Failed, ReasonTooLarge)
 	default:
 		j.service.addUnstarted(j)
 	}
-	return Taken
+	return Accepted
 }
 
 // Cancel ends a job whose caller stopped waiting.
 func (p *Planner) Cancel(now time.Duration, id string) {
 	if j := p.jobs[id]; j != nil && j.outcome == 0 {
-		p.end(now, j, Cancelled, WhyCallerGone)
+		p.end(now, j, Cancelled, ReasonCallerGone)
 	}
 }
 
@@ -244,14 +244,14 @@
 }
 
 // end sets the outcome of a job and stops its open runs.
-func (p *Planner) end(now time.Duration, j *job, o Outcome, why Why) {
+func (p *Planner) end(now time.Duration, j *job, o Outcome, why Reason) {
 	j.outcome = o
 	j.service.remove(j)
 	waited := now - j.arrived
 	if j.started {
 		waited = j.firstStart - j.arrived
 	}
-	ended := Ended{Job: j.work.ID, Outcome: o, Why: why, Waited: waited}
+	ended := Ended{Job: j.work.ID, Outcome: o, Reason: why, Waited: waited}
 	if o == Refused {
 		ended.RetryAfter = p.retryAfter(j.service)
 	}
@@ -265,7 +265,7 @@
 }
 
 // stop orders the stop of a task's open run.
-func (p *Planner) stop(t *task, why Why) {
+func (p *Planner) stop(t *task, why Reason) {
 	t.stopping, t.stopReason = true, why
 	p.out.Stops = append(p.out.Stops, Stop{t.endpoint.id, t.run(), why})
 }
@@ -307,8 +307,8 @@
 	return min(drain, maxRetryAfter)
 }
 
-// Pause holds back all starts until the given time; everything else goes on.
-func (p *Planner) Pause(until time.Duration) { p.pausedUntil = until }
+// PauseStarts holds back all starts until the given time; everything else goes on.
+func (p *Planner) PauseStarts(until time.Duration) { p.pausedUntil = until }
 
 // Act returns the actions to carry out now, and the latest time of the next call.
 func (p *Planner) Act(now time.Duration) (Actions, time.Duration) {
@@ -344,7 +344,7 @@
 	for _, j := range append([]*job(nil), s.unstarted...) {
 		switch {
 		case now > j.latestStart(j.minCriticalPath):
-			p.end(now, j, Refused, WhyTooLittleTime)
+			p.end(now, j, Refused, ReasonTooLittleTime)
 		case now >= j.keepUntil:
 			p.refuse(now, j)
 		case now > j.startBy && !waitingForecast.drainsWithin(waiting, j.keepUntil-now):
@@ -353,15 +353,15 @@
 	}
 	for _, j := range append([]*job(nil), s.started...) {
 		if now > j.latestUsefulStart() {
-			p.end(now, j, Expired, WhyTooLittleTime)
+			p.end(now, j, Expired, ReasonTooLittleTime)
 		}
 	}
 }
 
 func (p *Planner) refuse(now time.Duration, j *job) {
-	why := WhyOverload
+	why := ReasonOverload
 	if len(j.service.endpoints) == 0 {
-		why = WhyNoRunner
+		why = ReasonNoRunner
 	}
 	p.end(now, j, Refused, why)
 }
@@ -375,10 +375,10 @@
 			continue
 		}
 		if now >= j.deadline-answerMargin {
-			why := WhyDeadline
+			why := ReasonDeadline
 			for _, t := range j.tasks {
 				if t.open() && !t.endpoint.attached {
-					why = WhyUnreachable
+					why = ReasonGuardUnreachable
 				}
 			}
 			p.end(now, j, Expired, why)
--- a/dispatch/planner/planner_test.go
+++ b/dispatch/planner/planner_test.go
@@ -13,7 +13,7 @@
 const ms = time.Millisecond
 
 var (
-	terms = Terms{Contract: "lookup", Service: "teardown", MaxAttempts: 2, Stretch: 1.6, Allowance: 60 * ms}
+	terms = Terms{Contract: "lookup", Service: "teardown", MaxAttempts: 2, TargetFactor: 1.6, TargetMargin: 60 * ms}
 	core  = work.Amounts{CPUMilli: 1000, MemoryMB: 64}
 )
 
@@ -27,9 +27,9 @@
 }
 
 func newFleet(t *testing.T, capacity ...int) *fleet {
-	f := &fleet{Planner: New(Options{Zone: "a"}), t: t, now: time.Second}
+	f := &fleet{Planner: New(Options{DataCentre: "a"}), t: t, now: time.Second}
 	for i, n := range capacity {
-		f.Attach(f.id(i), "a", true)
+		f.AttachEndpoint(f.id(i), "a", true)
 		f.setCapacity(i, n, 0)
 	}
 	return f
@@ -39,12 +39,12 @@
 
 func (f *fleet) setCapacity(i, total, used int) {
 	scale := func(n int) work.Amounts { return work.Amounts{CPUMilli: int64(n) * 1000, MemoryMB: int64(n) * 64} }
-	f.Describe(f.now, f.id(i), Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Open: true, Total: scale(total), Used: scale(used)})
+	f.UpdateEndpoint(f.now, f.id(i), EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}, AcceptsStarts: true, Total: scale(total), Used: scale(used)})
 }
 
 func (f *fleet) submit(id string, tasks int, declared time.Duration) Actions {
 	w := work.Job{ID: id, Steps: []work.Step{{Count: tasks, Need: core, Declared: declared}}}
-	assert.Equal(f.t, f.Submit(f.now, f.now+1500*ms, w, terms), Taken)
+	assert.Equal(f.t, f.Submit(f.now, f.now+1500*ms, w, terms), Accepted)
 	return f.act()
 }
 
@@ -58,8 +58,8 @@
 	return f.act()
 }
 
-func (f *fleet) report(s Start, c Change) {
-	f.Report(f.now, s.Endpoint, s.Run, c, 0)
+func (f *fleet) report(s Start, c RunEvent) {
+	f.ReportRun(f.now, s.Endpoint, s.Run, c, 0)
 }
 
 // A caller is told "not run" although a task of its job is running. There is capacity for two
@@ -83,12 +83,12 @@
 	a := f.submit("j", 1, 60*ms)
 	s := a.Starts[0]
 	f.report(s, Running)
-	assert.Equal(t, len(f.Attach(s.Endpoint, "a", true)), 0, "the successor knows nothing of the run")
+	assert.Equal(t, len(f.AttachEndpoint(s.Endpoint, "a", true)), 0, "the successor knows nothing of the run")
 	assert.Equal(t, len(f.after(20*ms).Starts), 0)
 	total := work.Amounts{CPUMilli: 2000, MemoryMB: 128}
-	f.Describe(f.now, s.Endpoint, Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Total: total})
+	f.UpdateEndpoint(f.now, s.Endpoint, EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Total: total})
 	assert.Equal(t, len(f.after(20*ms).Starts), 0)
-	f.Describe(f.now, s.Endpoint, Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Total: total, Cleared: true})
+	f.UpdateEndpoint(f.now, s.Endpoint, EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Total: total, Reconciled: true})
 	assert.Equal(t, len(f.after(20*ms).Starts), 1)
 }
 
@@ -111,16 +111,16 @@
 func TestJobThatFitsNoRunner(t *testing.T) {
 	f := newFleet(t, 2)
 	w := work.Job{ID: "huge", Steps: []work.Step{{Count: 1, Need: work.Amounts{CPUMilli: 64000}}}}
-	assert.Equal(t, f.Submit(f.now, f.now+time.Second, w, terms), Taken)
+	assert.Equal(t, f.Submit(f.now, f.now+time.Second, w, terms), Accepted)
 	a := f.act()
-	assert.Equal(t, a.Ended[0].Why, WhyTooLarge)
+	assert.Equal(t, a.Ended[0].Reason, ReasonTooLarge)
 	empty := newFleet(t)
 	empty.act()
 	empty.now += startupGrace
 	assert.Equal(t, len(empty.submit("j", 1, 60*ms).Ended), 0)
 	a = empty.after(200 * ms)
 	assert.Equal(t, a.Ended[0].Outcome, Refused)
-	assert.Equal(t, a.Ended[0].Why, WhyNoRunner)
+	assert.Equal(t, a.Ended[0].Reason, ReasonNoRunner)
 }
 
 // A runner that fails everything it starts always looks free and would attract most of the
@@ -160,7 +160,7 @@
 		stops = append(stops, a.Stops...)
 	}
 	assert.Equal(t, len(stops), 1)
-	assert.Equal(t, stops[0].Why, WhyTooLong)
+	assert.Equal(t, stops[0].Reason, ReasonRunTooLong)
 	f.report(s, Stopped)
 	again := f.after(ms).Starts
 	assert.Equal(t, len(again), 1)
@@ -174,13 +174,13 @@
 	f := newFleet(t, 1, 1)
 	s := f.submit("j", 1, 60*ms).Starts[0]
 	f.report(s, Running)
-	f.Detach(s.Endpoint)
+	f.DetachEndpoint(s.Endpoint)
 	for range 80 {
 		a := f.after(20 * ms)
 		assert.Equal(t, len(a.Starts), 0)
 		for _, e := range a.Ended {
 			assert.Equal(t, e.Outcome, Expired)
-			assert.Equal(t, e.Why, WhyUnreachable)
+			assert.Equal(t, e.Reason, ReasonGuardUnreachable)
 			return
 		}
 	}
@@ -196,22 +196,22 @@
 	f.Cancel(f.now, "j")
 	a := f.act()
 	assert.Equal(t, len(a.Stops), 1)
-	assert.Equal(t, f.Submit(f.now, f.now+time.Second, work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core}}}, terms), Ending)
+	assert.Equal(t, f.Submit(f.now, f.now+time.Second, work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core}}}, terms), StillEnding)
 	f.report(s, Stopped)
 	assert.DeepEqual(t, f.act().Settled, []string{"j"})
-	assert.Equal(t, f.Submit(f.now, f.now+time.Second, work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core}}}, terms), Taken)
+	assert.Equal(t, f.Submit(f.now, f.now+time.Second, work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core}}}, terms), Accepted)
 }
 
 // Steps run one after the other, with the label and the limit per runner that they ask for.
 func TestStepsInOrder(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	total := work.Amounts{CPUMilli: 4000, MemoryMB: 256}
-	f.Describe(f.now, "g1", Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Open: true, Total: total, Labels: []string{"b"}})
+	f.UpdateEndpoint(f.now, "g1", EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}, AcceptsStarts: true, Total: total, Labels: []string{"b"}})
 	w := work.Job{ID: "j", Steps: []work.Step{
 		{Count: 2, Need: core, MaxPerRunner: 1, Declared: 60 * ms},
 		{Count: 1, Need: core, After: []int{0}, Label: "b", Declared: 60 * ms},
 	}}
-	assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, terms), Taken)
+	assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, terms), Accepted)
 	first := f.act().Starts
 	assert.Equal(t, len(first), 2)
 	assert.Assert(t, first[0].Endpoint != first[1].Endpoint)
@@ -234,7 +234,7 @@
 	f := newFleet(t, 1)
 	start := f.submit("j", 1, 100*ms).Starts[0]
 	f.now += 90 * ms
-	assert.Equal(t, f.Report(f.now, start.Endpoint, start.Run, Done, 60*ms), 60*ms)
+	assert.Equal(t, f.ReportRun(f.now, start.Endpoint, start.Run, Done, 60*ms), 60*ms)
 }
 
 // The report that a run started carries the time since its start: a run that hangs is stopped
@@ -243,26 +243,26 @@
 	f := newFleet(t, 1)
 	start := f.submit("j", 1, 100*ms).Starts[0]
 	f.now += 80 * ms
-	f.Report(f.now, start.Endpoint, start.Run, Running, 70*ms)
+	f.ReportRun(f.now, start.Endpoint, start.Run, Running, 70*ms)
 	f.now += 20 * ms
-	assert.Equal(t, f.Report(f.now, start.Endpoint, start.Run, Done, 0), 90*ms)
+	assert.Equal(t, f.ReportRun(f.now, start.Endpoint, start.Run, Done, 0), 90*ms)
 }
 
 // Operators see how many runners accept work, and why the others do not.
 func TestEndpointsAreCountedByState(t *testing.T) {
 	f := newFleet(t, 1, 1, 1)
-	f.Describe(f.now, f.id(0), Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}})
-	f.Detach(f.id(1))
-	assert.DeepEqual(t, f.Endpoints(f.now), map[State]int{Taking: 1, Closed: 1, SetAside: 0, Silent: 0, Detached: 1})
+	f.UpdateEndpoint(f.now, f.id(0), EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}})
+	f.DetachEndpoint(f.id(1))
+	assert.DeepEqual(t, f.CountEndpoints(f.now), map[State]int{Accepting: 1, Closed: 1, Ejected: 0, Unresponsive: 0, Detached: 1})
 	start := f.submit("j", 1, 60*ms).Starts[0]
 	assert.Equal(t, start.Endpoint, f.id(2))
 	f.now += startAnswerTimeout + ms
-	assert.Equal(t, f.Endpoints(f.now)[Silent], 1)
+	assert.Equal(t, f.CountEndpoints(f.now)[Unresponsive], 1)
 	for range ejectionStreak {
 		f.endpoints[f.id(2)].health.recordFailure(f.now, 0)
 	}
 	f.report(start, Running)
-	assert.Equal(t, f.Endpoints(f.now)[SetAside], 1)
+	assert.Equal(t, f.CountEndpoints(f.now)[Ejected], 1)
 }
 
 // The age of the oldest waiting job is reported.
@@ -281,10 +281,10 @@
 	f.submit("runs", 1, 900*ms)
 	f.submit("patient", 1, 900*ms)
 	soon := terms
-	soon.Allowance = 20 * ms
+	soon.TargetMargin = 20 * ms
 	for _, id := range []string{"a", "b"} {
 		w := work.Job{ID: id, Steps: []work.Step{{Count: 1, Need: core, Declared: 6 * ms}}}
-		assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, soon), Taken)
+		assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, soon), Accepted)
 	}
 	assert.Equal(t, len(f.after(8*ms).Ended), 0)
 }
@@ -305,7 +305,7 @@
 			assert.Equal(t, stops, 1, "the second run gets twice the time")
 			break
 		}
-		assert.Equal(t, a.Stops[0].Why, WhyTooLong)
+		assert.Equal(t, a.Stops[0].Reason, ReasonRunTooLong)
 		f.report(start, Stopped)
 		start = f.act().Starts[0]
 		f.report(start, Running)
@@ -323,12 +323,12 @@
 	f := newFleet(t, 4)
 	f.learnRunTime(300 * ms)
 	w := work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core, Declared: 300 * ms}}}
-	assert.Equal(t, f.Submit(f.now, f.now+100*ms, w, terms), Taken)
+	assert.Equal(t, f.Submit(f.now, f.now+100*ms, w, terms), Accepted)
 	a := f.act()
 	assert.Equal(t, len(a.Starts), 0)
 	assert.Equal(t, len(a.Ended), 1)
 	assert.Equal(t, a.Ended[0].Outcome, Refused)
-	assert.Equal(t, a.Ended[0].Why, WhyTooLittleTime)
+	assert.Equal(t, a.Ended[0].Reason, ReasonTooLittleTime)
 	assert.Assert(t, a.Ended[0].RetryAfter > 0)
 }
 
@@ -336,7 +336,7 @@
 func (f *fleet) learnRunTime(run time.Duration) {
 	start := f.submit("before", 1, run).Starts[0]
 	f.now += run
-	f.Report(f.now, start.Endpoint, start.Run, Done, run)
+	f.ReportRun(f.now, start.Endpoint, start.Run, Done, run)
 	f.act()
 }
 
@@ -349,7 +349,7 @@
 		starts := f.submit(id, 1, 6*time.Second).Starts
 		assert.Equal(t, len(starts), 1, id)
 		f.now += 100 * ms
-		f.Report(f.now, starts[0].Endpoint, starts[0].Run, Done, 100*ms)
+		f.ReportRun(f.now, starts[0].Endpoint, starts[0].Run, Done, 100*ms)
 		f.act()
 	}
 }
--- a/dispatch/planner/release_test.go
+++ b/dispatch/planner/release_test.go
@@ -15,13 +15,13 @@
 func TestEndpointIsReleasedOnceItsRunsAreOver(t *testing.T) {
 	f := newFleet(t, 4)
 	start := f.submit("job", 1, 60*ms).Starts[0]
-	assert.Assert(t, !f.Release(f.id(0)), "it takes starts")
-	f.Describe(f.now, f.id(0), Room{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Total: core, Used: core})
-	assert.Assert(t, !f.Release(f.id(0)), "a run is open")
+	assert.Assert(t, !f.ReleaseEndpoint(f.id(0)), "it takes starts")
+	f.UpdateEndpoint(f.now, f.id(0), EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "r"}, Total: core, Used: core})
+	assert.Assert(t, !f.ReleaseEndpoint(f.id(0)), "a run is open")
 	f.now += 60 * time.Millisecond
 	f.report(start, Done)
 	assert.Equal(t, f.act().Ended[0].Outcome, Completed)
-	assert.Assert(t, f.Release(f.id(0)))
-	assert.Equal(t, f.Endpoints(f.now)[Detached], 0, "it is removed, not only detached")
-	assert.Assert(t, f.Release(f.id(0)), "again")
+	assert.Assert(t, f.ReleaseEndpoint(f.id(0)))
+	assert.Equal(t, f.CountEndpoints(f.now)[Detached], 0, "it is removed, not only detached")
+	assert.Assert(t, f.ReleaseEndpoint(f.id(0)), "again")
 }
--- a/dispatch/planner/report.go
+++ b/dispatch/planner/report.go
@@ -6,20 +6,20 @@
 	"almondstand.dev/dispatch/work"
 )
 
-// Change is a change in the state of a run, as its guard reports it.
-type Change int
+// RunEvent is a change in the state of a run, as its guard reports it.
+type RunEvent int
 
 // Values of Change.
 const (
-	Running Change = iota + 1
+	Running RunEvent = iota + 1
 	Done
 	TaskFailed
 	// Stopped: ended before its work was done.
 	Stopped
-	// NoRoom: never started, the endpoint was full.
-	NoRoom
-	// NotTaken: never started, for a reason that does not reflect on the runner.
-	NotTaken
+	// NoCapacity: never started, the endpoint was full.
+	NoCapacity
+	// NotAccepted: never started, for a reason that does not reflect on the runner.
+	NotAccepted
 	// Unknown: the guard has no such run. It never started, unless it ended longer ago than
 	// guards keep the ends of runs.
 	Unknown
@@ -33,10 +33,10 @@
 // does not know has not ended there within that time.
 const minEndRetention = 9 * time.Second
 
-// Report handles a guard's report on a run, and returns how long the run lasted. ran is the
+// ReportRun handles a guard's report on a run, and returns how long the run lasted. ran is the
 // run time that the guard reported; if it is zero, the run time is taken from the arrival
 // times of the guard's messages.
-func (p *Planner) Report(now time.Duration, id string, run work.RunID, c Change, ran time.Duration) time.Duration {
+func (p *Planner) ReportRun(now time.Duration, id string, run work.RunID, c RunEvent, ran time.Duration) time.Duration {
 	e := p.endpoints[id]
 	if e == nil {
 		return 0
@@ -64,7 +64,7 @@
 		e.health.recordFailure(now, e.service.failureRate)
 		p.updateFailureRate(e.service, 1)
 		if t.failures >= t.job.terms.MaxAttempts && t.job.outcome == 0 {
-			p.end(now, t.job, Failed, WhyTaskFailed)
+			p.end(now, t.job, Failed, ReasonTaskFailed)
 		}
 	case Stopped, Crashed:
 		t.job.mayHaveRun = true
@@ -77,7 +77,7 @@
 			e.health.recordFailure(now, e.service.failureRate)
 		}
 		t.avoid = e
-	case NoRoom, NotTaken:
+	case NoCapacity, NotAccepted:
 		t.avoid = e
 	case Unknown:
 		t.job.mayHaveRun = t.job.mayHaveRun || now-t.ordered >= minEndRetention
@@ -149,7 +149,7 @@
 			return
 		}
 	}
-	p.end(now, j, Completed, WhyDone)
+	p.end(now, j, Completed, ReasonDone)
 }
 
 // recordRunTime adds the run time of a task to the contract's estimate. The first one of a
@@ -236,7 +236,7 @@
 			t.endpoint.health.recordFailure(now, j.service.failureRate)
 		}
 		t.overruns++
-		p.stop(t, WhyTooLong)
+		p.stop(t, ReasonRunTooLong)
 	}
 	return next
 }
--- a/dispatch/planner/restart_test.go
+++ b/dispatch/planner/restart_test.go
@@ -14,15 +14,15 @@
 	f := newFleet(t, 8)
 	s := f.submitLongWait("poison", 1).Starts[0]
 	for born := int64(1); born <= 2; born++ {
-		p := work.Incarnation{ID: "i", Born: born}
-		f.Crash(f.now, s.Endpoint, s.Run, 0, Crash{Runner: p, Others: 7, Newest: true})
-		f.Describe(f.now, s.Endpoint, Room{Service: "teardown", Runner: work.Incarnation{ID: "i", Born: born + 1}, Open: true, Total: work.Amounts{CPUMilli: 8000, MemoryMB: 512}})
+		p := work.Incarnation{ID: "i", StartedMilli: born}
+		f.ReportCrash(f.now, s.Endpoint, s.Run, 0, Crash{Runner: p, OtherCount: 7, Newest: true})
+		f.UpdateEndpoint(f.now, s.Endpoint, EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "i", StartedMilli: born + 1}, AcceptsStarts: true, Total: work.Amounts{CPUMilli: 8000, MemoryMB: 512}})
 		assert.Equal(t, len(f.crashes), int(born))
 		a := f.after(300 * ms)
 		if born == 1 {
 			s = a.Starts[0]
 		} else {
-			assert.Equal(t, a.Ended[0].Why, WhyCrashes)
+			assert.Equal(t, a.Ended[0].Reason, ReasonCrashes)
 		}
 	}
 }
@@ -45,12 +45,12 @@
 	f := newFleet(t, 8)
 	s := f.submitLongWait("j", 1).Starts[0]
 	f.report(s, Running)
-	f.Detach(s.Endpoint)
+	f.DetachEndpoint(s.Endpoint)
 	f.Cancel(f.now, "j")
 	assert.Equal(t, len(f.act().Stops), 1, "no guard receives it")
-	assert.DeepEqual(t, f.Attach(s.Endpoint, "a", false), []work.RunID{s.Run})
-	assert.DeepEqual(t, f.act().Stops, []Stop{{s.Endpoint, s.Run, WhyCallerGone}})
+	assert.DeepEqual(t, f.AttachEndpoint(s.Endpoint, "a", false), []work.RunID{s.Run})
+	assert.DeepEqual(t, f.act().Stops, []Stop{{s.Endpoint, s.Run, ReasonCallerGone}})
 	f.report(s, Stopped)
-	assert.Equal(t, len(f.Attach(s.Endpoint, "a", false)), 0)
+	assert.Equal(t, len(f.AttachEndpoint(s.Endpoint, "a", false)), 0)
 	assert.Equal(t, len(f.act().Stops), 0)
 }
--- a/dispatch/planner/retest_test.go
+++ b/dispatch/planner/retest_test.go
@@ -21,10 +21,10 @@
 
 func (f *fleet) runFor(id string, run time.Duration) {
 	w := work.Job{ID: id, Steps: []work.Step{{Count: 1, Need: core}}}
-	assert.Equal(f.t, f.Submit(f.now, f.now+10*time.Second, w, terms), Taken)
+	assert.Equal(f.t, f.Submit(f.now, f.now+10*time.Second, w, terms), Accepted)
 	start := f.act().Starts[0]
 	f.now += run
-	f.Report(f.now, start.Endpoint, start.Run, Done, run)
+	f.ReportRun(f.now, start.Endpoint, start.Run, Done, run)
 	f.act()
 }
 
@@ -40,7 +40,7 @@
 			assert.Assert(t, n < 10, "job %d is still rejected", n)
 			continue
 		}
-		f.Report(f.now+50*ms, a.Starts[0].Endpoint, a.Starts[0].Run, Done, 50*ms)
+		f.ReportRun(f.now+50*ms, a.Starts[0].Endpoint, a.Starts[0].Run, Done, 50*ms)
 		f.act()
 	}
 }
@@ -56,7 +56,7 @@
 		for _, s := range a.Starts {
 			started++
 			f.Cancel(f.now, s.Run.Task.Job)
-			f.Report(f.now, s.Endpoint, s.Run, Stopped, 0)
+			f.ReportRun(f.now, s.Endpoint, s.Run, Stopped, 0)
 		}
 	}
 	assert.Assert(t, started >= 2 && started <= 8, "%d started", started)
--- a/dispatch/planner/shrink_test.go
+++ b/dispatch/planner/shrink_test.go
@@ -15,7 +15,7 @@
 	f := newFleet(t, 2)
 	f.setCapacity(0, 1, 0)
 	w := work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core.Add(core), Declared: 60 * ms}}}
-	assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, terms), Taken)
+	assert.Equal(t, f.Submit(f.now, f.now+1500*ms, w, terms), Accepted)
 	a := f.act()
 	assert.Equal(t, len(a.Ended)+len(a.Starts), 0, "%v", a)
 	f.now += 20 * ms
@@ -27,12 +27,12 @@
 // incarnation had it.
 func TestJobThatFittedAnEarlierIncarnationFailsAtOnce(t *testing.T) {
 	f := newFleet(t, 2)
-	f.Describe(f.now, f.id(0), Room{Service: "teardown", Runner: work.Incarnation{ID: "next"}, Open: true, Total: core})
+	f.UpdateEndpoint(f.now, f.id(0), EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "next"}, AcceptsStarts: true, Total: core})
 	w := work.Job{ID: "j", Steps: []work.Step{{Count: 1, Need: core.Add(core), Declared: 60 * ms}}}
 	f.Submit(f.now, f.now+1500*ms, w, terms)
 	a := f.act()
 	assert.Equal(t, len(a.Ended), 1)
-	assert.Equal(t, a.Ended[0].Why, WhyTooLarge)
+	assert.Equal(t, a.Ended[0].Reason, ReasonTooLarge)
 }
 
 // A runner shrinks below what is running there. Nothing is started until its free capacity is
--- a/dispatch/planner/types.go
+++ b/dispatch/planner/types.go
@@ -10,13 +10,13 @@
 type Terms struct {
 	Contract string
 	Service  string
-	// Urgency is the priority of jobs that must start at the same time; 0 goes first.
-	Urgency     int
+	// Priority is the priority of jobs that must start at the same time; 0 goes first.
+	Priority    int
 	MaxAttempts int
 	// The response-time target is Stretch times the run time of the job's critical path, plus
 	// Allowance.
-	Stretch   float64
-	Allowance time.Duration
+	TargetFactor float64
+	TargetMargin time.Duration
 }
 
 // Outcome is the final result of a job.
@@ -41,32 +41,32 @@
 	return [...]string{"open", "completed", "failed", "refused", "expired", "cancelled"}[o]
 }
 
-// Why is the reason for a job's outcome or for stopping a run.
-type Why string
+// Reason is the reason for a job's outcome or for stopping a run.
+type Reason string
 
 // Values of Why.
 const (
-	WhyDone       Why = "done"
-	WhyTaskFailed Why = "task_failed"
-	// WhyCrashes: runners crashed while running the same task.
-	WhyCrashes  Why = "crashes_runners"
-	WhyTooLarge Why = "fits_no_runner"
-	WhyNoRunner Why = "no_runner"
-	WhyOverload Why = "no_room_in_time"
-	WhyDeadline Why = "caller_time_over"
-	// WhyTooLittleTime: the caller's deadline would have passed before the work was done.
-	WhyTooLittleTime Why = "too_little_time"
-	WhyCallerGone    Why = "caller_gone"
-	WhyUnreachable   Why = "guard_unreachable"
-	// WhyTooLong: a run takes far longer than expected.
-	WhyTooLong Why = "runs_too_long"
+	ReasonDone       Reason = "done"
+	ReasonTaskFailed Reason = "task_failed"
+	// ReasonCrashes: runners crashed while running the same task.
+	ReasonCrashes  Reason = "crashes_runners"
+	ReasonTooLarge Reason = "fits_no_runner"
+	ReasonNoRunner Reason = "no_runner"
+	ReasonOverload Reason = "no_room_in_time"
+	ReasonDeadline Reason = "caller_time_over"
+	// ReasonTooLittleTime: the caller's deadline would have passed before the work was done.
+	ReasonTooLittleTime    Reason = "too_little_time"
+	ReasonCallerGone       Reason = "caller_gone"
+	ReasonGuardUnreachable Reason = "guard_unreachable"
+	// ReasonRunTooLong: a run takes far longer than expected.
+	ReasonRunTooLong Reason = "runs_too_long"
 )
 
 // Ended reports the outcome of a job.
 type Ended struct {
 	Job     string
 	Outcome Outcome
-	Why     Why
+	Reason  Reason
 	// RetryAfter is the time after which there may be capacity for a refused job; zero for
 	// other outcomes.
 	RetryAfter time.Duration
@@ -77,7 +77,7 @@
 // Answer is the outcome of a job as its callers get it.
 type Answer struct {
 	Outcome    Outcome
-	Why        Why
+	Reason     Reason
 	RetryAfter time.Duration
 }
 
@@ -87,19 +87,19 @@
 	Run      work.RunID
 	Spec     string
 	Need     work.Amounts
-	// Life is the time left until the caller's deadline.
-	Life time.Duration
-	// Free is the CPU believed free at the endpoint, in thousandths of a core, and Age the time
+	// TimeLeft is the time left until the caller's deadline.
+	TimeLeft time.Duration
+	// FreeMilli is the CPU believed free at the endpoint, in thousandths of a core, and Age the time
 	// since its guard's last report.
-	Free int64
-	Age  time.Duration
+	FreeMilli int64
+	ReportAge time.Duration
 }
 
 // Stop is an order to stop one run.
 type Stop struct {
 	Endpoint string
 	Run      work.RunID
-	Why      Why
+	Reason   Reason
 }
 
 // Actions are what the caller of Act has to carry out now.
@@ -109,6 +109,6 @@
 	Ended  []Ended
 	// Settled lists jobs that ended earlier and whose last run is now over.
 	Settled []string
-	// Wake lists endpoints whose guards must be notified that tasks are waiting for capacity.
-	Wake []string
+	// NotifyWaiting lists endpoints whose guards must be notified that tasks are waiting for capacity.
+	NotifyWaiting []string
 }
--- a/dispatch/planner/waiting.go
+++ b/dispatch/planner/waiting.go
@@ -6,9 +6,9 @@
 // them was placed: tasks come in bursts, and each change is a message to every guard.
 const waitingHoldTime = 40 * time.Millisecond
 
-// Waiting reports whether tasks are waiting for capacity of the endpoint's service, or were a
+// PendingDemand reports whether tasks are waiting for capacity of the endpoint's service, or were a
 // moment ago, and the CPU that they need, in thousandths of a core.
-func (p *Planner) Waiting(now time.Duration, endpoint string) (waiting bool, demand int64) {
+func (p *Planner) PendingDemand(now time.Duration, endpoint string) (waiting bool, demand int64) {
 	e := p.endpoints[endpoint]
 	if e == nil || e.service == nil || !e.service.hasWaiting(now) {
 		return false, 0
@@ -31,7 +31,7 @@
 		s.shortSince = now
 		for _, e := range s.endpoints {
 			if e.attached {
-				p.out.Wake = append(p.out.Wake, e.id)
+				p.out.NotifyWaiting = append(p.out.NotifyWaiting, e.id)
 			}
 		}
 	}
--- a/dispatch/queue/job.go
+++ b/dispatch/queue/job.go
@@ -10,8 +10,8 @@
 // Job is a job with tasks that have not ended. The caller sets the exported fields before Add
 // and only reads them afterwards.
 type Job struct {
-	ID       string
-	Customer string
+	ID     string
+	Client string
 	// Weight is the client's weight in fair queueing.
 	Weight   float64
 	Accepted time.Time
@@ -21,9 +21,9 @@
 	Idempotent bool
 	// Estimates are the expected run times of the tasks, by index.
 	Estimates []time.Duration
-	// Shown are the run times that count for the tasks in the admission of other jobs, by
+	// AdmissionEstimates are the run times that count for the tasks in the admission of other jobs, by
 	// index; nil takes Estimates. The order of jobs uses Estimates.
-	Shown []time.Duration
+	AdmissionEstimates []time.Duration
 
 	// left counts the unfinished tasks, work is the sum of their estimates.
 	left    int
@@ -77,8 +77,8 @@
 	j.agePosition = indexed.None
 	j.deadlinePosition = indexed.None
 	j.waiting = make([]int, j.left)
-	if j.Shown == nil {
-		j.Shown = j.Estimates
+	if j.AdmissionEstimates == nil {
+		j.AdmissionEstimates = j.Estimates
 	}
 	for i, estimate := range j.Estimates {
 		j.waiting[i] = j.left - 1 - i
