--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -13,8 +13,8 @@
 type Options struct {
 	// Order is the order of jobs; nil takes LeastWork.
 	Order Order
-	// Unfair turns fair queueing between clients off.
-	Unfair bool
+	// NoFairQueueing turns fair queueing between clients off.
+	NoFairQueueing bool
 	// Slack is how far a client may be ahead of its fair share, in time of the whole service.
 	// Zero enforces the share task by task.
 	Slack time.Duration
@@ -81,12 +81,12 @@
 	q.seq++
 	j.prepare(q.seq)
 	j.key = q.opts.Order.Key(j)
-	j.account = q.shares.account(j.Customer, j.Weight)
+	j.account = q.shares.account(j.Client, j.Weight)
 	j.account.countArrival(now, j)
 	q.jobs++
 	q.waiting += len(j.waiting)
 	q.bytes += j.Bytes
-	q.addWork(j, sum(j.Shown))
+	q.addWork(j, sum(j.AdmissionEstimates))
 	q.deadlines.Push(j)
 	q.shares.push(j)
 	if q.opts.Ageing > 0 {
@@ -124,7 +124,7 @@
 	j.waiting = slices.Delete(j.waiting, at, at+1)
 	q.waiting--
 	j.account.agedNext = !j.aged
-	q.addWork(j, -j.Shown[index])
+	q.addWork(j, -j.AdmissionEstimates[index])
 	q.shares.addStarted(j.account, 1)
 	q.shares.charge(now, j.account, j.Estimates[index])
 	if len(j.waiting) == 0 {
@@ -137,7 +137,7 @@
 func (q *Queue) Return(now time.Time, j *Job, index int) {
 	j.waiting = append(j.waiting, index)
 	q.waiting++
-	q.addWork(j, j.Shown[index])
+	q.addWork(j, j.AdmissionEstimates[index])
 	q.shares.addStarted(j.account, -1)
 	q.shares.charge(now, j.account, -j.Estimates[index])
 	if len(j.waiting) == 1 {
@@ -172,12 +172,12 @@
 		return
 	}
 	for _, index := range j.waiting {
-		q.addWork(j, -j.Shown[index])
+		q.addWork(j, -j.AdmissionEstimates[index])
 		j.work += estimates[index] - j.Estimates[index]
 		j.Estimates[index] = estimates[index]
 	}
 	j.account.addArrivals(now, j, -1)
-	j.Shown = shown
+	j.AdmissionEstimates = shown
 	j.sizeClass = sizeClassOf(sum(estimates))
 	j.sort()
 	j.account.addArrivals(now, j, 1)
@@ -200,7 +200,7 @@
 	q.waiting -= len(waiting)
 	q.bytes -= j.Bytes
 	for _, index := range waiting {
-		q.addWork(j, -j.Shown[index])
+		q.addWork(j, -j.AdmissionEstimates[index])
 	}
 	q.ages.Remove(j)
 	q.deadlines.Remove(j)
@@ -245,24 +245,24 @@
 // Work returns the total run time that counts for the waiting tasks.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Standing is the load that a new job of one client would meet in the queue.
-type Standing struct {
+// ClientLoad is the load that a new job of one client would meet in the queue.
+type ClientLoad struct {
 	// Idle is true if no task of the client is waiting.
 	Idle bool
 	// Ahead is the run time that counts for the client's waiting tasks in jobs of the same size
 	// class or smaller, which go first.
 	Ahead time.Duration
-	// SmallerRate is the rate at which work of the client's smaller jobs arrives, in seconds of
+	// SmallerArrivalRate is the rate at which work of the client's smaller jobs arrives, in seconds of
 	// work per second: these jobs will go first too.
-	SmallerRate float64
-	// Share is the share of the service that the client's weight gives it among the clients
+	SmallerArrivalRate float64
+	// FairShare is the share of the service that the client's weight gives it among the clients
 	// with waiting tasks, itself included.
-	Share float64
-	// OthersRate is the number of slots that all other clients use.
-	OthersRate float64
+	FairShare float64
+	// OthersSlots is the number of slots that all other clients use.
+	OthersSlots float64
 }
 
-// Standing returns the load that a job of the client with the given expected work would meet.
-func (q *Queue) Standing(now time.Time, client string, weight float64, work time.Duration) Standing {
+// ClientLoad returns the load that a job of the client with the given expected work would meet.
+func (q *Queue) ClientLoad(now time.Time, client string, weight float64, work time.Duration) ClientLoad {
 	return q.shares.clientLoad(now, client, weight, work)
 }
--- a/dispatch/queue/queue_test.go
+++ b/dispatch/queue/queue_test.go
@@ -15,7 +15,7 @@
 func newJob(id, client string, accepted time.Time, tasks int) *queue.Job {
 	j := &queue.Job{
 		ID:        id,
-		Customer:  client,
+		Client:    client,
 		Weight:    1,
 		Accepted:  accepted,
 		Deadline:  accepted.Add(10 * time.Second),
@@ -74,7 +74,7 @@
 // against new jobs must be as if that had been known from the start.
 func TestEstimateAgain(t *testing.T) {
 	now := origin.Add(time.Second)
-	loads := map[bool]queue.Standing{}
+	loads := map[bool]queue.ClientLoad{}
 	for _, known := range []bool{false, true} {
 		q := queue.New(queue.Options{})
 		short := newJob("short", "c", origin, 4)
@@ -93,9 +93,9 @@
 		}
 		assert.Equal(t, q.Peek(now), long)
 		assert.Equal(t, q.Work(), 600*time.Millisecond)
-		loads[known] = q.Standing(now, "c", 1, time.Second)
+		loads[known] = q.ClientLoad(now, "c", 1, time.Second)
 	}
-	off := loads[false].SmallerRate - loads[true].SmallerRate
+	off := loads[false].SmallerArrivalRate - loads[true].SmallerArrivalRate
 	assert.Assert(t, math.Abs(off) < 1e-9, "%v", loads)
 	assert.Equal(t, loads[false].Ahead, loads[true].Ahead)
 }
@@ -111,8 +111,8 @@
 		started = append(started, q.Start(origin, j))
 	}
 	for i, index := range started {
-		assert.Equal(t, q.Standing(origin, "c", 1, time.Second).OthersRate, float64(5-i))
-		assert.Equal(t, q.Standing(origin, "other", 1, time.Second).OthersRate, 0.0)
+		assert.Equal(t, q.ClientLoad(origin, "c", 1, time.Second).OthersSlots, float64(5-i))
+		assert.Equal(t, q.ClientLoad(origin, "other", 1, time.Second).OthersSlots, 0.0)
 		q.Finish(origin, j, index, 0)
 	}
 }
--- a/dispatch/queue/shares.go
+++ b/dispatch/queue/shares.go
@@ -83,7 +83,7 @@
 }
 
 func newShares(o Options) shares {
-	return shares{fair: !o.Unfair, slack: o.Slack, accounts: map[string]*account{}}
+	return shares{fair: !o.NoFairQueueing, slack: o.Slack, accounts: map[string]*account{}}
 }
 
 // account returns the client's account and sets its current weight. The number of accounts is
@@ -113,7 +113,7 @@
 // addArrivals adds the job's arrivals to its size class, decayed to now and multiplied by times.
 func (a *account) addArrivals(now time.Time, j *Job, times float64) {
 	decayed := math.Exp2(-now.Sub(j.added).Seconds() / a.halfLife.Seconds())
-	a.arrived[j.sizeClass].Add(now, a.halfLife, times*decayed*sum(j.Shown).Seconds())
+	a.arrived[j.sizeClass].Add(now, a.halfLife, times*decayed*sum(j.AdmissionEstimates).Seconds())
 }
 
 func sum(times []time.Duration) time.Duration {
@@ -244,7 +244,7 @@
 	s.startedTasks += tasks
 }
 
-func (s *shares) clientLoad(now time.Time, client string, weight float64, work time.Duration) Standing {
+func (s *shares) clientLoad(now time.Time, client string, weight float64, work time.Duration) ClientLoad {
 	weights := weight
 	own := s.accounts[client]
 	for _, a := range s.active {
@@ -252,7 +252,7 @@
 			weights += a.weight
 		}
 	}
-	load := Standing{Share: weight / weights, OthersRate: s.othersRate(now, own), Idle: true}
+	load := ClientLoad{FairShare: weight / weights, OthersSlots: s.othersRate(now, own), Idle: true}
 	if own == nil {
 		return load
 	}
@@ -260,10 +260,10 @@
 	class := sizeClassOf(work)
 	for i := range class {
 		load.Ahead += own.work[i]
-		load.SmallerRate += max(0, own.arrived[i].Rate(now, own.halfLife))
+		load.SmallerArrivalRate += max(0, own.arrived[i].Rate(now, own.halfLife))
 	}
 	load.Ahead += own.work[class]
-	load.SmallerRate += max(0, own.arrived[class].Rate(now, own.halfLife)) / 2
+	load.SmallerArrivalRate += max(0, own.arrived[class].Rate(now, own.halfLife)) / 2
 	return load
 }
 
--- a/dispatch/retry/retry.go
+++ b/dispatch/retry/retry.go
@@ -4,17 +4,17 @@
 
 // Defaults of Options.
 const (
-	DefaultShare   = 0.1
-	DefaultReserve = 100
+	DefaultTokensPerCompletion = 0.1
+	DefaultMaxTokens           = 100
 )
 
 // Options configures a Budget; zero values select the defaults.
 type Options struct {
-	// Share is the number of retries that one completion earns.
-	Share float64
-	// Reserve is the maximum number of retries that can be saved up, and the initial
+	// TokensPerCompletion is the number of retries that one completion earns.
+	TokensPerCompletion float64
+	// MaxTokens is the maximum number of retries that can be saved up, and the initial
 	// balance of a budget.
-	Reserve float64
+	MaxTokens float64
 }
 
 // Budget is the balance of retries that may still be made. Without it, an overload in
@@ -29,13 +29,13 @@
 
 // New returns a budget with its maximum balance.
 func New(o Options) *Budget {
-	if o.Share == 0 {
-		o.Share = DefaultShare
+	if o.TokensPerCompletion == 0 {
+		o.TokensPerCompletion = DefaultTokensPerCompletion
 	}
-	if o.Reserve == 0 {
-		o.Reserve = DefaultReserve
+	if o.MaxTokens == 0 {
+		o.MaxTokens = DefaultMaxTokens
 	}
-	return &Budget{tokensPerCompletion: o.Share, maxTokens: o.Reserve, tokens: o.Reserve}
+	return &Budget{tokensPerCompletion: o.TokensPerCompletion, maxTokens: o.MaxTokens, tokens: o.MaxTokens}
 }
 
 // Earn records one completion.
--- a/dispatch/retry/retry_test.go
+++ b/dispatch/retry/retry_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestBudget(t *testing.T) {
-	b := retry.New(retry.Options{Share: 0.25, Reserve: 2})
+	b := retry.New(retry.Options{TokensPerCompletion: 0.25, MaxTokens: 2})
 	spent := func() (n int) {
 		for b.Spend() {
 			n++
--- a/dispatch/scheduler/bench_test.go
+++ b/dispatch/scheduler/bench_test.go
@@ -28,7 +28,7 @@
 
 func benchmarkStartAndEnd(b *testing.B, endpoints, clients int) {
 	const waiting, perJob = 20_000, 10
-	s := newScheduler(scheduler.Options{AdmitAll: true, Admission: admission.Options{MaxTasks: 2 * waiting}})
+	s := newScheduler(scheduler.Options{IgnoreLateness: true, Admission: admission.Options{MaxTasks: 2 * waiting}})
 	for i := range endpoints {
 		s.SetEndpoint(start, scheduler.Endpoint{ID: scheduler.EndpointID(strconv.Itoa(i)), Slots: 8})
 	}
@@ -36,7 +36,7 @@
 	admit := func() {
 		jobs++
 		job := newJob(strconv.Itoa(jobs), perJob)
-		job.Customer = strconv.Itoa(jobs % clients)
+		job.Client = strconv.Itoa(jobs % clients)
 		job.Accepted, job.Deadline = now, now.Add(time.Hour)
 		if err := s.Admit(now, job); err != nil {
 			b.Fatal(err)
@@ -53,7 +53,7 @@
 		a := open[i%len(open)]
 		version++
 		s.ApplyReport(now, a.Endpoint, scheduler.Report{Version: version, Slots: 8})
-		s.Done(now, a, scheduler.Result{Verdict: scheduler.Completed, RunTime: 200 * time.Millisecond})
+		s.Done(now, a, scheduler.Result{Outcome: scheduler.Completed, RunTime: 200 * time.Millisecond})
 		next, ok := s.Next(now)
 		if !ok {
 			b.Fatal("no task to start")
--- a/dispatch/scheduler/decide.go
+++ b/dispatch/scheduler/decide.go
@@ -27,7 +27,7 @@
 	timers    *indexed.Heap[*endpoint]
 	dueProbes []*endpoint
 
-	admissionGate   *admission.Gate
+	admissionGate   *admission.Controller
 	runTimes        *estimate.Table
 	provisionalJobs provisionalJobs
 	// retest holds, by client, the retest schedule of clients whose jobs were rejected
@@ -67,7 +67,7 @@
 	avoid *endpoint
 }
 
-var _ Decider = (*Scheduler)(nil)
+var _ Policy = (*Scheduler)(nil)
 
 // New returns a Scheduler with no endpoints.
 func New(o Options, rng *rand.Rand) *Scheduler {
@@ -77,7 +77,7 @@
 		inFlight:        map[TaskRef]*attempt{},
 		endpoints:       map[EndpointID]*endpoint{},
 		queue:           queue.New(o.queue()),
-		candidates:      placement.New(placement.Options{Zone: o.Zone, Floor: o.floor(), Chooser: o.Placement}, rng),
+		candidates:      placement.New(placement.Options{DataCentre: o.DataCentre, MinInFlight: o.floor(), Chooser: o.Placement}, rng),
 		timers:          newTimerHeap(),
 		admissionGate:   admission.New(o.Admission, rng),
 		runTimes:        estimate.New(o.Estimate),
@@ -91,25 +91,25 @@
 // Admit implements Decider.
 func (s *Scheduler) Admit(now time.Time, job Job) error {
 	if s.jobs[job.ID] != nil {
-		return &Refusal{Err: ErrDuplicateJob}
+		return &AdmissionError{Err: ErrDuplicateJob}
 	}
 	s.updateCapacity(now)
 	state, demand := s.prepare(now, job)
 	load := s.load(now, state)
 	if s.usable == 0 {
-		return &Refusal{Err: ErrNoEndpoint, RetryAfter: s.admissionGate.RetryAfterNone()}
+		return &AdmissionError{Err: ErrNoEndpoint, RetryAfter: s.admissionGate.RetryAfterNoEndpoint()}
 	}
 	verdict, retryAfter := s.admissionGate.Decide(now, load, demand)
 	switch {
-	case verdict == admission.Full:
-		return &Refusal{Err: ErrQueueFull, RetryAfter: retryAfter}
-	case verdict == admission.TooLate && !s.opts.AdmitAll:
+	case verdict == admission.QueueFull:
+		return &AdmissionError{Err: ErrQueueFull, RetryAfter: retryAfter}
+	case verdict == admission.TooLate && !s.opts.IgnoreLateness:
 		retest, wait := s.retestDue(now, state, load, demand)
 		if wait > 0 {
 			retryAfter = wait
 		}
 		if !retest {
-			return &Refusal{Err: ErrBacklog, RetryAfter: retryAfter, Assessment: s.assess(load, demand)}
+			return &AdmissionError{Err: ErrBacklog, RetryAfter: retryAfter, Forecast: s.assess(load, demand)}
 		}
 	}
 	s.jobs[job.ID] = state
@@ -123,21 +123,21 @@
 }
 
 // assess returns the figures that explain why a job was rejected.
-func (s *Scheduler) assess(l admission.Load, d admission.Demand) *Assessment {
+func (s *Scheduler) assess(l admission.Load, d admission.Demand) *BacklogForecast {
 	forecast := s.admissionGate.Forecast(l, d)
-	return &Assessment{
-		Pending:    l.Waiting,
-		Open:       len(s.inFlight),
-		Slots:      l.Slots,
-		Rate:       forecast.Rate,
-		SetAside:   s.health.Aside(),
-		Work:       d.Work,
-		Longest:    d.Longest,
-		Ahead:      l.Ahead,
-		Learnt:     d.Learnt,
-		Drain:      forecast.Drain,
-		Allowed:    forecast.Allowed,
-		AnswerTime: d.AnswerTime,
+	return &BacklogForecast{
+		Queued:      l.Waiting,
+		InFlight:    len(s.inFlight),
+		UsableSlots: l.Slots,
+		ClientSlots: forecast.Slots,
+		Ejected:     s.health.Ejected(),
+		Work:        d.Work,
+		Longest:     d.Longest,
+		Ahead:       l.Ahead,
+		Learnt:      d.Learnt,
+		Drain:       forecast.Drain,
+		Allowed:     forecast.Allowed,
+		AnswerTime:  d.AnswerTime,
 	}
 }
 
@@ -145,40 +145,40 @@
 func (s *Scheduler) prepare(now time.Time, job Job) (*jobState, admission.Demand) {
 	state := &jobState{
 		Job: queue.Job{
-			ID:         string(job.ID),
-			Customer:   job.Customer,
-			Weight:     float64(max(1, job.Urgency)),
-			Accepted:   job.Accepted,
-			Deadline:   job.Deadline,
-			Bytes:      job.Bytes,
-			Idempotent: job.Idempotent,
-			Estimates:  make([]time.Duration, len(job.Tasks)),
-			Shown:      make([]time.Duration, len(job.Tasks)),
+			ID:                 string(job.ID),
+			Client:             job.Client,
+			Weight:             float64(max(1, job.Priority)),
+			Accepted:           job.Accepted,
+			Deadline:           job.Deadline,
+			Bytes:              job.Bytes,
+			Idempotent:         job.Idempotent,
+			Estimates:          make([]time.Duration, len(job.Tasks)),
+			AdmissionEstimates: make([]time.Duration, len(job.Tasks)),
 		},
 		kinds:    make([]string, len(job.Tasks)),
 		runLimit: job.RunLimit,
 	}
 	demand := admission.Demand{
-		Customer:   job.Customer,
+		Client:     job.Client,
 		Tasks:      len(job.Tasks),
 		Bytes:      job.Bytes,
 		Learnt:     true,
 		AnswerTime: job.Deadline.Sub(now),
 	}
 	for i, task := range job.Tasks {
-		e := s.runTimes.Estimate(job.Customer, task.Kind, task.Declared, job.RunLimit)
+		e := s.runTimes.Estimate(job.Client, task.Kind, task.Declared, job.RunLimit)
 		state.kinds[i] = task.Kind
 		state.Estimates[i] = e.Mean
-		state.Shown[i] = e.Shown
-		demand.Work += e.Shown
-		demand.Longest = max(demand.Longest, e.Shown+e.Deviation)
-		if !e.Learnt {
+		state.AdmissionEstimates[i] = e.Observed
+		demand.Work += e.Observed
+		demand.Longest = max(demand.Longest, e.Observed+e.Deviation)
+		if !e.FromSamples {
 			demand.Learnt = false
 			state.markProvisional(i, job.Tasks)
 		}
 	}
 	if demand.Learnt {
-		state.Shown = state.Estimates
+		state.AdmissionEstimates = state.Estimates
 	}
 	return state, demand
 }
@@ -190,7 +190,7 @@
 		j.declared = make([]time.Duration, len(tasks))
 	}
 	j.declared[index] = tasks[index].Declared
-	j.provisionalKinds[kindKey{j.Customer, tasks[index].Kind}] = struct{}{}
+	j.provisionalKinds[kindKey{j.Client, tasks[index].Kind}] = struct{}{}
 }
 
 func (s *Scheduler) load(now time.Time, state *jobState) admission.Load {
@@ -198,16 +198,16 @@
 	for _, estimate := range state.Estimates {
 		work += estimate
 	}
-	position := s.queue.Standing(now, state.Customer, state.Weight, work)
+	position := s.queue.ClientLoad(now, state.Client, state.Weight, work)
 	return admission.Load{
-		Waiting:     s.queue.Waiting(),
-		Bytes:       s.queue.Bytes(),
-		Slots:       s.capacity,
-		Idle:        position.Idle,
-		Ahead:       position.Ahead,
-		SmallerRate: position.SmallerRate,
-		Share:       position.Share,
-		OthersRate:  position.OthersRate,
+		Waiting:            s.queue.Waiting(),
+		Bytes:              s.queue.Bytes(),
+		Slots:              s.capacity,
+		Idle:               position.Idle,
+		Ahead:              position.Ahead,
+		SmallerArrivalRate: position.SmallerArrivalRate,
+		FairShare:          position.FairShare,
+		OthersSlots:        position.OthersSlots,
 	}
 }
 
@@ -238,7 +238,7 @@
 	if e == nil {
 		return Assignment{}, false
 	}
-	if e.health.Standing() != health.Slow {
+	if e.health.Status() != health.Slow {
 		return s.assign(now, job, s.queue.Start(now, &job.Job), e, false), true
 	}
 	if !s.toleratesSlowRun(job, e) {
@@ -257,7 +257,7 @@
 func (s *Scheduler) runTimers(now time.Time) {
 	for s.timers.Len() > 0 && !s.timers.Min().timerAt.After(now) {
 		e := s.timers.Pop()
-		if e.health.Standing().Aside() {
+		if e.health.Status().Ejected() {
 			s.dueProbes = append(s.dueProbes, e)
 			continue
 		}
@@ -271,7 +271,7 @@
 // is used.
 func (s *Scheduler) probeTarget(now time.Time, job *jobState) *endpoint {
 	for _, e := range s.dueProbes {
-		if e.canProbe() && (s.toleratesFailedProbe(job, e) || !e.health.OverdueAt().After(now)) {
+		if e.canProbe() && (s.toleratesFailedProbe(job, e) || !e.health.ProbeOverdueAt().After(now)) {
 			return e
 		}
 	}
@@ -281,7 +281,7 @@
 // toleratesFailedProbe reports whether a failed probe would do the job little harm. A
 // task that failed can be retried if it is idempotent.
 func (s *Scheduler) toleratesFailedProbe(job *jobState, e *endpoint) bool {
-	if e.health.Standing() == health.Failing {
+	if e.health.Status() == health.EjectedFailing {
 		return job.Idempotent
 	}
 	return s.toleratesSlowRun(job, e)
@@ -291,7 +291,7 @@
 // speed without delaying the job, because the job's longest task or the wait of its
 // other tasks for slots takes at least as long.
 func (s *Scheduler) toleratesSlowRun(job *jobState, e *endpoint) bool {
-	run := job.Shortest().Seconds() / e.health.Pace()
+	run := job.Shortest().Seconds() / e.health.RelativeSpeed()
 	rest := job.Work().Seconds() / max(1, s.capacity)
 	return run <= max(job.Longest().Seconds(), rest)
 }
@@ -317,7 +317,7 @@
 
 // evaluate updates the endpoint's health status and reports whether it changed.
 func (s *Scheduler) evaluate(now time.Time, e *endpoint) bool {
-	changed, readmitted := s.health.Judge(now, e.health, e.overdue(now), s.runTimes.Mean())
+	changed, readmitted := s.health.Evaluate(now, e.health, e.overdue(now), s.runTimes.Mean())
 	if !changed {
 		return false
 	}
@@ -330,9 +330,9 @@
 
 // refresh updates the endpoint's placement state and timer to match its health status.
 func (s *Scheduler) refresh(now time.Time, e *endpoint) {
-	s.candidates.Hold(e.candidate, e.removed || e.excluded(now))
-	s.candidates.SetPace(e.candidate, e.speed())
-	s.candidates.SetTrial(e.candidate, e.health.Standing() == health.Suspect)
+	s.candidates.SetExcluded(e.candidate, e.removed || e.excluded(now))
+	s.candidates.SetSlotWeight(e.candidate, e.speed())
+	s.candidates.SetProbing(e.candidate, e.health.Status() == health.Suspect)
 	s.timers.Remove(e)
 	s.dueProbes = slices.DeleteFunc(s.dueProbes, func(p *endpoint) bool { return p == e })
 	if e.removed {
@@ -349,7 +349,7 @@
 		index:    index,
 		endpoint: e,
 		at:       now,
-		expected: job.Shown[index],
+		expected: job.AdmissionEstimates[index],
 		probe:    probe,
 	}
 	ref := TaskRef{Job: JobID(job.ID), Index: index}
@@ -357,9 +357,9 @@
 	job.inFlight++
 	job.avoid = nil
 	e.add(started)
-	s.candidates.Open(e.candidate)
+	s.candidates.CountStart(e.candidate)
 	if probe {
-		s.health.Probe(e.health)
+		s.health.ProbeStarted(e.health)
 		s.refresh(now, e)
 	}
 	return Assignment{
@@ -368,6 +368,6 @@
 		TasksLeft: job.Left(),
 		Expected:  max(started.expected, s.runTimes.Mean()),
 		Probe:     probe,
-		At:        now,
+		DecidedAt: now,
 	}
 }
--- a/dispatch/scheduler/endpoint.go
+++ b/dispatch/scheduler/endpoint.go
@@ -48,11 +48,11 @@
 // it ended.
 func (s *attempt) healthTask(run time.Duration) health.Task {
 	return health.Task{
-		Job:      s.job.ID,
-		Customer: s.job.Customer,
-		Began:    s.at,
-		Expected: s.expected,
-		Used:     run,
+		Job:       s.job.ID,
+		Client:    s.job.Client,
+		StartedAt: s.at,
+		Expected:  s.expected,
+		RunTime:   run,
 	}
 }
 
@@ -92,23 +92,23 @@
 
 // excluded reports whether the endpoint receives no ordinary tasks now.
 func (e *endpoint) excluded(now time.Time) bool {
-	return e.health.Standing().Aside() || e.backoffUntil.After(now)
+	return e.health.Status().Ejected() || e.backoffUntil.After(now)
 }
 
 // canProbe reports whether a due probe can start. A probe runs only while nothing else
 // is in flight there, so that its outcome can be attributed to it alone.
-func (e *endpoint) canProbe() bool { return len(e.inFlight) == 0 && !e.candidate.Barred() }
+func (e *endpoint) canProbe() bool { return len(e.inFlight) == 0 && !e.candidate.Unavailable() }
 
 // speed returns the factor by which the endpoint's slots count as capacity. The short
 // backoff after a refusal doesn't reduce it: if all endpoints backed off at once,
 // admission would see a service without slots and reject jobs that would complete in
 // time.
 func (e *endpoint) speed() float64 {
-	if e.removed || e.health.Standing().Aside() {
+	if e.removed || e.health.Status().Ejected() {
 		return 0
 	}
-	if e.health.Standing() == health.Slow {
-		return min(1, e.health.Pace())
+	if e.health.Status() == health.Slow {
+		return min(1, e.health.RelativeSpeed())
 	}
 	return 1
 }
@@ -119,11 +119,11 @@
 // reevaluateInterval.
 func (e *endpoint) nextTimer(now time.Time) time.Time {
 	switch {
-	case e.health.Standing().Aside():
+	case e.health.Status().Ejected():
 		return later(e.health.ProbeAt(), e.backoffUntil)
 	case e.backoffUntil.After(now):
 		return e.backoffUntil
-	case e.health.Standing() != health.Steady:
+	case e.health.Status() != health.Healthy:
 		return now.Add(reevaluateInterval)
 	}
 	return time.Time{}
--- a/dispatch/scheduler/guess.go
+++ b/dispatch/scheduler/guess.go
@@ -53,9 +53,9 @@
 // be rejected, and jobs declared too short would let in more than can be answered. This
 // happens at most twice per kind.
 func (s *Scheduler) learn(now time.Time, job *jobState, index int, run time.Duration) {
-	k := kindKey{job.Customer, job.kinds[index]}
+	k := kindKey{job.Client, job.kinds[index]}
 	s.resetRetested(job, k.kind)
-	if !s.runTimes.Learn(k.client, k.kind, run) {
+	if !s.runTimes.Add(k.client, k.kind, run) {
 		return
 	}
 	for _, queued := range s.provisionalJobs.jobs(k) {
@@ -68,21 +68,21 @@
 // are evaluated by it.
 func (s *Scheduler) reestimate(now time.Time, job *jobState, kind string) {
 	estimates := slices.Clone(job.Estimates)
-	shown := slices.Clone(job.Shown)
+	shown := slices.Clone(job.AdmissionEstimates)
 	learnt := false
 	for i, of := range job.kinds {
 		if of != kind {
 			continue
 		}
-		e := s.runTimes.Estimate(job.Customer, kind, job.declared[i], job.runLimit)
-		estimates[i], shown[i], learnt = e.Mean, e.Shown, e.Learnt
+		e := s.runTimes.Estimate(job.Client, kind, job.declared[i], job.runLimit)
+		estimates[i], shown[i], learnt = e.Mean, e.Observed, e.FromSamples
 		if started := s.inFlight[TaskRef{Job: JobID(job.ID), Index: i}]; started != nil {
-			started.expected = e.Shown
+			started.expected = e.Observed
 		}
 	}
 	s.queue.Estimate(now, &job.Job, estimates, shown)
 	if learnt {
-		k := kindKey{job.Customer, kind}
+		k := kindKey{job.Client, kind}
 		delete(job.provisionalKinds, k)
 		s.provisionalJobs.drop(k, job)
 	}
--- a/dispatch/scheduler/machine_test.go
+++ b/dispatch/scheduler/machine_test.go
@@ -69,11 +69,11 @@
 func (m *machine) SetEndpoint(t *rapid.T) {
 	id := scheduler.EndpointID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
 	e := scheduler.Endpoint{
-		ID:       id,
-		Zone:     rapid.SampledFrom([]string{"", "far"}).Draw(t, "zone"),
-		Slots:    rapid.IntRange(0, 3).Draw(t, "slots"),
-		OwnLimit: rapid.IntRange(0, 2).Draw(t, "own limit"),
-		Leaving:  rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
+		ID:         id,
+		DataCentre: rapid.SampledFrom([]string{"", "far"}).Draw(t, "zone"),
+		Slots:      rapid.IntRange(0, 3).Draw(t, "slots"),
+		EntryLimit: rapid.IntRange(0, 2).Draw(t, "own limit"),
+		Draining:   rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
 	}
 	m.s.SetEndpoint(m.now, e)
 	if m.endpoints[id] == nil {
@@ -114,16 +114,16 @@
 	id := rapid.SampledFrom(slices.Sorted(maps.Keys(m.endpoints))).Draw(t, "id")
 	e := m.endpoints[id]
 	r := scheduler.Report{
-		Version:    rapid.Uint64Range(1, 20).Draw(t, "version"),
-		OthersOpen: rapid.IntRange(0, 4).Draw(t, "others"),
-		Slots:      rapid.IntRange(0, 3).Draw(t, "slots"),
-		Leaving:    rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
+		Version:        rapid.Uint64Range(1, 20).Draw(t, "version"),
+		OthersInFlight: rapid.IntRange(0, 4).Draw(t, "others"),
+		Slots:          rapid.IntRange(0, 3).Draw(t, "slots"),
+		Draining:       rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
 	}
 	m.s.ApplyReport(m.now, id, r)
 	if r.Version <= e.version {
 		return
 	}
-	e.version, e.others, e.Leaving = r.Version, r.OthersOpen, r.Leaving
+	e.version, e.others, e.Draining = r.Version, r.OthersInFlight, r.Draining
 	if r.Slots > 0 {
 		e.Slots = r.Slots
 	}
@@ -132,8 +132,8 @@
 func (m *machine) Admit(t *rapid.T) {
 	m.lastID++
 	job := newJob(fmt.Sprint(m.lastID), rapid.IntRange(1, 8).Draw(t, "tasks"))
-	job.Customer = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "customer")
-	job.Urgency = rapid.IntRange(1, 3).Draw(t, "urgency")
+	job.Client = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "customer")
+	job.Priority = rapid.IntRange(1, 3).Draw(t, "urgency")
 	job.Idempotent = len(job.Tasks) == 1
 	job.Accepted = m.now
 	job.Deadline = m.now.Add(time.Duration(rapid.Int64Range(1e9, 20e9).Draw(t, "answer time")))
@@ -143,7 +143,7 @@
 		job.Tasks[i].Kind = rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "kind")
 	}
 	err := m.s.Admit(m.now, job)
-	var refusal *scheduler.Refusal
+	var refusal *scheduler.AdmissionError
 	if errors.As(err, &refusal) {
 		assert.Assert(t, refusal.RetryAfter > 0)
 		return
@@ -176,11 +176,11 @@
 	assert.Equal(t, a.TasksLeft, job.left)
 	delete(job.waiting, a.Task.Index)
 	e := m.endpoints[a.Endpoint]
-	assert.Assert(t, e != nil && !e.Leaving && e.Slots > 0, "endpoint accepts no tasks: %+v", e)
+	assert.Assert(t, e != nil && !e.Draining && e.Slots > 0, "endpoint accepts no tasks: %+v", e)
 	ownInFlight := m.ownInFlight(a.Endpoint)
-	assert.Assert(t, e.OwnLimit == 0 || ownInFlight < e.OwnLimit, "over the own limit of the entry")
+	assert.Assert(t, e.EntryLimit == 0 || ownInFlight < e.EntryLimit, "over the own limit of the entry")
 	free := ownInFlight+e.others < e.Slots
-	assert.Assert(t, free || ownInFlight < scheduler.DefaultFloor || a.Probe && ownInFlight == 0, "no free slot: %+v", e)
+	assert.Assert(t, free || ownInFlight < scheduler.DefaultMinInFlight || a.Probe && ownInFlight == 0, "no free slot: %+v", e)
 	m.open = append(m.open, a)
 	return true
 }
@@ -191,7 +191,7 @@
 	}
 	for range rapid.IntRange(1, len(m.open)).Draw(t, "ends") {
 		i := rapid.IntRange(0, len(m.open)-1).Draw(t, "which")
-		verdict := scheduler.Verdict(rapid.IntRange(0, int(scheduler.Cancelled)).Draw(t, "verdict"))
+		verdict := scheduler.Outcome(rapid.IntRange(0, int(scheduler.Cancelled)).Draw(t, "verdict"))
 		if m.open[i].Endpoint == "a" {
 			// One endpoint fails everything, so that it is ejected and probed.
 			verdict = scheduler.Failed
@@ -200,11 +200,11 @@
 	}
 }
 
-func (m *machine) done(t *rapid.T, i int, verdict scheduler.Verdict) {
+func (m *machine) done(t *rapid.T, i int, verdict scheduler.Outcome) {
 	a := m.open[i]
 	m.open = slices.Delete(m.open, i, i+1)
 	m.ended = append(m.ended, a)
-	requeued := m.s.Done(m.now, a, scheduler.Result{Verdict: verdict})
+	requeued := m.s.Done(m.now, a, scheduler.Result{Outcome: verdict})
 	job := m.jobs[a.Task.Job]
 	if requeued {
 		assert.Assert(t, job != nil, "requeued a task of a job that is gone")
@@ -230,11 +230,11 @@
 	}
 	a := rapid.SampledFrom(m.ended).Draw(t, "which")
 	for _, open := range m.open {
-		if open.Task == a.Task && open.Endpoint == a.Endpoint && open.At.Equal(a.At) {
+		if open.Task == a.Task && open.Endpoint == a.Endpoint && open.DecidedAt.Equal(a.DecidedAt) {
 			t.Skip("the same assignment at the same time")
 		}
 	}
-	assert.Assert(t, !m.s.Done(m.now, a, scheduler.Result{Verdict: scheduler.Refused}))
+	assert.Assert(t, !m.s.Done(m.now, a, scheduler.Result{Outcome: scheduler.Refused}))
 }
 
 func (m *machine) Drop(t *rapid.T) {
@@ -269,21 +269,21 @@
 
 // Check compares the counts after every step.
 func (m *machine) Check(t *rapid.T) {
-	b := m.s.Backlog()
+	b := m.s.Stats()
 	var bytes int64
 	for _, job := range m.jobs {
 		bytes += job.Bytes
 	}
 	assert.Equal(t, b.Jobs, len(m.jobs))
-	assert.Equal(t, b.Waiting, m.waiting())
-	assert.Equal(t, b.Open, len(m.open))
+	assert.Equal(t, b.Queued, m.waiting())
+	assert.Equal(t, b.InFlight, len(m.open))
 	assert.Equal(t, b.Bytes, bytes)
 	assert.Equal(t, b.Endpoints, len(m.endpoints))
 	maxEjected := m.usable() / 3
 	if m.usable() == 2 {
 		maxEjected = 1
 	}
-	assert.Assert(t, b.SetAside <= maxEjected, "%d of %d ejected", b.SetAside, m.usable())
+	assert.Assert(t, b.Ejected <= maxEjected, "%d of %d ejected", b.Ejected, m.usable())
 }
 
 func (m *machine) ownInFlight(id scheduler.EndpointID) int {
@@ -300,7 +300,7 @@
 func (m *machine) usable() int {
 	n := 0
 	for _, e := range m.endpoints {
-		if !e.Leaving && e.Slots > 0 {
+		if !e.Draining && e.Slots > 0 {
 			n++
 		}
 	}
@@ -334,7 +334,7 @@
 		if progress || m.waiting() == 0 {
 			continue
 		}
-		wake := m.s.Wake(m.now)
+		wake := m.s.NextWakeup(m.now)
 		assert.Assert(t, wake.After(m.now), "tasks are queued, none is in flight and no wake-up is due")
 		assert.Assert(t, !usable || wake.Sub(m.now) <= maxRefusalBackoff, "starved for %v", wake.Sub(m.now))
 		m.now = wake
--- a/dispatch/scheduler/model_new_entry_test.go
+++ b/dispatch/scheduler/model_new_entry_test.go
@@ -17,7 +17,7 @@
 func (m *model) keepBusy(e *modelEntry, run time.Duration, tasks func() int, done func(took time.Duration, ok bool)) {
 	m.jobs++
 	j := &modelJob{left: tasks(), ideal: run}
-	j.Job = scheduler.Job{ID: scheduler.JobID(strconv.Itoa(m.jobs)), Customer: "0", Urgency: 1, RunLimit: 10 * time.Second}
+	j.Job = scheduler.Job{ID: scheduler.JobID(strconv.Itoa(m.jobs)), Client: "0", Priority: 1, RunLimit: 10 * time.Second}
 	for range j.left {
 		j.runs = append(j.runs, run)
 		j.Tasks = append(j.Tasks, scheduler.Task{Kind: "0"})
@@ -70,7 +70,7 @@
 		crowd.Entries = 16
 		longest, answered = newEntryLatency(crowd, 200, 2, single)
 		assert.Assert(t, longest < time.Second, "%v, %d answered", longest, answered)
-		few.Variant = baseline.Variant{Floor: ptr(0)}
+		few.Variant = baseline.Variant{MinInFlight: ptr(0)}
 		longest, answered = newEntryLatency(few, 24, 2, mixed)
 		assert.Assert(t, longest > 5*time.Second, "%v, %d answered", longest, answered)
 	}
--- a/dispatch/scheduler/model_test.go
+++ b/dispatch/scheduler/model_test.go
@@ -23,7 +23,7 @@
 	modelLatency = 500 * time.Microsecond
 	modelSlots   = 8
 	modelWarmUp  = 20 * time.Second
-	// modelOvertaken mirrors slots.MaxOvertaken of the guard.
+	// modelOvertaken mirrors slots.MaxBypassed of the guard.
 	modelOvertaken = 8
 	allClients     = -1
 )
@@ -158,7 +158,7 @@
 	queue   []*modelStart
 	open    []int // by entry
 	version uint64
-	past    scheduler.Past
+	past    scheduler.OutcomeCounts
 	// failures holds the jobs that failed since the last success, with the time at
 	// which the failed task began.
 	failures map[*modelJob]time.Time
@@ -293,13 +293,13 @@
 	j := &modelJob{left: n}
 	j.Job = scheduler.Job{
 		ID:         scheduler.JobID(strconv.Itoa(m.jobs)),
-		Customer:   strconv.Itoa(client),
-		Urgency:    1,
+		Client:     strconv.Itoa(client),
+		Priority:   1,
 		RunLimit:   10 * time.Second,
 		Idempotent: n == 1 && !m.OnceOnly,
 	}
 	if client < m.Urgent {
-		j.Urgency = 5
+		j.Priority = 5
 	}
 	for range n {
 		kind := m.rng.IntN(3)
@@ -324,7 +324,7 @@
 		m.result.submitted++
 	}
 	err := e.s.Admit(m.now, j.Job)
-	var refusal *scheduler.Refusal
+	var refusal *scheduler.AdmissionError
 	if errors.As(err, &refusal) {
 		if measured {
 			m.result.rejected++
@@ -356,11 +356,11 @@
 		j := e.jobs[a.Task.Job]
 		i, _ := strconv.Atoi(string(a.Endpoint))
 		g := m.guards[i]
-		st := &modelStart{entry: e, a: a, run: j.runs[a.Task.Index], urgency: j.Urgency, job: j}
+		st := &modelStart{entry: e, a: a, run: j.runs[a.Task.Index], urgency: j.Priority, job: j}
 		m.result.starts++
 		m.after(modelLatency, func() { g.receive(st) })
 	}
-	wake := e.s.Wake(m.now)
+	wake := e.s.NextWakeup(m.now)
 	if wake.IsZero() || !e.timerAt.IsZero() && !wake.Before(e.timerAt) && e.timerAt.After(m.now) {
 		return
 	}
@@ -373,12 +373,12 @@
 	e.s.ApplyReport(m.now, a.Endpoint, report)
 	j := e.jobs[a.Task.Job]
 	if j == nil {
-		r.Verdict = scheduler.Cancelled
+		r.Outcome = scheduler.Cancelled
 	}
 	requeued := e.s.Done(m.now, a, r)
 	switch {
 	case j == nil || requeued:
-	case r.Verdict != scheduler.Completed:
+	case r.Outcome != scheduler.Completed:
 		e.s.Drop(j.ID)
 		delete(e.jobs, j.ID)
 		if !m.alwaysFails(j) {
@@ -400,13 +400,13 @@
 // others.
 func (m *model) protects(j *modelJob) bool {
 	if m.Urgent > 0 {
-		return j.Urgency > 1
+		return j.Priority > 1
 	}
-	return j.Customer != strconv.Itoa(m.Customers)
+	return j.Client != strconv.Itoa(m.Customers)
 }
 
 // alwaysFails reports whether the job's client is the one whose tasks fail everywhere.
-func (m *model) alwaysFails(j *modelJob) bool { return j.Customer == strconv.Itoa(m.Customers+1) }
+func (m *model) alwaysFails(j *modelJob) bool { return j.Client == strconv.Itoa(m.Customers+1) }
 
 func (m *model) record(j *modelJob) {
 	if !m.measured(j.Accepted) {
@@ -428,7 +428,7 @@
 func (g *modelGuard) receive(st *modelStart) {
 	if g.m.Bound > 0 && g.running >= modelSlots && len(g.queue) >= g.m.Bound {
 		g.m.result.refusals++
-		g.answer(st, scheduler.Result{Verdict: scheduler.Refused})
+		g.answer(st, scheduler.Result{Outcome: scheduler.Refused})
 		return
 	}
 	g.open[st.entry.id]++
@@ -460,7 +460,7 @@
 		r := g.result(st)
 		began := g.m.now
 		g.m.after(r.RunTime, func() {
-			g.count(st, began, r.Verdict)
+			g.count(st, began, r.Outcome)
 			g.running--
 			g.open[st.entry.id]--
 			g.version++
@@ -489,14 +489,14 @@
 	faulty := g.faulty && !g.m.now.Before(start.Add(time.Duration(g.m.FaultAt)*time.Second))
 	switch {
 	case g.m.alwaysFails(st.job), faulty && g.m.Failing:
-		return scheduler.Result{Verdict: scheduler.Failed, RunTime: time.Millisecond}
+		return scheduler.Result{Outcome: scheduler.Failed, RunTime: time.Millisecond}
 	case faulty:
-		return scheduler.Result{Verdict: scheduler.Completed, RunTime: time.Duration(float64(st.run) * g.m.Pace)}
+		return scheduler.Result{Outcome: scheduler.Completed, RunTime: time.Duration(float64(st.run) * g.m.Pace)}
 	}
-	return scheduler.Result{Verdict: scheduler.Completed, RunTime: st.run}
+	return scheduler.Result{Outcome: scheduler.Completed, RunTime: st.run}
 }
 
-func (g *modelGuard) count(st *modelStart, began time.Time, v scheduler.Verdict) {
+func (g *modelGuard) count(st *modelStart, began time.Time, v scheduler.Outcome) {
 	if v == scheduler.Failed {
 		g.past.Failed++
 		g.failures[st.job] = began
@@ -504,16 +504,16 @@
 		g.past.Completed++
 		maps.DeleteFunc(g.failures, func(_ *modelJob, failed time.Time) bool { return failed.Before(began) })
 	}
-	g.past.FailedInRow = 0
+	g.past.ConsecutiveFailedJobs = 0
 	for _, n := range g.failuresByClient() {
-		g.past.FailedInRow += min(2, n)
+		g.past.ConsecutiveFailedJobs += min(2, n)
 	}
 }
 
 func (g *modelGuard) failuresByClient() map[string]int {
 	count := map[string]int{}
 	for j := range g.failures {
-		count[j.Customer]++
+		count[j.Client]++
 	}
 	return count
 }
@@ -531,9 +531,9 @@
 		}
 	}
 	g.version++
-	r := scheduler.Report{Version: g.version, OthersOpen: others, Slots: modelSlots}
+	r := scheduler.Report{Version: g.version, OthersInFlight: others, Slots: modelSlots}
 	if !g.m.Mute {
-		r.Past = g.past
+		r.Outcomes = g.past
 	}
 	return r
 }
@@ -542,7 +542,7 @@
 func (g *modelGuard) sendReports() {
 	for _, e := range g.m.entries {
 		if g.faulty && g.m.now.After(start.Add(modelWarmUp)) {
-			g.m.result.ejected += e.s.Backlog().SetAside
+			g.m.result.ejected += e.s.Stats().Ejected
 		}
 		report := g.report(e)
 		g.m.after(modelLatency, func() {
--- a/dispatch/scheduler/options.go
+++ b/dispatch/scheduler/options.go
@@ -14,17 +14,17 @@
 
 // Defaults of Options.
 const (
-	DefaultFloor     = 1
-	DefaultFairSlack = 500 * time.Millisecond
-	DefaultAgeing    = 0.5
+	DefaultMinInFlight   = 1
+	DefaultFairnessSlack = 500 * time.Millisecond
+	DefaultAgeing        = 0.5
 )
 
 // Values of Options that disable a rule. They are negative because zero selects the
 // default.
 const (
-	NoFloor     = -1
-	NoFairSlack = -1
-	NoAgeing    = -1
+	NoMinInFlight   = -1
+	NoFairnessSlack = -1
+	NoAgeing        = -1
 )
 
 // Limits of the backoff after an endpoint refused a task.
@@ -54,11 +54,11 @@
 
 // Options configures a Scheduler. The zero value is the production configuration.
 type Options struct {
-	// Zone is the data centre of this entry.
-	Zone string
-	// Floor is the minimum number of tasks that this entry may always have in flight on
-	// a guard's endpoint, whatever the reports say; NoFloor for none.
-	Floor int
+	// DataCentre is the data centre of this entry.
+	DataCentre string
+	// MinInFlight is the minimum number of tasks that this entry may always have in flight on
+	// a guard's endpoint, whatever the reports say; NoMinInFlight for none.
+	MinInFlight int
 	// Placement chooses endpoints; nil selects placement.KnownFree.
 	Placement placement.Chooser
 	// Order sorts jobs; nil selects queue.LeastWork.
@@ -66,14 +66,14 @@
 	// Ageing is the fraction of its answer time after which a job alternates with the
 	// first job of the order; NoAgeing disables this.
 	Ageing float64
-	// Unfair disables fair queueing between clients.
-	Unfair bool
-	// FairSlack is how far a client may be ahead of its fair share; NoFairSlack
+	// DisableFairQueueing disables fair queueing between clients.
+	DisableFairQueueing bool
+	// FairnessSlack is how far a client may be ahead of its fair share; NoFairnessSlack
 	// enforces the shares task by task.
-	FairSlack time.Duration
-	// AdmitAll rejects a job only when it exceeds the limits of the queue, not for its
+	FairnessSlack time.Duration
+	// IgnoreLateness rejects a job only when it exceeds the limits of the queue, not for its
 	// forecast lateness.
-	AdmitAll bool
+	IgnoreLateness bool
 
 	Admission admission.Options
 	Estimate  estimate.Options
@@ -83,22 +83,22 @@
 
 func (o Options) floor() int {
 	switch {
-	case o.Floor == 0:
-		return DefaultFloor
-	case o.Floor < 0:
+	case o.MinInFlight == 0:
+		return DefaultMinInFlight
+	case o.MinInFlight < 0:
 		return 0
 	}
-	return o.Floor
+	return o.MinInFlight
 }
 
 func (o Options) fairSlack() time.Duration {
 	switch {
-	case o.FairSlack == 0:
-		return DefaultFairSlack
-	case o.FairSlack < 0:
+	case o.FairnessSlack == 0:
+		return DefaultFairnessSlack
+	case o.FairnessSlack < 0:
 		return 0
 	}
-	return o.FairSlack
+	return o.FairnessSlack
 }
 
 func (o Options) ageing() float64 {
@@ -120,9 +120,9 @@
 
 func (o Options) queue() queue.Options {
 	return queue.Options{
-		Order:  o.Order,
-		Unfair: o.Unfair,
-		Slack:  o.fairSlack(),
-		Ageing: o.ageing(),
+		Order:          o.Order,
+		NoFairQueueing: o.DisableFairQueueing,
+		Slack:          o.fairSlack(),
+		Ageing:         o.ageing(),
 	}
 }
--- a/dispatch/scheduler/retest.go
+++ b/dispatch/scheduler/retest.go
@@ -27,13 +27,13 @@
 	if !d.Learnt || s.admissionGate.Feasible(l, d) {
 		return false, 0
 	}
-	r := s.retest[job.Customer]
+	r := s.retest[job.Client]
 	if r == nil {
 		r = &retest{interval: firstRetest}
-		s.retest[job.Customer] = r
+		s.retest[job.Client] = r
 	}
 	if now.Before(r.due) {
-		return false, s.admissionGate.Spread(r.due.Sub(now))
+		return false, s.admissionGate.AddJitter(r.due.Sub(now))
 	}
 	r.due = now.Add(r.interval)
 	r.interval = min(2*r.interval, maxRetest)
@@ -51,6 +51,6 @@
 		return
 	}
 	delete(job.retested, kind)
-	delete(s.retest, job.Customer)
-	s.runTimes.Forget(job.Customer, kind)
+	delete(s.retest, job.Client)
+	s.runTimes.Forget(job.Client, kind)
 }
--- a/dispatch/scheduler/retest_test.go
+++ b/dispatch/scheduler/retest_test.go
@@ -32,7 +32,7 @@
 	}
 	assert.NilError(t, s.Admit(start, slow))
 	for _, a := range drain(s, start) {
-		s.Done(start.Add(3*time.Second), a, scheduler.Result{Verdict: scheduler.Completed, RunTime: 3 * time.Second})
+		s.Done(start.Add(3*time.Second), a, scheduler.Result{Outcome: scheduler.Completed, RunTime: 3 * time.Second})
 	}
 	return s
 }
@@ -47,7 +47,7 @@
 		err := s.Admit(now, retestJob(now, n))
 		assert.NilError(t, err, "job %d", n)
 		for _, a := range drain(s, now) {
-			s.Done(now.Add(20*time.Millisecond), a, scheduler.Result{Verdict: scheduler.Completed, RunTime: 20 * time.Millisecond})
+			s.Done(now.Add(20*time.Millisecond), a, scheduler.Result{Outcome: scheduler.Completed, RunTime: 20 * time.Millisecond})
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	for n := range 600 {
 		now = now.Add(100 * time.Millisecond)
 		err := s.Admit(now, retestJob(now, n))
-		var refusal *scheduler.Refusal
+		var refusal *scheduler.AdmissionError
 		if errors.As(err, &refusal) {
 			assert.ErrorIs(t, err, scheduler.ErrBacklog)
 			assert.Assert(t, refusal.RetryAfter > 0 && refusal.RetryAfter < 40*time.Second, "%s", refusal.RetryAfter)
@@ -71,7 +71,7 @@
 		admitted++
 		for _, a := range drain(s, now) {
 			s.Drop(a.Task.Job)
-			s.Done(now, a, scheduler.Result{Verdict: scheduler.Cancelled})
+			s.Done(now, a, scheduler.Result{Outcome: scheduler.Cancelled})
 		}
 	}
 	assert.Assert(t, admitted >= 2 && admitted <= 8, "%d admitted", admitted)
--- a/dispatch/scheduler/scheduler.go
+++ b/dispatch/scheduler/scheduler.go
@@ -25,10 +25,10 @@
 
 // Job holds the properties of a job that scheduling depends on.
 type Job struct {
-	ID       JobID
-	Customer string
-	// Urgency is the weight given by the client's contract.
-	Urgency  int
+	ID     JobID
+	Client string
+	// Priority is the weight given by the client's contract.
+	Priority int
 	Accepted time.Time
 	// Deadline is Accepted plus the answer time of the contract.
 	Deadline time.Time
@@ -61,17 +61,17 @@
 	// Probe is true when the endpoint is ejected and receives this task as a health
 	// probe.
 	Probe bool
-	// At is the time of the decision.
-	At time.Time
+	// DecidedAt is the time of the decision.
+	DecidedAt time.Time
 }
 
-// Verdict is the outcome of an assignment.
-type Verdict int
+// Outcome is the outcome of an assignment.
+type Outcome int
 
 // Outcomes of an assignment.
 const (
 	// Completed: the task ran and returned a complete result.
-	Completed Verdict = iota
+	Completed Outcome = iota
 	// Failed: the endpoint reported a failure; the task ran or may have run.
 	Failed
 	// Refused: the endpoint refused the task, which definitely did not start.
@@ -85,26 +85,26 @@
 
 // Result reports to the scheduler how an assignment ended.
 type Result struct {
-	Verdict Verdict
+	Outcome Outcome
 	// RunTime is the run time measured at the runner; zero when unknown.
 	RunTime time.Duration
 }
 
 // Endpoint describes an endpoint that can run tasks of the service.
 type Endpoint struct {
-	ID    EndpointID
-	Zone  string
-	Slots int
-	// OwnLimit limits how many tasks this entry may have in flight there: its share
+	ID         EndpointID
+	DataCentre string
+	Slots      int
+	// EntryLimit limits how many tasks this entry may have in flight there: its share
 	// of a bare endpoint's slots and connections. Zero means no limit (a guard).
-	OwnLimit int
+	EntryLimit int
 	// NoQueue is true when the endpoint refuses a task that exceeds its slots instead
 	// of queueing it (a bare endpoint). The scheduler then relies on the endpoint's
 	// reports alone to decide when to try it again; the sender of the reports must
 	// ensure that a report allowing a retry arrives eventually.
 	NoQueue bool
-	// Leaving is true while the endpoint is draining: no new task may start there.
-	Leaving bool
+	// Draining is true while the endpoint is draining: no new task may start there.
+	Draining bool
 }
 
 // Report is an endpoint's own count of the tasks it holds for other entries.
@@ -112,22 +112,22 @@
 	// Version orders the reports of one endpoint; a report older than the last one
 	// applied is dropped.
 	Version uint64
-	// OthersOpen is the number of tasks that run or are queued there for other entries.
-	OthersOpen int
-	Slots      int
-	Leaving    bool
-	Past       Past
+	// OthersInFlight is the number of tasks that run or are queued there for other entries.
+	OthersInFlight int
+	Slots          int
+	Draining       bool
+	Outcomes       OutcomeCounts
 }
 
-// Past counts how the tasks of all entries ended at an endpoint since it started. It is
+// OutcomeCounts counts how the tasks of all entries ended at an endpoint since it started. It is
 // zero for an endpoint that doesn't report these counts.
-type Past struct {
+type OutcomeCounts struct {
 	Completed uint64
 	Failed    uint64
-	// FailedInRow is the number of jobs that failed there with a task that began after
+	// ConsecutiveFailedJobs is the number of jobs that failed there with a task that began after
 	// the most recently begun task that completed. At most two jobs of each client
 	// count, because the tasks of one client may fail wherever they run.
-	FailedInRow int
+	ConsecutiveFailedJobs int
 }
 
 // Admission errors: the job was rejected and none of its tasks started.
@@ -142,25 +142,25 @@
 	ErrDuplicateJob = errors.New("job id already held")
 )
 
-// Refusal is the error type that Admit returns; it wraps one of the errors above.
-type Refusal struct {
+// AdmissionError is the error type that Admit returns; it wraps one of the errors above.
+type AdmissionError struct {
 	Err error
 	// RetryAfter is how long the caller should wait before it retries, computed from
 	// the backlog.
 	RetryAfter time.Duration
-	// Assessment is set for ErrBacklog only.
-	Assessment *Assessment
+	// BacklogForecast is set for ErrBacklog only.
+	Forecast *BacklogForecast
 }
 
-// Assessment holds the figures on which a rejection with ErrBacklog is based.
-type Assessment struct {
-	// Pending is the number of queued tasks, Open the number of tasks in flight.
-	Pending, Open int
-	// Slots is the number of slots that this entry can rely on, Rate the part of it
-	// that serves the client, SetAside the number of ejected endpoints, which receive
+// BacklogForecast holds the figures on which a rejection with ErrBacklog is based.
+type BacklogForecast struct {
+	// Queued is the number of queued tasks, Open the number of tasks in flight.
+	Queued, InFlight int
+	// UsableSlots is the number of slots that this entry can rely on, Rate the part of it
+	// that serves the client, Ejected the number of ejected endpoints, which receive
 	// probes only.
-	Slots, Rate float64
-	SetAside    int
+	UsableSlots, ClientSlots float64
+	Ejected                  int
 	// Work is the expected total run time of the job's tasks, Longest that of its
 	// longest task, Ahead that of the queued tasks that start before the job's.
 	Work, Longest, Ahead time.Duration
@@ -172,14 +172,14 @@
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return r.Err.Error() }
+func (r *AdmissionError) Error() string { return r.Err.Error() }
 
 // Unwrap returns the wrapped admission error.
-func (r *Refusal) Unwrap() error { return r.Err }
+func (r *AdmissionError) Unwrap() error { return r.Err }
 
-// Decider is the scheduling policy that an entry uses for one service. Scheduler is the
+// Policy is the scheduling policy that an entry uses for one service. Scheduler is the
 // implementation in production; experiments may use others for comparison.
-type Decider interface {
+type Policy interface {
 	// Admit queues a job with all its tasks, or rejects the whole job with a *Refusal.
 	Admit(now time.Time, job Job) error
 	// Next selects one task to start. It returns false when no task can start now. The
@@ -204,21 +204,21 @@
 	RemoveEndpoint(id EndpointID)
 	// ApplyReport applies a report of an endpoint.
 	ApplyReport(now time.Time, id EndpointID, r Report)
-	// Wake returns the next time at which a decision may change without any event (a
+	// NextWakeup returns the next time at which a decision may change without any event (a
 	// deadline, a due probe); zero when there is none.
-	Wake(now time.Time) time.Time
-	// Backlog returns queue statistics for metrics and reports.
-	Backlog() Backlog
+	NextWakeup(now time.Time) time.Time
+	// QueueStats returns queue statistics for metrics and reports.
+	Stats() QueueStats
 }
 
-// Backlog holds the queue and endpoint counts of a Decider.
-type Backlog struct {
-	Jobs    int
-	Waiting int
-	Open    int
-	Bytes   int64
-	// Endpoints is the number of known endpoints, SetAside the number of ejected ones,
+// QueueStats holds the queue and endpoint counts of a Decider.
+type QueueStats struct {
+	Jobs     int
+	Queued   int
+	InFlight int
+	Bytes    int64
+	// Endpoints is the number of known endpoints, Ejected the number of ejected ones,
 	// which receive probes only.
 	Endpoints int
-	SetAside  int
+	Ejected   int
 }
--- a/dispatch/scheduler/scheduler_test.go
+++ b/dispatch/scheduler/scheduler_test.go
@@ -21,8 +21,8 @@
 func newJob(id string, tasks int) scheduler.Job {
 	return scheduler.Job{
 		ID:       scheduler.JobID(id),
-		Customer: "c",
-		Urgency:  1,
+		Client:   "c",
+		Priority: 1,
 		Accepted: start,
 		Deadline: start.Add(10 * time.Second),
 		Tasks:    make([]scheduler.Task, tasks),
@@ -30,7 +30,7 @@
 }
 
 // drain calls Next until no task can start.
-func drain(s scheduler.Decider, now time.Time) []scheduler.Assignment {
+func drain(s scheduler.Policy, now time.Time) []scheduler.Assignment {
 	var all []scheduler.Assignment
 	for {
 		a, ok := s.Next(now)
@@ -42,10 +42,10 @@
 }
 
 func TestStartsOnlyOnFreeSlotsAndMinInFlight(t *testing.T) {
-	s := newScheduler(scheduler.Options{Floor: 2})
+	s := newScheduler(scheduler.Options{MinInFlight: 2})
 	s.SetEndpoint(start, scheduler.Endpoint{ID: "a", Slots: 3})
 	s.SetEndpoint(start, scheduler.Endpoint{ID: "b", Slots: 3})
-	s.ApplyReport(start, "b", scheduler.Report{Version: 1, OthersOpen: 3, Slots: 3})
+	s.ApplyReport(start, "b", scheduler.Report{Version: 1, OthersInFlight: 3, Slots: 3})
 	assert.NilError(t, s.Admit(start, newJob("j", 20)))
 	count := map[scheduler.EndpointID]int{}
 	for _, a := range drain(s, start) {
@@ -57,7 +57,7 @@
 func TestAdmissionWithoutEndpoints(t *testing.T) {
 	s := newScheduler(scheduler.Options{})
 	err := s.Admit(start, newJob("j", 1))
-	var refusal *scheduler.Refusal
+	var refusal *scheduler.AdmissionError
 	assert.Assert(t, errors.As(err, &refusal))
 	assert.ErrorIs(t, err, scheduler.ErrNoEndpoint)
 	assert.Assert(t, refusal.RetryAfter > 0)
@@ -68,7 +68,7 @@
 // only once, since a task that exceeds its run limit would take as long to fail again.
 func TestRetries(t *testing.T) {
 	for _, c := range []struct {
-		verdict    scheduler.Verdict
+		verdict    scheduler.Outcome
 		idempotent bool
 		starts     int
 	}{
@@ -90,14 +90,14 @@
 		for requeued := true; requeued; starts++ {
 			a, ok := s.Next(now)
 			for ; !ok; a, ok = s.Next(now) {
-				now = s.Wake(now)
+				now = s.NextWakeup(now)
 			}
 			assert.Assert(t, a.Endpoint != last || c.verdict == scheduler.Refused)
 			last = a.Endpoint
-			requeued = s.Done(now, a, scheduler.Result{Verdict: c.verdict})
+			requeued = s.Done(now, a, scheduler.Result{Outcome: c.verdict})
 		}
 		assert.Equal(t, starts, c.starts, "%+v", c)
-		assert.Equal(t, s.Backlog(), scheduler.Backlog{Endpoints: 2})
+		assert.Equal(t, s.Stats(), scheduler.QueueStats{Endpoints: 2})
 	}
 }
 
@@ -113,7 +113,7 @@
 	assert.NilError(t, s.Admit(start, newJob("j", 6)))
 	now := start.Add(time.Second)
 	for _, a := range drain(s, start) {
-		s.Done(now, a, scheduler.Result{Verdict: scheduler.Refused})
+		s.Done(now, a, scheduler.Result{Outcome: scheduler.Refused})
 	}
 	next := newJob("k", 4)
 	next.Deadline = start.Add(time.Minute)
@@ -147,7 +147,7 @@
 		open := drain(s, now)
 		now = now.Add(30 * time.Millisecond)
 		for _, a := range open {
-			s.Done(now, a, scheduler.Result{Verdict: scheduler.Completed, RunTime: 30 * time.Millisecond})
+			s.Done(now, a, scheduler.Result{Outcome: scheduler.Completed, RunTime: 30 * time.Millisecond})
 		}
 	}
 }
--- a/dispatch/scheduler/settle.go
+++ b/dispatch/scheduler/settle.go
@@ -34,20 +34,20 @@
 // assigned again after a refusal.
 func (s *Scheduler) finish(a Assignment) *attempt {
 	ended := s.inFlight[a.Task]
-	if ended == nil || ended.endpoint.id != a.Endpoint || !ended.at.Equal(a.At) {
+	if ended == nil || ended.endpoint.id != a.Endpoint || !ended.at.Equal(a.DecidedAt) {
 		return nil
 	}
 	delete(s.inFlight, a.Task)
 	ended.job.inFlight--
 	ended.endpoint.end(ended)
-	s.candidates.Close(ended.endpoint.candidate)
+	s.candidates.CountEnd(ended.endpoint.candidate)
 	return ended
 }
 
 // runTime returns how long the attempt occupied a slot.
 func runTime(now time.Time, ended *attempt, r Result) time.Duration {
 	switch {
-	case r.Verdict == Refused:
+	case r.Outcome == Refused:
 		return 0
 	case r.RunTime > 0:
 		return r.RunTime
@@ -58,7 +58,7 @@
 // observe updates run times, retry budget and health from the outcome of an attempt.
 func (s *Scheduler) observe(now time.Time, ended *attempt, r Result, run time.Duration) {
 	e := ended.endpoint
-	if r.Verdict == Completed {
+	if r.Outcome == Completed {
 		s.budget.Earn()
 		s.learn(now, ended.job, ended.index, run)
 		e.backoff = 0
@@ -66,7 +66,7 @@
 	if !e.monitored {
 		return
 	}
-	if r.Verdict == Refused {
+	if r.Outcome == Refused {
 		e.backOff(now, s.refusalBackoff())
 	}
 	if ended.probe && e.health.Probing() {
@@ -79,24 +79,24 @@
 
 func (s *Scheduler) observeProbe(now time.Time, ended *attempt, r Result, run time.Duration) {
 	record := ended.endpoint.health
-	switch r.Verdict {
+	switch r.Outcome {
 	case Completed:
-		s.health.ProbeGood(now, record, ended.expected, run)
+		s.health.ProbeCompleted(now, record, ended.expected, run)
 	case Failed, Lost:
-		s.health.ProbeBad(now, record, ended.healthTask(run))
+		s.health.ProbeFailed(now, record, ended.healthTask(run))
 	case Refused, Cancelled:
-		s.health.ProbeVoid(record)
+		s.health.ProbeInconclusive(record)
 	}
 }
 
 func (s *Scheduler) observeWork(now time.Time, ended *attempt, r Result, run time.Duration) {
 	e := ended.endpoint
 	task := ended.healthTask(run)
-	switch r.Verdict {
+	switch r.Outcome {
 	case Completed:
-		s.health.Good(now, e.health, task)
+		s.health.TaskCompleted(now, e.health, task)
 	case Failed, Lost:
-		s.health.Bad(now, e.health, task)
+		s.health.TaskFailed(now, e.health, task)
 	case Refused, Cancelled:
 		return
 	}
@@ -124,7 +124,7 @@
 		return false
 	}
 	attempts := job.attempts[ended.index] + 1
-	switch r.Verdict {
+	switch r.Outcome {
 	case Refused:
 		return attempts < maxRefusedStarts
 	case Failed:
@@ -190,13 +190,13 @@
 	s.lastNow = now
 	known := s.endpoints[e.ID]
 	if known == nil {
-		known = &endpoint{id: e.ID, candidate: s.candidates.Add(string(e.ID), e.Zone), timerIndex: indexed.None}
+		known = &endpoint{id: e.ID, candidate: s.candidates.Add(string(e.ID), e.DataCentre), timerIndex: indexed.None}
 		known.health = health.NewRecord()
 		s.endpoints[e.ID] = known
 	}
 	known.removed = false
 	s.candidates.SetNoQueue(known.candidate, e.NoQueue)
-	s.candidates.Configure(known.candidate, e.Slots, e.OwnLimit, e.Leaving)
+	s.candidates.Configure(known.candidate, e.Slots, e.EntryLimit, e.Draining)
 	s.updateMonitored(now, known)
 }
 
@@ -259,36 +259,36 @@
 	}
 	s.candidates.Report(now, e.candidate, placement.Report{
 		Version: r.Version,
-		Others:  r.OthersOpen,
+		Others:  r.OthersInFlight,
 		Slots:   r.Slots,
-		Leaving: r.Leaving,
+		Leaving: r.Draining,
 	})
 	if e.monitored != e.candidate.Usable() {
 		s.updateMonitored(now, e)
 	}
-	if e.monitored && r.Past != (Past{}) {
-		s.applyOutcomeCounts(now, e, r.Past)
+	if e.monitored && r.Outcomes != (OutcomeCounts{}) {
+		s.applyOutcomeCounts(now, e, r.Outcomes)
 	}
 }
 
 // applyOutcomeCounts applies the endpoint's outcome counts for the tasks of all
 // entries.
-func (s *Scheduler) applyOutcomeCounts(now time.Time, e *endpoint, p Past) {
-	probeMoved := s.health.Report(now, e.health, health.Past{
-		Completed:   p.Completed,
-		Failed:      p.Failed,
-		FailedInRow: p.FailedInRow,
+func (s *Scheduler) applyOutcomeCounts(now time.Time, e *endpoint, p OutcomeCounts) {
+	probeMoved := s.health.ApplyOutcomeCounts(now, e.health, health.OutcomeCounts{
+		Completed:             p.Completed,
+		Failed:                p.Failed,
+		ConsecutiveFailedJobs: p.ConsecutiveFailedJobs,
 	})
 	if probeMoved {
 		s.refresh(now, e)
 	}
-	if p.FailedInRow > 0 || e.health.Standing() == health.Suspect {
+	if p.ConsecutiveFailedJobs > 0 || e.health.Status() == health.Suspect {
 		s.evaluate(now, e)
 	}
 }
 
-// Wake implements Decider.
-func (s *Scheduler) Wake(time.Time) time.Time {
+// NextWakeup implements Decider.
+func (s *Scheduler) NextWakeup(time.Time) time.Time {
 	next := s.queue.NextDeadline()
 	if s.queue.Waiting() == 0 {
 		return next
@@ -298,7 +298,7 @@
 	}
 	for _, e := range s.dueProbes {
 		if e.canProbe() {
-			next = earlier(next, e.health.OverdueAt())
+			next = earlier(next, e.health.ProbeOverdueAt())
 		}
 	}
 	return next
@@ -311,14 +311,14 @@
 	return a
 }
 
-// Backlog implements Decider.
-func (s *Scheduler) Backlog() Backlog {
-	b := Backlog{
+// QueueStats implements Decider.
+func (s *Scheduler) Stats() QueueStats {
+	b := QueueStats{
 		Jobs:     s.queue.Jobs(),
-		Waiting:  s.queue.Waiting(),
-		Open:     len(s.inFlight),
+		Queued:   s.queue.Waiting(),
+		InFlight: len(s.inFlight),
 		Bytes:    s.queue.Bytes(),
-		SetAside: s.health.Aside(),
+		Ejected:  s.health.Ejected(),
 	}
 	for _, e := range s.endpoints {
 		if !e.removed {
--- a/dispatch/work/incarnation.go
+++ b/dispatch/work/incarnation.go
@@ -6,15 +6,15 @@
 // started under the id of the one before it.
 type Incarnation struct {
 	ID string
-	// Born is the start time of the process in Unix milliseconds; zero if the runner does not
+	// StartedMilli is the start time of the process in Unix milliseconds; zero if the runner does not
 	// report it.
-	Born int64
+	StartedMilli int64
 }
 
 // String returns the incarnation as written in logs.
 func (i Incarnation) String() string {
-	if i.Born == 0 {
+	if i.StartedMilli == 0 {
 		return i.ID
 	}
-	return fmt.Sprintf("%s@%d", i.ID, i.Born)
+	return fmt.Sprintf("%s@%d", i.ID, i.StartedMilli)
 }
--- a/dispatch/work/work.go
+++ b/dispatch/work/work.go
@@ -32,8 +32,8 @@
 	return a.CPUMilli <= capacity.CPUMilli && a.MemoryMB <= capacity.MemoryMB && a.GPUs <= capacity.GPUs
 }
 
-// Times returns how many times a fits into capacity, at most limit.
-func (a Amounts) Times(capacity Amounts, limit int) int {
+// CountFitting returns how many times a fits into capacity, at most limit.
+func (a Amounts) CountFitting(capacity Amounts, limit int) int {
 	n := limit
 	for _, d := range [...][2]int64{{a.CPUMilli, capacity.CPUMilli}, {a.MemoryMB, capacity.MemoryMB}, {a.GPUs, capacity.GPUs}} {
 		if d[0] <= 0 {
--- a/e2e/cmd/almonddemo/main.go
+++ b/e2e/cmd/almonddemo/main.go
@@ -58,8 +58,8 @@
 	fmt.Printf("Submitting job %s: %d tasks of %d ms\n", job.ID, tasks, taskMs)
 	answer := f.Submit(ctx, 0, job, 1)
 	fmt.Printf("Answered %d %s after %d ms; the runners began %d tasks\n", answer.Status, strings.TrimSpace(answer.Text), answer.Took.Milliseconds(), f.Judge.Starts())
-	if answer.State != "completed" || f.Judge.Starts() != tasks || len(f.Judge.Faults()) > 0 {
-		return fmt.Errorf("%w: %v", errDemo, f.Judge.Faults())
+	if answer.State != "completed" || f.Judge.Starts() != tasks || len(f.Judge.Violations()) > 0 {
+		return fmt.Errorf("%w: %v", errDemo, f.Judge.Violations())
 	}
 	return story(f, job.ID)
 }
@@ -75,11 +75,11 @@
 		<-n.Process().Done()
 		logs = append(logs, strings.NewReader(n.Process().Log()))
 	}
-	s, err := explain.Read(id, logs...)
+	s, err := explain.FromLogs(id, logs...)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nalmondstand explain %s tells %d lines, the first of them:\n", id, len(s.Lines))
-	s.Lines = s.Lines[:min(len(s.Lines), firstRows)]
+	fmt.Printf("\nalmondstand explain %s tells %d lines, the first of them:\n", id, len(s.Events))
+	s.Events = s.Events[:min(len(s.Events), firstRows)]
 	return s.Print(os.Stdout)
 }
--- a/e2e/combined_test.go
+++ b/e2e/combined_test.go
@@ -99,7 +99,7 @@
 		underTwo(t, c, client.Customer, func(load *harness.Load) {
 			for _, s := range silences {
 				for _, r := range endpointRelays(c) {
-					r.Forget(s.toTarget, s.toClient)
+					r.Blackhole(s.toTarget, s.toClient)
 				}
 				e := firstEndpoint(t, c)
 				e.kill()
@@ -118,7 +118,7 @@
 		restarted := c.Entries[0]
 		id := mintOne(t, client, restarted)
 		underTwo(t, c, client.Customer, func(load *harness.Load) {
-			c.Store.SetMode(store.Refuse)
+			c.Store.SetMode(store.CloseConnections)
 			waitReplies(t, load, load.Count()+50)
 			restarted.Kill()
 			assert.NilError(t, c.RestartEntry(restarted))
@@ -160,7 +160,7 @@
 		v := underTwo(t, c, client.Customer, func(load *harness.Load) {
 			for range 2 {
 				for _, r := range relays {
-					r.Forget(true, true)
+					r.Blackhole(true, true)
 				}
 				waitReplies(t, load, load.Count()+80)
 			}
--- a/e2e/connection_test.go
+++ b/e2e/connection_test.go
@@ -51,8 +51,8 @@
 	t.Helper()
 	c, _ := startCluster(t, o)
 	assert.NilError(t, c.Apply(t.Context(), k))
-	assert.NilError(t, c.WaitSettled(t.Context(), k.Customer))
-	return c, harness.NewClient(k.Customer)
+	assert.NilError(t, c.WaitSettled(t.Context(), k.Client))
+	return c, harness.NewClient(k.Client)
 }
 
 // numberedJobs are jobs of one to six short tasks, each with an answer of its own.
@@ -120,7 +120,7 @@
 	for _, s := range silences {
 		n := 0
 		for _, r := range relays {
-			n += r.Forget(s.toTarget, s.toClient)
+			n += r.Blackhole(s.toTarget, s.toClient)
 		}
 		t.Logf("%s: %d connections silent", s.name, n)
 		assert.Assert(t, n > 0)
@@ -279,7 +279,7 @@
 	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	for _, s := range silences {
-		n := c.Runners[0].Relay.Forget(s.toTarget, s.toClient)
+		n := c.Runners[0].Relay.Blackhole(s.toTarget, s.toClient)
 		t.Logf("%s: %d connections silent", s.name, n)
 		assert.Assert(t, n > 0)
 		waitReplies(t, load, load.Count()+100)
--- a/e2e/contract_test.go
+++ b/e2e/contract_test.go
@@ -55,7 +55,7 @@
 		case operator.CodeConflict:
 			return now.revision != in.expect && now == out.version, now
 		}
-		return out.code == operator.CodeStoreDown, now
+		return out.code == operator.CodeStoreUnavailable, now
 	},
 }
 
@@ -71,7 +71,7 @@
 	k := harness.Contract("raced")
 	k.Rate = in.rate
 	op := porcupine.Operation{ClientId: who, Input: in, Call: h.clock.Add(1)}
-	changed, err := e.Operator().Apply(t.Context(), k, contracts.Expect{Revision: in.expect})
+	changed, err := e.Operator().Apply(t.Context(), k, contracts.Precondition{Revision: in.expect})
 	op.Return = h.clock.Add(1)
 	out, err := outcomeOf(in, changed, err)
 	op.Output = out
@@ -81,7 +81,7 @@
 	return out, err
 }
 
-func outcomeOf(in write, changed operator.Changed, err error) (outcome, error) {
+func outcomeOf(in write, changed operator.ChangeResult, err error) (outcome, error) {
 	if err == nil {
 		return outcome{version: register{changed.Revision, in.rate}}, nil
 	}
@@ -90,8 +90,8 @@
 		return outcome{}, err
 	}
 	out := outcome{code: f.Code()}
-	if f.Winner != nil {
-		out.version = register{f.Winner.Revision, f.Winner.Contract.Rate}
+	if f.InForce != nil {
+		out.version = register{f.InForce.Revision, f.InForce.Contract.Rate}
 	}
 	return out, nil
 }
@@ -107,7 +107,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 20 {
 		if round%2 == 1 {
-			c.Store.LoseAnswers(random.IntN(3))
+			c.Store.LoseResponses(random.IntN(3))
 		}
 		current = race(t, c, &h, round, current)
 	}
@@ -431,9 +431,9 @@
 	time.Sleep(3 * time.Second)
 	accepted := load.end()
 	record := c.Runners[0].Starts()
-	t.Logf("%d accepted, %d at a time", accepted, record.MostRunning)
-	assert.Assert(t, record.MostRunning <= most, "%d at a time", record.MostRunning)
-	assert.Assert(t, record.MostRunning > most/2, "%d at a time", record.MostRunning)
+	t.Logf("%d accepted, %d at a time", accepted, record.PeakRunning)
+	assert.Assert(t, record.PeakRunning <= most, "%d at a time", record.PeakRunning)
+	assert.Assert(t, record.PeakRunning > most/2, "%d at a time", record.PeakRunning)
 	assert.Equal(t, int64(record.Total), accepted)
-	assert.Equal(t, record.Doubles, 0)
+	assert.Equal(t, record.DuplicateStarts, 0)
 }
--- a/e2e/endpoint_test.go
+++ b/e2e/endpoint_test.go
@@ -90,12 +90,12 @@
 	onEndpoints(t, func(t *testing.T, c *harness.Cluster) {
 		leaving := c.Runners[0]
 		v := underLoad(t, c, c.Entries, func() {
-			leaving.Leave()
+			leaving.Drain()
 			time.Sleep(leaveLimit)
 		})
 		record := leaving.Runner.Starts()
-		t.Logf("%d starts after the notice, the last after %d ms", record.AfterLeaving, record.LastAfterLeavingMs)
-		assert.Assert(t, record.LastAfterLeavingMs < leaveLimit.Milliseconds())
+		t.Logf("%d starts after the notice, the last after %d ms", record.StartsAfterDrain, record.LastStartAfterDrainMs)
+		assert.Assert(t, record.LastStartAfterDrainMs < leaveLimit.Milliseconds())
 		assert.Equal(t, record.Cancelled, 0)
 		assertAllComplete(t, v)
 	})
@@ -164,7 +164,7 @@
 	onEndpoints(t, func(t *testing.T, c *harness.Cluster) {
 		assertAllComplete(t, measured(t, c, 60, smallJobs))
 		slow := c.Runners[0]
-		slow.SetSwitches(runner.Switches{Straggle: 20})
+		slow.SetSwitches(runner.Switches{RunTimeFactor: 20})
 		before := startsOfEach(c)
 		assertAllComplete(t, measured(t, c, 400, smallJobs))
 		after := startsOfEach(c)
@@ -193,7 +193,7 @@
 	small := harness.Contract("small")
 	small.Burst, small.InFlight = 10, 20
 	small.Services = []string{harness.Service, "not-there"}
-	changed, err := c.Entries[0].Operator().Apply(t.Context(), small, contracts.Expect{})
+	changed, err := c.Entries[0].Operator().Apply(t.Context(), small, contracts.Precondition{})
 	assert.NilError(t, err)
 	_, err = harness.WaitInForce(t.Context(), c.Entries, "small", changed.Revision)
 	assert.NilError(t, err)
--- a/e2e/fleet/caller.go
+++ b/e2e/fleet/caller.go
@@ -113,12 +113,12 @@
 		switch a.Status {
 		case http.StatusOK:
 			if a.State == "completed" {
-				f.Judge.Completed(j.ID, j.Tasks)
+				f.Judge.JobCompleted(j.ID, j.Tasks)
 			}
 			return a
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
 			if refused {
-				f.Judge.Refused(j.ID)
+				f.Judge.JobRejected(j.ID)
 			}
 			return a
 		}
--- a/e2e/fleet/fleet.go
+++ b/e2e/fleet/fleet.go
@@ -52,7 +52,7 @@
 type Fleet struct {
 	opt   Options
 	Store *metastore.Store
-	Judge *worker.Judge
+	Judge *worker.Checker
 	// Entries and Guards by number.
 	Entries []*Node
 	Guards  []*Node
@@ -112,13 +112,13 @@
 // New starts the stand-ins and the processes.
 func New(ctx context.Context, o Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Fleet{opt: o, Store: metastore.New(), Judge: worker.NewJudge(), cancel: cancel, client: &http.Client{Timeout: 10 * time.Second}}
+	f := &Fleet{opt: o, Store: metastore.New(), Judge: worker.NewChecker(), cancel: cancel, client: &http.Client{Timeout: 10 * time.Second}}
 	f.Configure(Prefix)
 	if err := f.plan(ctx); err != nil {
 		return nil, err
 	}
 	for i, g := range f.Guards {
-		r := &worker.Runner{Service: Service, Zone: "a", CPU: cpuOf, Judge: f.Judge, Control: g.Control, KeepsID: i%2 == 1}
+		r := &worker.Runner{Service: Service, DataCentre: "a", CPU: cpuOf, Checker: f.Judge, ControlAddress: g.Control, KeepsID: i%2 == 1}
 		if err := r.Listen(g.IP); err != nil {
 			return nil, err
 		}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return "", fmt.Errorf("fleet: store: %w", err)
 	}
-	server := &http.Server{Handler: f.Store.As(caller)}
+	server := &http.Server{Handler: f.Store.HandlerFor(caller)}
 	f.stores = append(f.stores, server)
 	go func() { _ = server.Serve(l) }()
 	return l.Addr().String(), nil
--- a/e2e/fleet_crash_test.go
+++ b/e2e/fleet_crash_test.go
@@ -24,7 +24,7 @@
 	poison.Deadline = 9 * time.Second
 	a := f.Submit(t.Context(), 0, poison, 1)
 	assert.Equal(t, a.State, "failed", "%d %s", a.Status, a.Text)
-	time.Sleep(worker.CrashBack)
+	time.Sleep(worker.CrashRestartDelay)
 	got := stop()
 	crashes := 0
 	for _, r := range f.Runners {
--- a/e2e/fleet_metrics_test.go
+++ b/e2e/fleet_metrics_test.go
@@ -61,7 +61,7 @@
 	tooLate := fleet.NewJob(40, 300)
 	tooLate.Deadline = 400 * time.Millisecond
 	assert.Assert(t, f.Submit(ctx, 0, tooLate, 1).Status != http.StatusOK)
-	f.Store.SetFault(metastore.Fault{Down: metastore.Silent})
+	f.Store.SetFault(metastore.Fault{Outage: metastore.Silent})
 	wantMetrics(t, f.Entries[0],
 		`almondstand_jobs_ended_total{contract="`,
 		`almondstand_job_wait_seconds_bucket{`,
--- a/e2e/fleet_restart_test.go
+++ b/e2e/fleet_restart_test.go
@@ -19,7 +19,7 @@
 		r := f.Runners[turn%2]
 		r.SetFault(worker.Fault{LateShare: 0.5, LateBy: time.Duration(turn%3) * 300 * time.Millisecond, LateStarts: true})
 		time.Sleep(300 * time.Millisecond)
-		report := r.Held(t.Context())
+		report := r.DelayedReport(t.Context())
 		r.Kill()
 		r.SetFault(worker.Fault{})
 		time.Sleep(300 * time.Millisecond)
@@ -28,7 +28,7 @@
 		report()
 		r.Deregister(t.Context(), r.Instance())
 	}
-	f.Runners[0].Leave()
+	f.Runners[0].Drain()
 	time.Sleep(2800 * time.Millisecond)
 	got := stop()
 	assert.Assert(t, got[200] > 40, "%v", got)
--- a/e2e/fleet_size_test.go
+++ b/e2e/fleet_size_test.go
@@ -36,7 +36,7 @@
 				j := fleet.NewJob(4, 60)
 				a := f.Try(t.Context(), n, fleet.Prefix, j)
 				if a.Status == http.StatusOK && a.State == "completed" {
-					f.Judge.Completed(j.ID, j.Tasks)
+					f.Judge.JobCompleted(j.ID, j.Tasks)
 					return
 				}
 				mu.Lock()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -34,7 +34,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		f.Close()
-		if faults := f.Judge.Faults(); len(faults) > 0 {
+		if faults := f.Judge.Violations(); len(faults) > 0 {
 			t.Errorf("broken promises:\n%s", strings.Join(faults, "\n"))
 			t.Logf("what the processes wrote of these jobs:\n%s", linesAbout(strings.Join(faults, "\n"), append(f.Entries, f.Guards...)))
 		}
@@ -224,10 +224,10 @@
 func TestFleetRunnerReborn(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	r := f.Runners[0]
-	held := r.Held(t.Context())
+	held := r.DelayedReport(t.Context())
 	r.Crash()
 	time.Sleep(200 * time.Millisecond)
-	r.Reborn()
+	r.RestartWithNewID()
 	r.Report(t.Context())
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -289,7 +289,7 @@
 	for i := range f.Entries {
 		assert.Equal(t, post(i, "/new/"), 200)
 	}
-	f.Store.SetFault(metastore.Fault{Down: metastore.Silent, For: []string{f.Entries[0].ID}})
+	f.Store.SetFault(metastore.Fault{Outage: metastore.Silent, Callers: []string{f.Entries[0].ID}})
 	time.Sleep(time.Second)
 	f.Configure("/newer/")
 	time.Sleep(2 * time.Second)
@@ -302,7 +302,7 @@
 // belong to a contract that this entry has not heard of: it must not be denied.
 func TestFleetStoreDown(t *testing.T) {
 	f := startFleet(t, 2, 1)
-	f.Store.SetFault(metastore.Fault{Down: metastore.Silent})
+	f.Store.SetFault(metastore.Fault{Outage: metastore.Silent})
 	time.Sleep(2500 * time.Millisecond)
 	for i := range f.Entries {
 		a := f.Try(t.Context(), f.Entries[i], fleet.Prefix, fleet.NewJob(1, 10))
@@ -324,7 +324,7 @@
 		assert.Equal(t, a.State, state, name)
 		assert.Assert(t, a.Took < 300*time.Millisecond, "%s took %v", name, a.Took)
 	}
-	for _, c := range caller.FaultyBodies() {
+	for _, c := range caller.InvalidBodies() {
 		post(c.Name, fleet.Prefix+id, c.Body, "1500", c.Status, c.State)
 	}
 	post("bad id", fleet.Prefix+"xyz", "{}", "1500", 400, "")
@@ -338,7 +338,7 @@
 // again: its callers would read "no runner" for good.
 func TestFleetAllRestart(t *testing.T) {
 	f := startFleet(t, 5, 2)
-	f.Store.SetFault(metastore.Fault{Down: metastore.Busy, Lapse: true})
+	f.Store.SetFault(metastore.Fault{Outage: metastore.Busy, ExpireLeases: true})
 	nodes := append(append([]*fleet.Node{}, f.Entries...), f.Guards...)
 	for _, n := range nodes {
 		n.Process().Kill()
@@ -366,7 +366,7 @@
 func TestFleetStoreIsShortOfCalls(t *testing.T) {
 	parallel(t)
 	f := startFleet(t, 3, 2)
-	f.Store.SetRates(metastore.Rates{Reads: 5, Writes: 3})
+	f.Store.SetRateLimits(metastore.RateLimits{Reads: 5, Writes: 3})
 	stop := load(t, f, 20*time.Millisecond, 2, 40)
 	time.Sleep(2 * time.Second)
 	f.Configure(fleet.Prefix, "/second/")
--- a/e2e/harness/client.go
+++ b/e2e/harness/client.go
@@ -183,7 +183,7 @@
 		return fmt.Errorf("harness: contract: %w", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut,
-		"http://"+c.Entries[0].Operators+"/v1/contracts/"+k.Customer, bytes.NewReader(text))
+		"http://"+c.Entries[0].Operators+"/v1/contracts/"+k.Client, bytes.NewReader(text))
 	if err != nil {
 		return fmt.Errorf("harness: contract: %w", err)
 	}
--- a/e2e/harness/cluster.go
+++ b/e2e/harness/cluster.go
@@ -263,12 +263,12 @@
 // Contract returns a generous contract for a customer whose token is Token(customer).
 func Contract(customer string) contract.Contract {
 	return contract.Contract{
-		Customer:     customer,
+		Client:       customer,
 		State:        contract.Active,
 		Rate:         20000,
 		Burst:        20000,
 		InFlight:     20000,
-		Urgency:      5,
+		Priority:     5,
 		AnswerTime:   contract.Duration(20 * time.Second),
 		RunLimit:     contract.Duration(15 * time.Second),
 		Objective:    0.999,
--- a/e2e/harness/operate.go
+++ b/e2e/harness/operate.go
@@ -12,7 +12,7 @@
 var operators = client.New(client.Options{Token: OperatorToken})
 
 // Operator returns an operator's client of one entry.
-func (e *Entry) Operator() *client.Client { return operators.At(e.Operators) }
+func (e *Entry) Operator() *client.Client { return operators.WithAddress(e.Operators) }
 
 // Ready reports whether the entry says that it may be sent work.
 func (e *Entry) Ready() bool { return isReady(e.Operators) }
--- a/e2e/harness/prepare.go
+++ b/e2e/harness/prepare.go
@@ -49,7 +49,7 @@
 	// default: a floor of 0 starves an entry while others keep the guards full.
 	s := node.Default()
 	s.ID = e.ID
-	s.Zone = c.zone(i)
+	s.DataCentre = c.zone(i)
 	s.Listen.Callers = mustAddress(e.Callers)
 	s.Listen.Internal = mustAddress(e.Internal)
 	s.Listen.Operators = mustAddress(e.Operators)
@@ -132,7 +132,7 @@
 func (c *Cluster) writeGuardSettings(g *Guard, i int, advertised string) error {
 	s := config.Default()
 	s.ID = g.ID
-	s.Zone = c.zone(i)
+	s.DataCentre = c.zone(i)
 	s.Listen.Internal = mustAddress(g.Internal)
 	s.Listen.Local = mustAddress(g.Local)
 	s.Advertise = mustAddress(advertised)
@@ -167,7 +167,7 @@
 func (c *Cluster) addRunner(zone string, announceTo []string) error {
 	r, err := runner.New(runner.Options{
 		Service:     Service,
-		Zone:        zone,
+		DataCentre:  zone,
 		Slots:       c.options.Slots,
 		Connections: c.options.Connections,
 		AnnounceTo:  announceTo,
--- a/e2e/harness/settings_test.go
+++ b/e2e/harness/settings_test.go
@@ -20,7 +20,7 @@
 	s, err := node.Load(e.file)
 	assert.NilError(t, err)
 	want := node.Default()
-	want.ID, want.Zone, want.Listen, want.Advertise = s.ID, s.Zone, s.Listen, s.Advertise
+	want.ID, want.DataCentre, want.Listen, want.Advertise = s.ID, s.DataCentre, s.Listen, s.Advertise
 	want.Platform.Addresses, want.Peers.Seeds, want.Peers.Secret = s.Platform.Addresses, s.Peers.Seeds, s.Peers.Secret
 	want.Operators = s.Operators
 	assert.Assert(t, reflect.DeepEqual(s, want), "%+v\n%+v", s, want)
--- a/e2e/replace_test.go
+++ b/e2e/replace_test.go
@@ -85,8 +85,8 @@
 func TestSlowReadersAreNotCutByDrain(t *testing.T) {
 	parallel(t)
 	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 2, EntrySettings: func(s *node.Settings) {
-		s.Callers.MaxBody = 64 << 20
-		s.DrainNotice = settings.Duration(10 * time.Millisecond)
+		s.Callers.MaxBodyBytes = 64 << 20
+		s.ShutdownDelay = settings.Duration(10 * time.Millisecond)
 	}})
 	owner, other := c.Entries[0], c.Entries[1]
 	id := mintOne(t, client, owner)
@@ -114,8 +114,8 @@
 func TestDrainLimitEndsAStuckReader(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 1, Guards: 1, EntrySettings: func(s *node.Settings) {
-		s.Callers.MaxBody = 64 << 20
-		s.DrainLimit, s.DrainNotice = settings.Duration(5*time.Second), settings.Duration(10*time.Millisecond)
+		s.Callers.MaxBodyBytes = 64 << 20
+		s.DrainTimeout, s.ShutdownDelay = settings.Duration(5*time.Second), settings.Duration(10*time.Millisecond)
 	}})
 	id := mintOne(t, client, c.Entries[0])
 	direct := putSlowly(t, c.Entries[0].Callers, id, client.Customer, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
@@ -284,7 +284,7 @@
 func TestFreshEntryKnowsTheFleetWhenItIsReady(t *testing.T) {
 	c, client := startCluster(t, harness.Options{
 		Entries: 2, Spare: 1, Guards: 2, NoRelays: true,
-		EntrySettings: func(s *node.Settings) { s.Fleet.AnnounceEvery = settings.Duration(time.Minute) },
+		EntrySettings: func(s *node.Settings) { s.Fleet.MinAnnounceInterval = settings.Duration(time.Minute) },
 		GuardSettings: func(s *config.Settings) { s.Balancers = s.Balancers[:2] },
 	})
 	c.Store.SetMode(store.Down)
--- a/e2e/rest_test.go
+++ b/e2e/rest_test.go
@@ -23,7 +23,7 @@
 	const lease = time.Second
 	c, client := startCluster(t, harness.Options{
 		Entries: 2, Guards: 3,
-		EntrySettings: func(s *node.Settings) { s.Fleet.PingBytes = 1 },
+		EntrySettings: func(s *node.Settings) { s.Fleet.PingBytesPerSecond = 1 },
 		GuardSettings: func(s *config.Settings) { s.SessionLease = settings.Duration(lease) },
 	})
 	rest := rand.New(rand.NewPCG(1, 2))
--- a/e2e/soak/inject.go
+++ b/e2e/soak/inject.go
@@ -32,11 +32,11 @@
 	case RunnerCrash:
 		runner.Crash()
 		uptime.Sleep(ctx, f.For)
-		runner.Reborn()
+		runner.RestartWithNewID()
 	case RunnerRestart:
 		restartRunner(ctx, runner, f)
 	case RunnerLeaves:
-		runner.Leave()
+		runner.Drain()
 		uptime.Sleep(ctx, leavesFor+f.For/2)
 		runner.Restart()
 	case RunnerLate, RunnerSlow, RunnerHang, RunnerFails:
@@ -71,9 +71,9 @@
 // other one saying that it leaves, and its deregistration come when the newer is at work.
 func restartRunner(ctx context.Context, runner *worker.Runner, f Fault) {
 	if f.Which%2 == 0 {
-		runner.Leave()
+		runner.Drain()
 	}
-	report, id := runner.Held(ctx), runner.Instance()
+	report, id := runner.DelayedReport(ctx), runner.Instance()
 	runner.Kill()
 	uptime.Sleep(ctx, f.For/4)
 	runner.Restart()
@@ -113,9 +113,9 @@
 	modes := []metastore.Mode{metastore.Silent, metastore.Busy, metastore.Reset}
 	switch f.Kind {
 	case StoreDown:
-		return metastore.Fault{Down: modes[f.Which%3], Lapse: f.Which%2 == 0}
+		return metastore.Fault{Outage: modes[f.Which%3], ExpireLeases: f.Which%2 == 0}
 	case StoreAway:
-		return metastore.Fault{Down: modes[f.Which%3], For: []string{entry}, Lapse: true}
+		return metastore.Fault{Outage: modes[f.Which%3], Callers: []string{entry}, ExpireLeases: true}
 	case StoreSlow:
 		return metastore.Fault{Delay: 250 * time.Millisecond}
 	default:
@@ -145,11 +145,11 @@
 	case EntryReset:
 		net.Reset()
 	case EntrySilent:
-		net.Forget(true, true)
+		net.Blackhole(true, true)
 	case RunnerReset:
 		runner.Reset()
 	case RunnerSilent:
-		runner.Forget(true, true)
+		runner.Blackhole(true, true)
 	}
 }
 
@@ -164,14 +164,14 @@
 		select {
 		case <-p.Done():
 		case <-time.After(8 * time.Second):
-			r.fleet.Judge.Fault("%s did not end within 8 s of SIGTERM", n.ID)
+			r.fleet.Judge.ReportViolation("%s did not end within 8 s of SIGTERM", n.ID)
 		}
 	}
 	p.Thaw()
 	p.Kill()
 	uptime.Sleep(ctx, f.For/4)
 	if err := n.Start(); err != nil {
-		r.fleet.Judge.Fault("%s: %v", n.ID, err)
+		r.fleet.Judge.ReportViolation("%s: %v", n.ID, err)
 	}
 }
 
--- a/e2e/soak/run.go
+++ b/e2e/soak/run.go
@@ -104,17 +104,17 @@
 	r.play(ctx, report.Faults)
 	r.undo.Wait()
 	if err := r.ready(ctx, recoverIn, 1); err != nil {
-		f.Judge.Fault("no recovery under load: %v", err)
+		f.Judge.ReportViolation("no recovery under load: %v", err)
 	}
 	stop()
 	if err := r.ready(ctx, recoverIn, servedInARow); err != nil {
-		f.Judge.Fault("no recovery: %v", err)
+		f.Judge.ReportViolation("no recovery: %v", err)
 	}
 	time.Sleep(settleFor)
 	if n := f.Judge.Running(); n > 0 {
-		f.Judge.Fault("%d tasks run on with no job open", n)
+		f.Judge.ReportViolation("%d tasks run on with no job open", n)
 	}
-	report.Broken = f.Judge.Faults()
+	report.Broken = f.Judge.Violations()
 	report.Answers = r.counts
 	report.Starts = f.Judge.Starts()
 	report.duration = time.Since(r.began)
@@ -209,7 +209,7 @@
 	r.counts[a.Status]++
 	r.mu.Unlock()
 	if Planned(r.opt.Seed) && a.Status == 0 && a.Took < job.Deadline-100*time.Millisecond && !strings.Contains(a.Text, "refused") {
-		r.fleet.Judge.Fault("planned work cut job %s after %v: %s", job.ID, a.Took, a.Text)
+		r.fleet.Judge.ReportViolation("planned work cut job %s after %v: %s", job.ID, a.Took, a.Text)
 	}
 }
 
@@ -251,7 +251,7 @@
 			continue
 		}
 		if a := r.fleet.Get(ctx, n, prefix); a.Status == http.StatusNotFound {
-			r.fleet.Judge.Fault("%s does not know %s %v after the store took it", n.ID, prefix, applyIn)
+			r.fleet.Judge.ReportViolation("%s does not know %s %v after the store took it", n.ID, prefix, applyIn)
 		}
 	}
 }
--- a/e2e/store_test.go
+++ b/e2e/store_test.go
@@ -46,7 +46,7 @@
 func hasty(s *node.Settings) {
 	s.Platform.Timeout = settings.Duration(500 * time.Millisecond)
 	s.Platform.LeaseTTL = settings.Duration(4 * time.Second)
-	s.Peers.Isolation = settings.Duration(2 * time.Second)
+	s.Peers.IsolationTimeout = settings.Duration(2 * time.Second)
 }
 
 // rated is the shop's contract in a version that its rate tells from the others.
@@ -57,9 +57,9 @@
 }
 
 // apply changes the shop's contract through an entry, whatever is in force.
-func apply(t *testing.T, e *harness.Entry, version int) operator.Changed {
+func apply(t *testing.T, e *harness.Entry, version int) operator.ChangeResult {
 	t.Helper()
-	changed, err := e.Operator().Apply(t.Context(), rated(version), contracts.Expect{AnyRevision: true})
+	changed, err := e.Operator().Apply(t.Context(), rated(version), contracts.Precondition{AnyRevision: true})
 	assert.NilError(t, err)
 	return changed
 }
@@ -143,22 +143,22 @@
 func mode(m store.Mode) func(*store.Store) {
 	return func(s *store.Store) {
 		s.SetMode(m)
-		s.CutWatches()
+		s.CloseWatches()
 	}
 }
 
 func nothing(*store.Store) {}
 
 var storeFaults = []storeFault{
-	{"down for longer than the leases", mode(store.Down), mode(store.Up), 4500 * time.Millisecond, operator.CodeStoreDown},
-	{"refusing connections", mode(store.Refuse), mode(store.Up), time.Second, operator.CodeStoreDown},
-	{"silent", mode(store.Silent), mode(store.Up), time.Second, operator.CodeStoreDown},
+	{"down for longer than the leases", mode(store.Down), mode(store.Up), 4500 * time.Millisecond, operator.CodeStoreUnavailable},
+	{"refusing connections", mode(store.CloseConnections), mode(store.Up), time.Second, operator.CodeStoreUnavailable},
+	{"silent", mode(store.Silent), mode(store.Up), time.Second, operator.CodeStoreUnavailable},
 	{"slow", delay(200 * time.Millisecond), delay(0), 0, ""},
-	{"answer lost after the write", func(s *store.Store) { s.LoseAnswers(1) }, nothing, 0, ""},
-	{"write late and its answer lost", func(s *store.Store) { s.LateWrites(1, 700*time.Millisecond) }, nothing, time.Second, ""},
-	{"watches cut", (*store.Store).CutWatches, nothing, 0, ""},
+	{"answer lost after the write", func(s *store.Store) { s.LoseResponses(1) }, nothing, 0, ""},
+	{"write late and its answer lost", func(s *store.Store) { s.DelayWrites(1, 700*time.Millisecond) }, nothing, time.Second, ""},
+	{"watches cut", (*store.Store).CloseWatches, nothing, 0, ""},
 	{"watches silent", (*store.Store).SilenceWatches, nothing, 0, ""},
-	{"history compacted", func(s *store.Store) { s.Compact(); s.CutWatches() }, nothing, 0, ""},
+	{"history compacted", func(s *store.Store) { s.Compact(); s.CloseWatches() }, nothing, 0, ""},
 	{"a bad value", func(s *store.Store) { s.Put(shopKey, []byte(`{"rate":`)) }, nothing, 0, ""},
 	{"the key deleted", func(s *store.Store) { s.Delete(shopKey) }, nothing, 0, ""},
 }
@@ -194,7 +194,7 @@
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
 	v := underLoad(t, c, c.Entries, func() {
 		for version := range 3 {
-			c.Store.ExpireLeases(0)
+			c.Store.RevokeLeases(0)
 			apply(t, c.Entries[version], version)
 			waitVersion(t, c.Entries, version)
 			assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
@@ -210,7 +210,7 @@
 	defer func() { t.Logf("store %s: %v in all", f.name, time.Since(begin).Round(time.Millisecond)) }()
 	through := c.Entries[version%len(c.Entries)]
 	f.fail(c.Store)
-	_, err := through.Operator().Apply(t.Context(), rated(version), contracts.Expect{AnyRevision: true})
+	_, err := through.Operator().Apply(t.Context(), rated(version), contracts.Precondition{AnyRevision: true})
 	time.Sleep(f.lasts)
 	f.heal(c.Store)
 	if f.code == "" {
@@ -273,13 +273,13 @@
 	sideBySide(t)
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
 	gone := harness.Contract("gone")
-	_, err := c.Entries[0].Operator().Apply(t.Context(), gone, contracts.Expect{})
+	_, err := c.Entries[0].Operator().Apply(t.Context(), gone, contracts.Precondition{})
 	assert.NilError(t, err)
 	assert.NilError(t, c.WaitSettled(t.Context(), "gone"))
 	frozen := c.Entries[2]
 	underLoad(t, c, c.Entries[:2], func() {
 		frozen.Freeze()
-		_, err := c.Entries[0].Operator().Retire(t.Context(), "gone", contracts.Expect{AnyRevision: true})
+		_, err := c.Entries[0].Operator().Retire(t.Context(), "gone", contracts.Precondition{AnyRevision: true})
 		assert.NilError(t, err)
 		apply(t, c.Entries[1], 1)
 		time.Sleep(5 * time.Second)
--- a/e2e/submission_test.go
+++ b/e2e/submission_test.go
@@ -140,9 +140,9 @@
 	const keep = 300 * time.Millisecond
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
 		if s.ID == "entry-1" {
-			s.Callers.KeepAnswers = settings.Duration(keep)
+			s.Callers.AnswerRetention = settings.Duration(keep)
 		} else {
-			s.Callers.KeepBytes = 2048
+			s.Callers.MaxKeptAnswerBytes = 2048
 		}
 	}})
 	job := jobOf(1, `{"echo":"`+strings.Repeat("x", 600)+`"}`)
@@ -174,7 +174,7 @@
 	parallel(t)
 	const keep = 100 * time.Millisecond
 	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
-		s.Callers.KeepAnswers = settings.Duration(keep)
+		s.Callers.AnswerRetention = settings.Duration(keep)
 	}})
 	owner, other := c.Entries[0], c.Entries[1]
 	used, unused, running := mintOne(t, client, owner), mintOne(t, client, owner), mintOne(t, client, owner)
@@ -387,7 +387,7 @@
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 1, EntrySettings: func(s *node.Settings) {
 		s.Platform.LeaseTTL = settings.Duration(4 * time.Second)
-		s.Peers.Isolation = settings.Duration(2 * time.Second)
+		s.Peers.IsolationTimeout = settings.Duration(2 * time.Second)
 	}})
 	owner := c.Entries[0]
 	id := mintOne(t, client, owner)
--- a/e2e/suspend_test.go
+++ b/e2e/suspend_test.go
@@ -15,8 +15,8 @@
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
 	v := underLoad(t, c, c.Entries, func() {
-		c.Store.SetMode(store.Refuse)
-		c.Store.CutWatches()
+		c.Store.SetMode(store.CloseConnections)
+		c.Store.CloseWatches()
 		for range 5 {
 			c.Entries[0].Freeze()
 			time.Sleep(suspended)
--- a/entry/api/answer.go
+++ b/entry/api/answer.go
@@ -60,17 +60,17 @@
 
 // newAnswer encodes body as JSON. The body types of this package cannot fail to
 // encode; the fallback exists for a type that is added later.
-func newAnswer(status int, body any) submission.Answer {
+func newAnswer(status int, body any) submission.Response {
 	b, err := json.Marshal(body)
 	if err != nil {
 		b = []byte(`{"error":{"code":"internal","message":"answer not encoded","ran":"unknown"}}`)
 		status = http.StatusInternalServerError
 	}
-	return submission.Answer{Status: status, Body: b, Digest: sha256.Sum256(b)}
+	return submission.Response{Status: status, Body: b, Digest: sha256.Sum256(b)}
 }
 
 // answer returns the response to a request that failed as a whole.
-func (f *failure) answer(id string) submission.Answer {
+func (f *failure) answer(id string) submission.Response {
 	a := newAnswer(f.status, failureBody{
 		Submission: id,
 		Error:      errorBody{Code: f.code, Message: f.message, Ran: f.ran},
@@ -79,20 +79,20 @@
 	a.Ran = f.ran
 	a.Outcome = submission.Failed
 	if f.ran == task.RanNo {
-		a.Outcome = submission.Refused
+		a.Outcome = submission.Rejected
 	}
 	return a
 }
 
 // jobAnswer converts the engine's answer to a response.
-func (s *Server) jobAnswer(id string, a *engine.Answer) submission.Answer {
+func (s *Server) jobAnswer(id string, a *engine.Answer) submission.Response {
 	if a.Complete() {
 		return completeAnswer(id, a)
 	}
 	return s.failedAnswer(id, a)
 }
 
-func completeAnswer(id string, a *engine.Answer) submission.Answer {
+func completeAnswer(id string, a *engine.Answer) submission.Response {
 	tasks := make([]completedTask, len(a.Outcomes))
 	for i, o := range a.Outcomes {
 		tasks[i] = completedTask{
@@ -122,7 +122,7 @@
 	return b
 }
 
-func (s *Server) failedAnswer(id string, a *engine.Answer) submission.Answer {
+func (s *Server) failedAnswer(id string, a *engine.Answer) submission.Response {
 	ran := a.Ran()
 	tasks := make([]failedTask, len(a.Outcomes))
 	for i, o := range a.Outcomes {
@@ -155,14 +155,14 @@
 	case a.Code == task.CodeDeadline:
 		return http.StatusGatewayTimeout, submission.Failed, 0
 	case a.Code == task.CodeRefused && ran == task.RanNo:
-		return http.StatusServiceUnavailable, submission.Refused, s.opts.RetryAfter
+		return http.StatusServiceUnavailable, submission.Rejected, s.opts.RetryAfter
 	}
 	return http.StatusBadGateway, submission.Failed, 0
 }
 
 // cancelledAnswer returns the answer stored for a submission that is cancelled
 // before its job is accepted.
-func cancelledAnswer(id string) submission.Answer {
+func cancelledAnswer(id string) submission.Response {
 	f := notStarted(http.StatusConflict, Code(task.CodeCancelled), "cancelled before it was run")
 	a := f.answer(id)
 	a.Outcome = submission.Cancelled
--- a/entry/api/api_test.go
+++ b/entry/api/api_test.go
@@ -38,10 +38,10 @@
 	decision   quota.Decision
 	releases   int
 	undos      int
-	peerStatus member.Standing
+	peerStatus member.Status
 	forward    func(*wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
 	isolated   bool
-	observed   []burn.Kind
+	observed   []burn.Outcome
 }
 
 func (f *fakes) ByToken(digest [32]byte) (contract.Contract, bool) {
@@ -53,9 +53,9 @@
 	return contract.Contract{}, false
 }
 
-func (f *fakes) ByCustomer(client string) (contract.Contract, bool) {
+func (f *fakes) ByClient(client string) (contract.Contract, bool) {
 	for _, c := range f.contracts {
-		if c.Customer == client {
+		if c.Client == client {
 			return c, true
 		}
 	}
@@ -73,25 +73,25 @@
 	return a, err
 }
 
-func (f *fakes) Knows(service string) bool { return service != "nowhere" }
-func (f *fakes) Draining() bool            { return f.draining }
+func (f *fakes) HasService(service string) bool { return service != "nowhere" }
+func (f *fakes) Draining() bool                 { return f.draining }
 
 func (f *fakes) Admit(time.Time, string, int) quota.Decision { return f.decision }
 
-func (f *fakes) Standing(string, uint64) member.Standing { return f.peerStatus }
+func (f *fakes) Status(string, uint64) member.Status { return f.peerStatus }
 
 func (f *fakes) Forward(_ context.Context, _ string, r *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
 	return f.forward(r)
 }
 
-func (f *fakes) AwaitServe(context.Context) (bool, time.Duration) {
+func (f *fakes) AwaitServing(context.Context) (bool, time.Duration) {
 	return !f.isolated, 1500 * time.Millisecond
 }
 
 func (f *fakes) Record(_ time.Time, o burn.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observed = append(f.observed, o.Kind)
+	f.observed = append(f.observed, o.Outcome)
 }
 
 // echo completes each task with its own payload.
@@ -126,11 +126,11 @@
 func newFakes() *fakes {
 	f := &fakes{run: echo, peerStatus: member.Live}
 	f.decision = quota.Decision{OK: true, Release: func() { f.releases++ }, Undo: func() { f.undos++ }}
-	shop := contract.Contract{Customer: "shop", State: contract.Active, Services: []string{"teardown"}, AnswerTime: contract.Duration(time.Second)}
+	shop := contract.Contract{Client: "shop", State: contract.Active, Services: []string{"teardown"}, AnswerTime: contract.Duration(time.Second)}
 	other := shop
-	other.Customer = "other"
+	other.Client = "other"
 	retired := shop
-	retired.Customer, retired.State = "retired", contract.Retired
+	retired.Client, retired.State = "retired", contract.Retired
 	f.contracts = map[string]contract.Contract{"t-shop": shop, "t-other": other, "t-retired": retired}
 	return f
 }
@@ -143,7 +143,7 @@
 		Contracts: f,
 		Quota:     f,
 		Peers:     f,
-		Gate:      f,
+		Readiness: f,
 		Recorder:  f,
 		MaxBody:   4096,
 	})
@@ -151,7 +151,7 @@
 
 func handler(s *Server) http.Handler {
 	mux := http.NewServeMux()
-	s.Register(mux)
+	s.RegisterHandlers(mux)
 	return mux
 }
 
@@ -207,7 +207,7 @@
 	assert.Equal(t, b.Tasks[0].Length, 5)
 	assert.Equal(t, b.Tasks[0].RunTime, "51ms")
 	assert.Equal(t, b.Tasks[1].Length, 0)
-	assert.DeepEqual(t, f.observed, []burn.Kind{burn.OnTime})
+	assert.DeepEqual(t, f.observed, []burn.Outcome{burn.OnTime})
 	assert.Equal(t, f.releases, 1)
 	assert.Equal(t, w.Header().Get(headerRetryAfter), "")
 	next, err := submission.Parse(w.Header().Get(headerNext))
@@ -230,42 +230,42 @@
 		code    Code
 		ran     task.Ran
 		retry   string // Retry-After, Retry-After-Ms
-		kind    []burn.Kind
+		kind    []burn.Outcome
 		onIDRan task.Ran // set if it differs under an id
 	}{
 		{name: "no token", token: "none", status: 401, code: CodeUnauthenticated, ran: "no", onIDRan: "unknown"},
-		{name: "retired", token: "t-retired", status: 403, code: CodeRetired, ran: "no"},
+		{name: "retired", token: "t-retired", status: 403, code: CodeContractRetired, ran: "no"},
 		{name: "malformed", body: `{`, status: 400, code: CodeBadRequest, ran: "no"},
 		{name: "unknown field", body: `{"service":"teardown","tasks":[{"pay":1}]}`, status: 400, code: CodeBadRequest, ran: "no"},
-		{name: "too large", body: strings.Repeat(" ", 5000), status: 413, code: CodeTooLarge, ran: "no"},
-		{name: "form", header: map[string]string{"Content-Type": "application/x-www-form-urlencoded"}, status: 415, code: CodeMediaType, ran: "no"},
-		{name: "gzip", header: map[string]string{"Content-Encoding": "gzip"}, status: 415, code: CodeMediaType, ran: "no"},
+		{name: "too large", body: strings.Repeat(" ", 5000), status: 413, code: CodeBodyTooLarge, ran: "no"},
+		{name: "form", header: map[string]string{"Content-Type": "application/x-www-form-urlencoded"}, status: 415, code: CodeUnsupportedMediaType, ran: "no"},
+		{name: "gzip", header: map[string]string{"Content-Encoding": "gzip"}, status: 415, code: CodeUnsupportedMediaType, ran: "no"},
 		{name: "digest", header: map[string]string{headerDigest: "sha-256=:AAAA:"}, status: 400, code: CodeDigestMismatch, ran: "no"},
 		{name: "bad digest", header: map[string]string{headerDigest: "sha-256=AAAA"}, status: 400, code: CodeBadRequest, ran: "no"},
 		{name: "service not allowed", body: strings.Replace(jobText, "teardown", "billing", 1), status: 403, code: CodeServiceForbidden, ran: "no"},
 		{name: "no such service", body: strings.Replace(jobText, "teardown", "nowhere", 1), status: 404, code: CodeServiceUnknown, ran: "no"},
 		{name: "over quota", setup: func(f *fakes) { f.decision = quota.Decision{RetryAfter: 1001 * time.Millisecond} },
-			status: 429, code: CodeOverQuota, ran: "no", retry: "2 1001", kind: []burn.Kind{burn.RefusedOver}},
+			status: 429, code: CodeOverQuota, ran: "no", retry: "2 1001", kind: []burn.Outcome{burn.RejectedOverContract}},
 		{name: "never fits", setup: func(f *fakes) { f.decision = quota.Decision{Permanent: true} },
-			status: 422, code: CodeJobTooLarge, ran: "no", kind: []burn.Kind{burn.RefusedOver}},
-		{name: "draining", setup: func(f *fakes) { f.draining = true }, status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
-		{name: "isolated", setup: func(f *fakes) { f.isolated = true }, status: 503, code: CodeIsolated, ran: "no", retry: "2 1500", kind: []burn.Kind{burn.RefusedWithin}},
+			status: 422, code: CodeJobTooLarge, ran: "no", kind: []burn.Outcome{burn.RejectedOverContract}},
+		{name: "draining", setup: func(f *fakes) { f.draining = true }, status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Outcome{burn.RejectedWithinContract}},
+		{name: "isolated", setup: func(f *fakes) { f.isolated = true }, status: 503, code: CodeIsolated, ran: "no", retry: "2 1500", kind: []burn.Outcome{burn.RejectedWithinContract}},
 		{name: "backlog", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrBacklog, 2300*time.Microsecond) },
-			status: 429, code: CodeBacklog, ran: "no", retry: "1 3", kind: []burn.Kind{burn.RefusedWithin}},
+			status: 429, code: CodeBacklog, ran: "no", retry: "1 3", kind: []burn.Outcome{burn.RejectedWithinContract}},
 		{name: "no endpoint", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrNoEndpoint, 0) },
-			status: 503, code: CodeNoEndpoint, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
+			status: 503, code: CodeNoEndpoint, ran: "no", retry: "1 1000", kind: []burn.Outcome{burn.RejectedWithinContract}},
 		{name: "queue full", setup: func(f *fakes) { f.run = rejecting(scheduler.ErrQueueFull, time.Second) },
-			status: 503, code: CodeQueueFull, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
+			status: 503, code: CodeQueueFull, ran: "no", retry: "1 1000", kind: []burn.Outcome{burn.RejectedWithinContract}},
 		{name: "drain race", setup: func(f *fakes) { f.run = rejecting(engine.ErrDraining, 0) },
-			status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
+			status: 503, code: CodeDraining, ran: "no", retry: "1 1000", kind: []burn.Outcome{burn.RejectedWithinContract}},
 		{name: "endpoints refused", setup: func(f *fakes) { f.run = failing(task.CodeRefused, task.RanNo) },
-			status: 503, code: Code(task.CodeRefused), ran: "no", retry: "1 1000", kind: []burn.Kind{burn.RefusedWithin}},
+			status: 503, code: Code(task.CodeRefused), ran: "no", retry: "1 1000", kind: []burn.Outcome{burn.RejectedWithinContract}},
 		{name: "task failed", setup: func(f *fakes) { f.run = failing(task.CodeFailed, task.RanYes) },
-			status: 502, code: Code(task.CodeFailed), ran: "yes", kind: []burn.Kind{burn.Failed}},
+			status: 502, code: Code(task.CodeFailed), ran: "yes", kind: []burn.Outcome{burn.Failed}},
 		{name: "endpoint lost", setup: func(f *fakes) { f.run = failing(task.CodeLost, task.RanUnknown) },
-			status: 502, code: Code(task.CodeLost), ran: "unknown", kind: []burn.Kind{burn.Failed}},
+			status: 502, code: Code(task.CodeLost), ran: "unknown", kind: []burn.Outcome{burn.Failed}},
 		{name: "answer time", setup: func(f *fakes) { f.run = failing(task.CodeDeadline, task.RanNo) },
-			status: 504, code: Code(task.CodeDeadline), ran: "no", kind: []burn.Kind{burn.Failed}},
+			status: 504, code: Code(task.CodeDeadline), ran: "no", kind: []burn.Outcome{burn.Failed}},
 	}
 	for _, c := range cases {
 		for _, underID := range []bool{false, true} {
@@ -488,15 +488,15 @@
 	cases := []struct {
 		name       string
 		owner      string
-		peerStatus member.Standing
+		peerStatus member.Status
 		status     int
 		code       Code
 		retry      string
 	}{
-		{"silent", "osijek-1", member.Silent, 503, CodeOwnerSilent, "1"},
-		{"gone", "osijek-1", member.Gone, 410, CodeLost, ""},
-		{"call lost", "osijek-1", member.Live, 503, CodeOwnerSilent, "1"},
-		{"earlier incarnation of this entry", entryID, member.Live, 410, CodeLost, ""},
+		{"silent", "osijek-1", member.Silent, 503, CodeOwnerUnresponsive, "1"},
+		{"gone", "osijek-1", member.Gone, 410, CodeSubmissionLost, ""},
+		{"call lost", "osijek-1", member.Live, 503, CodeOwnerUnresponsive, "1"},
+		{"earlier incarnation of this entry", entryID, member.Live, 410, CodeSubmissionLost, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/entry/api/auth.go
+++ b/entry/api/auth.go
@@ -41,7 +41,7 @@
 // checkContractActive rejects new jobs under a retired contract.
 func checkContractActive(c contract.Contract) *failure {
 	if c.State != contract.Active {
-		return notStarted(http.StatusForbidden, CodeRetired, "the contract is retired")
+		return notStarted(http.StatusForbidden, CodeContractRetired, "the contract is retired")
 	}
 	return nil
 }
--- a/entry/api/body.go
+++ b/entry/api/body.go
@@ -55,7 +55,7 @@
 const maxPreallocated = 64 << 10
 
 func (s *Server) tooLarge() *failure {
-	return notStarted(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body may have at most %d bytes", s.opts.MaxBody)
+	return notStarted(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body may have at most %d bytes", s.opts.MaxBody)
 }
 
 func (s *Server) readFailure(err error) *failure {
@@ -66,14 +66,14 @@
 	case errors.Is(err, errBodyBudget):
 		return retryLater(http.StatusServiceUnavailable, CodeBusy, s.opts.RetryAfter, "too many large requests are open")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return notStarted(http.StatusRequestTimeout, CodeSlowBody, "the body did not arrive in time")
+		return notStarted(http.StatusRequestTimeout, CodeBodyTimeout, "the body did not arrive in time")
 	}
 	return notStarted(http.StatusBadRequest, CodeBadRequest, "the body was cut short")
 }
 
 func checkMedia(r *http.Request) *failure {
 	if r.Header.Get("Content-Encoding") != "" {
-		return notStarted(http.StatusUnsupportedMediaType, CodeMediaType, "send the body without Content-Encoding")
+		return notStarted(http.StatusUnsupportedMediaType, CodeUnsupportedMediaType, "send the body without Content-Encoding")
 	}
 	contentType := r.Header.Get("Content-Type")
 	if contentType == "" {
@@ -81,7 +81,7 @@
 	}
 	media, _, err := mime.ParseMediaType(contentType)
 	if err != nil || media != "application/json" {
-		return notStarted(http.StatusUnsupportedMediaType, CodeMediaType, "send the body as application/json")
+		return notStarted(http.StatusUnsupportedMediaType, CodeUnsupportedMediaType, "send the body as application/json")
 	}
 	return nil
 }
--- a/entry/api/failure.go
+++ b/entry/api/failure.go
@@ -18,32 +18,32 @@
 
 // Codes of failures that are not caused by a task.
 const (
-	CodeBadRequest       Code = "bad_request"
-	CodeDigestMismatch   Code = "digest_mismatch"
-	CodeUnauthenticated  Code = "unauthenticated"
-	CodeRetired          Code = "contract_retired"
-	CodeServiceForbidden Code = "service_not_allowed"
-	CodeServiceUnknown   Code = "unknown_service"
-	CodeUnknown          Code = "unknown_submission"
-	CodeNotFound         Code = "not_found"
-	CodeMethod           Code = "method_not_allowed"
-	CodeSlowBody         Code = "body_timeout"
-	CodeBodyDiffers      Code = "body_differs"
-	CodeEvicted          Code = "answer_evicted"
-	CodeExpired          Code = "submission_expired"
-	CodeLost             Code = "submission_lost"
-	CodeTooLarge         Code = "body_too_large"
-	CodeMediaType        Code = "unsupported_media_type"
-	CodeJobTooLarge      Code = "job_too_large"
-	CodeOverQuota        Code = "over_quota"
-	CodeBacklog          Code = "backlog"
-	CodeDraining         Code = "draining"
-	CodeIsolated         Code = "isolated"
-	CodeNoEndpoint       Code = "no_endpoint"
-	CodeQueueFull        Code = "queue_full"
-	CodeBusy             Code = "busy"
-	CodeOwnerSilent      Code = "owner_silent"
-	CodeInternal         Code = "internal"
+	CodeBadRequest           Code = "bad_request"
+	CodeDigestMismatch       Code = "digest_mismatch"
+	CodeUnauthenticated      Code = "unauthenticated"
+	CodeContractRetired      Code = "contract_retired"
+	CodeServiceForbidden     Code = "service_not_allowed"
+	CodeServiceUnknown       Code = "unknown_service"
+	CodeUnknownSubmission    Code = "unknown_submission"
+	CodeNotFound             Code = "not_found"
+	CodeMethodNotAllowed     Code = "method_not_allowed"
+	CodeBodyTimeout          Code = "body_timeout"
+	CodeBodyDiffers          Code = "body_differs"
+	CodeAnswerEvicted        Code = "answer_evicted"
+	CodeSubmissionExpired    Code = "submission_expired"
+	CodeSubmissionLost       Code = "submission_lost"
+	CodeBodyTooLarge         Code = "body_too_large"
+	CodeUnsupportedMediaType Code = "unsupported_media_type"
+	CodeJobTooLarge          Code = "job_too_large"
+	CodeOverQuota            Code = "over_quota"
+	CodeBacklog              Code = "backlog"
+	CodeDraining             Code = "draining"
+	CodeIsolated             Code = "isolated"
+	CodeNoEndpoint           Code = "no_endpoint"
+	CodeQueueFull            Code = "queue_full"
+	CodeBusy                 Code = "busy"
+	CodeOwnerUnresponsive    Code = "owner_silent"
+	CodeInternal             Code = "internal"
 )
 
 // failure describes why a request failed.
@@ -85,15 +85,15 @@
 func stateFailure(state submission.State) *failure {
 	switch state {
 	case submission.Evicted:
-		return mayHaveRun(http.StatusGone, CodeEvicted, "it was accepted; its answer is no longer kept, and it never runs again")
+		return mayHaveRun(http.StatusGone, CodeAnswerEvicted, "it was accepted; its answer is no longer kept, and it never runs again")
 	case submission.Expired:
-		return mayHaveRun(http.StatusGone, CodeExpired, "the id is too old to tell whether it was used; it never runs now")
+		return mayHaveRun(http.StatusGone, CodeSubmissionExpired, "the id is too old to tell whether it was used; it never runs now")
 	case submission.Conflict:
 		return mayHaveRun(http.StatusConflict, CodeBodyDiffers, "the id was used for another body; this one was not run")
 	case submission.Unused:
-		return notStarted(http.StatusNotFound, CodeUnknown, "no job was submitted under this id")
+		return notStarted(http.StatusNotFound, CodeUnknownSubmission, "no job was submitted under this id")
 	}
-	return notStarted(http.StatusNotFound, CodeUnknown, "no such submission id of this customer")
+	return notStarted(http.StatusNotFound, CodeUnknownSubmission, "no such submission id of this customer")
 }
 
 // rejectionFailure converts the engine's rejection of a job to a failure.
--- a/entry/api/forward.go
+++ b/entry/api/forward.go
@@ -19,7 +19,7 @@
 
 // forward sends a request to the entry that owns the id. It returns an error
 // only if ctx ends first.
-func (s *Server) forward(ctx context.Context, t target, method wirev1.ForwardMethod, body []byte) (submission.Answer, error) {
+func (s *Server) forward(ctx context.Context, t target, method wirev1.ForwardMethod, body []byte) (submission.Response, error) {
 	if f := s.ownerFailure(t.id); f != nil {
 		return f.answer(t.text), nil
 	}
@@ -29,12 +29,12 @@
 	response, err := s.opts.Peers.Forward(forwardCtx, t.id.Entry, &wirev1.ForwardRequest{
 		Method:        method,
 		Submission:    t.text,
-		Customer:      t.contract.Customer,
+		Customer:      t.contract.Client,
 		Body:          body,
 		ToIncarnation: t.id.Incarnation,
 	})
 	if ctx.Err() != nil {
-		return submission.Answer{}, ctx.Err()
+		return submission.Response{}, ctx.Err()
 	}
 	if err != nil {
 		eventForwardFailed.Log(ctx, s.opts.Logger, slog.String("owner", t.id.Entry), slog.String("error", err.Error()))
@@ -56,17 +56,17 @@
 }
 
 func ownerGone() *failure {
-	return mayHaveRun(http.StatusGone, CodeLost, "the entry that owned it is gone; it may have run: submit under a new id")
+	return mayHaveRun(http.StatusGone, CodeSubmissionLost, "the entry that owned it is gone; it may have run: submit under a new id")
 }
 
 // ownerStatus returns the membership status of the owner of an id. An id that
 // carries this entry's name belongs to an earlier incarnation, which is gone:
 // the caller handles ids of the current incarnation itself.
-func (s *Server) ownerStatus(id submission.ID) member.Standing {
+func (s *Server) ownerStatus(id submission.ID) member.Status {
 	if id.Entry == s.opts.EntryID {
 		return member.Gone
 	}
-	return s.opts.Peers.Standing(id.Entry, id.Incarnation)
+	return s.opts.Peers.Status(id.Entry, id.Incarnation)
 }
 
 // forwardFailure returns the failure after a forwarded call failed. It checks
@@ -79,13 +79,13 @@
 }
 
 func (s *Server) ownerUnresponsive() *failure {
-	f := mayHaveRun(http.StatusServiceUnavailable, CodeOwnerSilent, "the entry that owns it does not answer; its job may run: ask again under the same id")
+	f := mayHaveRun(http.StatusServiceUnavailable, CodeOwnerUnresponsive, "the entry that owns it does not answer; its job may run: ask again under the same id")
 	f.retryAfter = s.opts.RetryAfter
 	return f
 }
 
-func forwardedAnswer(r *wirev1.ForwardResponse) submission.Answer {
-	a := submission.Answer{
+func forwardedAnswer(r *wirev1.ForwardResponse) submission.Response {
+	a := submission.Response{
 		Status:     int(r.GetStatus()),
 		Body:       r.GetBody(),
 		Digest:     sha256.Sum256(r.GetBody()),
@@ -108,7 +108,7 @@
 	}, nil
 }
 
-func (s *Server) ownerAnswer(ctx context.Context, r *wirev1.ForwardRequest) (submission.Answer, error) {
+func (s *Server) ownerAnswer(ctx context.Context, r *wirev1.ForwardRequest) (submission.Response, error) {
 	arrived := s.now()
 	id, err := submission.Parse(r.GetSubmission())
 	if err != nil {
--- a/entry/api/handlers.go
+++ b/entry/api/handlers.go
@@ -35,7 +35,7 @@
 		s.writeFailure(w, "", f)
 		return
 	}
-	ids := s.opts.Table.Mint(c.Customer, count)
+	ids := s.opts.Table.Mint(c.Client, count)
 	texts := make([]string, len(ids))
 	for i, id := range ids {
 		texts[i] = id.String()
@@ -57,10 +57,10 @@
 		return
 	}
 	defer b.release()
-	id := s.opts.Table.Mint(c.Customer, 1)[0]
-	j := job{id: id, text: id.String(), client: c.Customer, body: b, arrived: arrived}
+	id := s.opts.Table.Mint(c.Client, 1)[0]
+	j := job{id: id, text: id.String(), client: c.Client, body: b, arrived: arrived}
 	a := s.submitOnce(r.Context(), j)
-	s.setNextID(w, c.Customer, id)
+	s.setNextID(w, c.Client, id)
 	s.write(w, a)
 }
 
@@ -103,16 +103,16 @@
 	}
 	defer b.release()
 	a, err := s.putAnswer(r.Context(), t, b, job{
-		id: t.id, text: t.text, client: t.contract.Customer, body: b, arrived: arrived,
+		id: t.id, text: t.text, client: t.contract.Client, body: b, arrived: arrived,
 	})
 	if err != nil {
 		return // the caller disconnected
 	}
-	s.setNextID(w, t.contract.Customer, t.id)
+	s.setNextID(w, t.contract.Client, t.id)
 	s.write(w, a)
 }
 
-func (s *Server) putAnswer(ctx context.Context, t target, b *body, j job) (submission.Answer, error) {
+func (s *Server) putAnswer(ctx context.Context, t target, b *body, j job) (submission.Response, error) {
 	if s.opts.Table.Owns(t.id) {
 		return s.submit(ctx, j)
 	}
@@ -123,7 +123,7 @@
 // that the job did not run only if this entry owns the id and nothing was
 // submitted under it; otherwise ran is unknown.
 func (s *Server) bodyFailure(t target, f *failure) *failure {
-	if s.opts.Table.Find(s.now(), t.id, t.contract.Customer).State == submission.Unused {
+	if s.opts.Table.Find(s.now(), t.id, t.contract.Client).State == submission.Unused {
 		return f
 	}
 	return f.withUnknownRan()
@@ -136,7 +136,7 @@
 		return
 	}
 	if s.opts.Table.Owns(t.id) {
-		s.write(w, s.lookUp(t.id, t.text, t.contract.Customer))
+		s.write(w, s.lookUp(t.id, t.text, t.contract.Client))
 		return
 	}
 	s.relay(w, r, t, wirev1.ForwardMethod_FORWARD_METHOD_FETCH)
@@ -152,7 +152,7 @@
 		s.relay(w, r, t, wirev1.ForwardMethod_FORWARD_METHOD_CANCEL)
 		return
 	}
-	a, err := s.cancel(r.Context(), t.id, t.text, t.contract.Customer)
+	a, err := s.cancel(r.Context(), t.id, t.text, t.contract.Client)
 	if err != nil {
 		return // the caller disconnected
 	}
@@ -170,7 +170,7 @@
 func (s *Server) methodNotAllowed(allow string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Allow", allow)
-		f := notStarted(http.StatusMethodNotAllowed, CodeMethod, "%s is not allowed here; use one of %s", r.Method, allow)
+		f := notStarted(http.StatusMethodNotAllowed, CodeMethodNotAllowed, "%s is not allowed here; use one of %s", r.Method, allow)
 		if r.PathValue("id") != "" {
 			f = f.withUnknownRan()
 		}
--- a/entry/api/server.go
+++ b/entry/api/server.go
@@ -25,7 +25,7 @@
 	// ByToken returns the active or retired contract whose token digests contain
 	// the SHA-256 of the caller's token. It compares in constant time.
 	ByToken(digest [32]byte) (contract.Contract, bool)
-	ByCustomer(client string) (contract.Contract, bool)
+	ByClient(client string) (contract.Contract, bool)
 }
 
 // Quota enforces the rate and in-flight limits of each client.
@@ -36,16 +36,16 @@
 // Peers reports the membership status of other entries and forwards requests to
 // them.
 type Peers interface {
-	Standing(entry string, incarnation uint64) member.Standing
+	Status(entry string, incarnation uint64) member.Status
 	Forward(ctx context.Context, entry string, req *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error)
 }
 
-// Gate reports whether this entry may accept new jobs. It may not while it could
+// ReadinessChecker reports whether this entry may accept new jobs. It may not while it could
 // be the only entry that missed a configuration change.
-type Gate interface {
-	// AwaitServe may block briefly while this entry cannot tell whether it is
+type ReadinessChecker interface {
+	// AwaitServing may block briefly while this entry cannot tell whether it is
 	// isolated.
-	AwaitServe(ctx context.Context) (ok bool, retryAfter time.Duration)
+	AwaitServing(ctx context.Context) (ok bool, retryAfter time.Duration)
 }
 
 // Recorder records one observation for each job that ended or was rejected.
@@ -57,7 +57,7 @@
 // Engine runs jobs. The error of Submit is always an *engine.Refusal.
 type Engine interface {
 	Submit(ctx context.Context, j engine.Job) (*engine.Answer, error)
-	Knows(service string) bool
+	HasService(service string) bool
 	Draining() bool
 }
 
@@ -70,7 +70,7 @@
 	Contracts Contracts
 	Quota     Quota
 	Peers     Peers
-	Gate      Gate
+	Readiness ReadinessChecker
 	Recorder  Recorder
 
 	// MaxBody limits the body of one request, MaxOpenBody the total size of the
@@ -144,9 +144,9 @@
 	return &Server{opts: opts, metrics: newMetrics(opts.Scope)}
 }
 
-// Register adds the API's handlers to mux. A path that no other pattern of mux
+// RegisterHandlers adds the API's handlers to mux. A path that no other pattern of mux
 // matches is answered with an error body of this API.
-func (s *Server) Register(mux *http.ServeMux) {
+func (s *Server) RegisterHandlers(mux *http.ServeMux) {
 	s.handle(mux, "POST /v1/submissions", s.mint)
 	s.handle(mux, "PUT /v1/submissions/{id}", s.put)
 	s.handle(mux, "GET /v1/submissions/{id}", s.fetch)
--- a/entry/api/write.go
+++ b/entry/api/write.go
@@ -11,7 +11,7 @@
 
 // write sends an answer with its length and digest, so that the caller can
 // detect a truncated body.
-func (s *Server) write(w http.ResponseWriter, a submission.Answer) {
+func (s *Server) write(w http.ResponseWriter, a submission.Response) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
--- a/entry/burn/burn.go
+++ b/entry/burn/burn.go
@@ -19,30 +19,30 @@
 
 import "time"
 
-// Kind classifies how a job ended.
-type Kind int
+// Outcome classifies how a job ended.
+type Outcome int
 
 // Values of Kind.
 const (
-	OnTime Kind = iota
+	OnTime Outcome = iota
 	Late
 	Failed
-	// RefusedWithin: rejected although the client was within its contract.
-	RefusedWithin
-	// RefusedOver: rejected because the client exceeded its contract.
-	RefusedOver
+	// RejectedWithinContract: rejected although the client was within its contract.
+	RejectedWithinContract
+	// RejectedOverContract: rejected because the client exceeded its contract.
+	RejectedOverContract
 	kindCount
 )
 
 // Observation records how one job ended.
 type Observation struct {
-	Customer string
-	Kind     Kind
-	Latency  time.Duration
+	Client  string
+	Outcome Outcome
+	Latency time.Duration
 }
 
-// Pair is a short and a long window that are evaluated together.
-type Pair struct {
+// WindowPair is a short and a long window that are evaluated together.
+type WindowPair struct {
 	Name        string
 	Short, Long time.Duration
 	// Threshold is the burn rate at which the pair alerts, if both windows are at
@@ -50,9 +50,9 @@
 	Threshold float64
 }
 
-// Pairs are the window pairs of the report, one for a fast and one for a slow
+// WindowPairs are the window pairs of the report, one for a fast and one for a slow
 // burn.
-var Pairs = [...]Pair{
+var WindowPairs = [...]WindowPair{
 	{Name: "fast", Short: 5 * time.Minute, Long: time.Hour, Threshold: 14.4},
 	{Name: "slow", Short: 30 * time.Minute, Long: 6 * time.Hour, Threshold: 6},
 }
@@ -60,14 +60,14 @@
 const (
 	// bucketWidth is the resolution of the windows.
 	bucketWidth = 30 * time.Second
-	// Horizon is the longest window, over which the error budget is computed.
-	Horizon = 6 * time.Hour
+	// BudgetWindow is the longest window, over which the error budget is computed.
+	BudgetWindow = 6 * time.Hour
 	// ringSize is the number of buckets in the horizon, and one for the bucket
 	// being filled.
-	ringSize = int(Horizon/bucketWidth) + 1
+	ringSize = int(BudgetWindow/bucketWidth) + 1
 	// pointWidth is the time covered by one point of a plot.
 	pointWidth = 5 * time.Minute
-	pointCount = int(Horizon / pointWidth)
+	pointCount = int(BudgetWindow / pointWidth)
 )
 
 // Counts holds the number of jobs of each kind. It is encoded in JSON as an array
@@ -89,11 +89,11 @@
 
 // Bad returns the number of jobs that spend the error budget.
 func (c Counts) Bad() uint64 {
-	return c[Late] + c[Failed] + c[RefusedWithin]
+	return c[Late] + c[Failed] + c[RejectedWithinContract]
 }
 
-// Share returns the fraction of answers that are of kind k; 0 without answers.
-func (c Counts) Share(k Kind) float64 { return ratio(c[k], c.Answers()) }
+// Ratio returns the fraction of answers that are of kind k; 0 without answers.
+func (c Counts) Ratio(k Outcome) float64 { return ratio(c[k], c.Answers()) }
 
 // BurnRate returns the ratio of bad answers divided by the error budget. It returns
 // 0 for an unknown objective (0).
--- a/entry/burn/burn_test.go
+++ b/entry/burn/burn_test.go
@@ -34,7 +34,7 @@
 func TestBurnRate(t *testing.T) {
 	c := counts(990, 4, 3, 3, 500)
 	assert.Equal(t, c.Answers(), uint64(1000))
-	assert.Equal(t, c.Share(burn.Late), 0.004)
+	assert.Equal(t, c.Ratio(burn.Late), 0.004)
 	assert.Assert(t, abs(c.BurnRate(0.99)-1) < 1e-9)
 	assert.Assert(t, abs(c.BurnRate(0.999)-10) < 1e-9)
 	assert.Equal(t, c.BurnRate(0), 0.0)
@@ -47,8 +47,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(60*time.Second)).Draw(t, "latency"))
 		r := burn.NewRecorder(start)
-		r.Record(start, burn.Observation{Customer: "a", Latency: d})
-		got := r.Snapshot(start, "e", nil, false).Customers[0].Latency.Quantile(0.99)
+		r.Record(start, burn.Observation{Client: "a", Latency: d})
+		got := r.Snapshot(start, "e", nil, false).Clients[0].Latency.Quantile(0.99)
 		// A bound exceeds the latency by a factor of at most the square root of 2.
 		assert.Assert(t, got >= d-time.Microsecond && float64(got) <= 1.4143*float64(d), "%s for %s", got, d)
 	})
@@ -67,8 +67,8 @@
 	last := now / bucket
 	first := last - window/bucket + 1
 	for _, s := range observations {
-		if e := s.at / bucket; s.o.Customer == client && e >= first && e <= last {
-			sum[s.o.Kind]++
+		if e := s.at / bucket; s.o.Client == client && e >= first && e <= last {
+			sum[s.o.Outcome]++
 		}
 	}
 	return sum
@@ -86,21 +86,21 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.SampledFrom(gaps).Draw(t, "pause")
 			o := burn.Observation{
-				Customer: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"),
-				Kind:     burn.Kind(rapid.IntRange(0, 4).Draw(t, "kind")),
-				Latency:  time.Millisecond,
+				Client:  rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"),
+				Outcome: burn.Outcome(rapid.IntRange(0, 4).Draw(t, "kind")),
+				Latency: time.Millisecond,
 			}
 			recorders[rapid.IntRange(0, 1).Draw(t, "entry")].Record(start.Add(now), o)
 			observations = append(observations, recordedObservation{now, o})
 		}
-		target := []burn.Target{{Customer: "a", Objective: 0.9}, {Customer: "b", Objective: 0.9}}
+		target := []burn.Target{{Client: "a", Objective: 0.9}, {Client: "b", Objective: 0.9}}
 		merged, err := burn.Merge(
 			recorders[0].Snapshot(start.Add(now), "e1", target, true),
 			recorders[1].Snapshot(start.Add(now), "e2", target, true))
 		assert.NilError(t, err)
-		assert.Equal(t, len(merged.Customers), 2)
-		for _, c := range merged.Customers {
-			for i, p := range burn.Pairs {
+		assert.Equal(t, len(merged.Clients), 2)
+		for _, c := range merged.Clients {
+			for i, p := range burn.WindowPairs {
 				assert.Equal(t, c.Windows[2*i], oracle(observations, c.Name, now, p.Short), "%s short", p.Name)
 				assert.Equal(t, c.Windows[2*i+1], oracle(observations, c.Name, now, p.Long), "%s long", p.Name)
 			}
@@ -108,31 +108,31 @@
 			for _, point := range c.Series {
 				total.Add(point)
 			}
-			assert.Equal(t, total, oracle(observations, c.Name, now, burn.Horizon))
+			assert.Equal(t, total, oracle(observations, c.Name, now, burn.BudgetWindow))
 		}
 	})
 }
 
 func TestMergeUsesTheNewestContract(t *testing.T) {
 	r := burn.NewRecorder(start)
-	older := r.Snapshot(start, "e1", []burn.Target{{Customer: "a", Objective: 0.9, Revision: 3}}, false)
-	newer := r.Snapshot(start, "e2", []burn.Target{{Customer: "a", Objective: 0.99, Revision: 4}}, false)
+	older := r.Snapshot(start, "e1", []burn.Target{{Client: "a", Objective: 0.9, Revision: 3}}, false)
+	newer := r.Snapshot(start, "e2", []burn.Target{{Client: "a", Objective: 0.99, Revision: 4}}, false)
 	for _, order := range [][]burn.Snapshot{{older, newer}, {newer, older}} {
 		merged, err := burn.Merge(order...)
 		assert.NilError(t, err)
-		assert.Equal(t, merged.Customers[0].Objective, 0.99)
+		assert.Equal(t, merged.Clients[0].Objective, 0.99)
 		assert.DeepEqual(t, merged.Entries, []string{"e1", "e2"})
 	}
-	_, err := burn.Merge(burn.Snapshot{Customers: []burn.Customer{{Name: "a"}}})
-	assert.ErrorIs(t, err, burn.ErrSnapshot)
+	_, err := burn.Merge(burn.Snapshot{Clients: []burn.ClientCounts{{Name: "a"}}})
+	assert.ErrorIs(t, err, burn.ErrSnapshotFormat)
 }
 
 func report(t *testing.T) burn.Report {
 	t.Helper()
 	r := burn.NewRecorder(start)
-	record := func(client string, kind burn.Kind, n int) {
+	record := func(client string, kind burn.Outcome, n int) {
 		for range n {
-			r.Record(start, burn.Observation{Customer: client, Kind: kind, Latency: 40 * time.Millisecond})
+			r.Record(start, burn.Observation{Client: client, Outcome: kind, Latency: 40 * time.Millisecond})
 		}
 	}
 	record("broken", burn.Failed, 1)
@@ -140,8 +140,8 @@
 	record("burning", burn.OnTime, 80)
 	record("burning", burn.Late, 20)
 	s := r.Snapshot(start, "e1", []burn.Target{
-		{Customer: "calm<b>", Objective: 0.99}, {Customer: "burning", Objective: 0.99}, {Customer: "idle", Objective: 0.99},
-		{Customer: "broken", Objective: 0.99999},
+		{Client: "calm<b>", Objective: 0.99}, {Client: "burning", Objective: 0.99}, {Client: "idle", Objective: 0.99},
+		{Client: "broken", Objective: 0.99999},
 	}, true)
 	raw, err := json.Marshal(s)
 	assert.NilError(t, err)
@@ -172,7 +172,7 @@
 	assert.Assert(t, strings.HasPrefix(lines[1], "broken") && strings.HasSuffix(lines[1], "ALERT"))
 	assert.Assert(t, strings.Contains(lines[1], "99.999%") && strings.Contains(lines[1], "-9999900%"), lines[1])
 	assert.Assert(t, strings.Contains(table.String(), "NOT counted, no answer: e2"))
-	assert.NilError(t, rep.WritePage(&page))
+	assert.NilError(t, rep.WriteHTML(&page))
 	text := page.String()
 	assert.Assert(t, strings.Contains(text, "calm&lt;b&gt;") && !strings.Contains(text, "calm<b>"))
 	assert.Assert(t, !strings.Contains(text, "http") && !strings.Contains(text, "<script"), "the page must be self-contained")
@@ -186,10 +186,10 @@
 	for range goroutines {
 		wg.Go(func() {
 			for range each {
-				r.Record(start, burn.Observation{Customer: "a"})
+				r.Record(start, burn.Observation{Client: "a"})
 			}
 		})
 	}
 	wg.Wait()
-	assert.Equal(t, r.Snapshot(start, "e", nil, false).Customers[0].Windows[0].Answers(), uint64(goroutines*each))
+	assert.Equal(t, r.Snapshot(start, "e", nil, false).Clients[0].Windows[0].Answers(), uint64(goroutines*each))
 }
--- a/entry/burn/histogram.go
+++ b/entry/burn/histogram.go
@@ -33,8 +33,8 @@
 	return min(i, latencyBucketCount-1)
 }
 
-// Bound returns the upper bound of bucket i.
-func Bound(i int) time.Duration {
+// BucketBound returns the upper bound of bucket i.
+func BucketBound(i int) time.Duration {
 	return time.Duration(float64(smallestBound) * math.Pow(2, float64(i)/2))
 }
 
@@ -53,8 +53,8 @@
 	for i, n := range h {
 		cumulative += n
 		if cumulative >= rank && n > 0 {
-			return Bound(i)
+			return BucketBound(i)
 		}
 	}
-	return Bound(latencyBucketCount - 1)
+	return BucketBound(latencyBucketCount - 1)
 }
--- a/entry/burn/page.go
+++ b/entry/burn/page.go
@@ -35,8 +35,8 @@
 	LatencyPlot template.HTML
 }
 
-// WritePage writes the report as a self-contained HTML page.
-func (r Report) WritePage(w io.Writer) error {
+// WriteHTML writes the report as a self-contained HTML page.
+func (r Report) WriteHTML(w io.Writer) error {
 	rows := make([]pageRow, len(r.Rows))
 	for i, row := range r.Rows {
 		rows[i] = pageRow{Row: row, BurnPlot: burnPlot(row), LatencyPlot: latencyPlot(row)}
@@ -80,7 +80,7 @@
 	for i, n := range row.latency {
 		height := plotHeight * float64(n) / float64(highest)
 		fmt.Fprintf(&bars, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f"><title>up to %s: %d</title></rect>`,
-			float64(i)*width, plotHeight-height, width-1, height, Bound(i).Round(smallestBound/10), n)
+			float64(i)*width, plotHeight-height, width-1, height, BucketBound(i).Round(smallestBound/10), n)
 	}
 	return plot(bars.String())
 }
--- a/entry/burn/recorder.go
+++ b/entry/burn/recorder.go
@@ -30,10 +30,10 @@
 // Record counts one job that ended. Jobs of clients beyond maxClients are not
 // counted.
 func (r *Recorder) Record(now time.Time, o Observation) {
-	if o.Kind < 0 || o.Kind >= kindCount {
+	if o.Outcome < 0 || o.Outcome >= kindCount {
 		return
 	}
-	s := r.series(o.Customer)
+	s := r.series(o.Client)
 	if s == nil {
 		return
 	}
@@ -103,8 +103,8 @@
 	epoch = max(epoch, 0)
 	b := &s.buckets[epoch%int64(ringSize)]
 	s.resetIfStale(&b.epoch, epoch, b.counts[:])
-	b.counts[o.Kind].Add(1)
-	if o.Kind > Failed {
+	b.counts[o.Outcome].Add(1)
+	if o.Outcome > Failed {
 		return // a rejection has no latency to record
 	}
 	half := epoch / epochsPerHalf
--- a/entry/burn/report.go
+++ b/entry/burn/report.go
@@ -32,7 +32,7 @@
 	Late          float64 `json:"late"`
 	Failed        float64 `json:"failed"`
 	RefusedWithin float64 `json:"refused_within"`
-	// RefusedOver is the number of jobs rejected because the client exceeded its
+	// RejectedOverContract is the number of jobs rejected because the client exceeded its
 	// contract.
 	RefusedOver uint64 `json:"refused_over"`
 	// BudgetLeft is the fraction of the error budget that is left: negative if
@@ -60,9 +60,9 @@
 
 // NewReport evaluates a snapshot. Clients with the least budget left come first.
 func NewReport(s Snapshot, missing []string) Report {
-	r := Report{At: s.At, Entries: s.Entries, Missing: missing, Rows: make([]Row, 0, len(s.Customers))}
-	for _, c := range s.Customers {
-		if len(c.Windows) == 2*len(Pairs) {
+	r := Report{At: s.At, Entries: s.Entries, Missing: missing, Rows: make([]Row, 0, len(s.Clients))}
+	for _, c := range s.Clients {
+		if len(c.Windows) == 2*len(WindowPairs) {
 			r.Rows = append(r.Rows, newRow(c))
 		}
 	}
@@ -78,23 +78,23 @@
 	return r
 }
 
-func newRow(c Customer) Row {
+func newRow(c ClientCounts) Row {
 	horizon := c.Windows[len(c.Windows)-1]
 	row := Row{
 		Customer:      c.Name,
 		Objective:     c.Objective,
 		Answers:       horizon.Answers(),
-		Late:          horizon.Share(Late),
-		Failed:        horizon.Share(Failed),
-		RefusedWithin: horizon.Share(RefusedWithin),
-		RefusedOver:   horizon[RefusedOver],
+		Late:          horizon.Ratio(Late),
+		Failed:        horizon.Ratio(Failed),
+		RefusedWithin: horizon.Ratio(RejectedWithinContract),
+		RefusedOver:   horizon[RejectedOverContract],
 		BudgetLeft:    1 - horizon.BurnRate(c.Objective),
 		P50Ms:         milliseconds(c.Latency.Quantile(0.5)),
 		P99Ms:         milliseconds(c.Latency.Quantile(0.99)),
 		latency:       c.Latency,
 		series:        c.Series,
 	}
-	for i, p := range Pairs {
+	for i, p := range WindowPairs {
 		short := c.Windows[2*i].BurnRate(c.Objective)
 		long := c.Windows[2*i+1].BurnRate(c.Objective)
 		row.Burn = append(row.Burn, Burn{
--- a/entry/burn/snapshot.go
+++ b/entry/burn/snapshot.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// ErrSnapshot means that a snapshot has a different format and cannot be merged.
-var ErrSnapshot = errors.New("burn: snapshot has a different format; the entries may run different versions")
+// ErrSnapshotFormat means that a snapshot has a different format and cannot be merged.
+var ErrSnapshotFormat = errors.New("burn: snapshot has a different format; the entries may run different versions")
 
 // Target is the service-level target in a client's contract.
 type Target struct {
-	Customer   string
+	Client     string
 	Objective  float64
 	AnswerTime time.Duration
 	// Revision is the revision of the contract. Merge uses the newest target of a
@@ -26,12 +26,12 @@
 	// Entries lists the ids of the entries that are included.
 	Entries []string `json:"entries"`
 	// At is the time of the latest of the merged snapshots.
-	At        time.Time  `json:"at"`
-	Customers []Customer `json:"customers"`
+	At      time.Time      `json:"at"`
+	Clients []ClientCounts `json:"customers"`
 }
 
-// Customer holds the counts of one client.
-type Customer struct {
+// ClientCounts holds the counts of one client.
+type ClientCounts struct {
 	Name      string  `json:"name"`
 	Objective float64 `json:"objective"`
 	// AnswerTimeMs is the contract's answer time in milliseconds.
@@ -52,31 +52,31 @@
 	recorded := *r.clients.Load()
 	byName := map[string]Target{}
 	for name := range recorded {
-		byName[name] = Target{Customer: name}
+		byName[name] = Target{Client: name}
 	}
 	for _, t := range targets {
-		byName[t.Customer] = t
+		byName[t.Client] = t
 	}
-	out := Snapshot{Entries: []string{entry}, At: now.UTC(), Customers: make([]Customer, 0, len(byName))}
+	out := Snapshot{Entries: []string{entry}, At: now.UTC(), Clients: make([]ClientCounts, 0, len(byName))}
 	epoch := r.epoch(now)
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
-		out.Customers = append(out.Customers, newClientCounts(byName[name], recorded[name], epoch, withSeries))
+		out.Clients = append(out.Clients, newClientCounts(byName[name], recorded[name], epoch, withSeries))
 	}
 	return out
 }
 
-func newClientCounts(t Target, s *series, epoch int64, withSeries bool) Customer {
-	c := Customer{
-		Name:         t.Customer,
+func newClientCounts(t Target, s *series, epoch int64, withSeries bool) ClientCounts {
+	c := ClientCounts{
+		Name:         t.Client,
 		Objective:    t.Objective,
 		AnswerTimeMs: t.AnswerTime.Milliseconds(),
 		Revision:     t.Revision,
-		Windows:      make([]Counts, 2*len(Pairs)),
+		Windows:      make([]Counts, 2*len(WindowPairs)),
 	}
 	if s == nil {
 		return c
 	}
-	for i, p := range Pairs {
+	for i, p := range WindowPairs {
 		c.Windows[2*i] = s.sumWindow(epoch, p.Short)
 		c.Windows[2*i+1] = s.sumWindow(epoch, p.Long)
 	}
@@ -109,29 +109,29 @@
 // their age, so the entries' clocks need not agree.
 func Merge(snapshots ...Snapshot) (Snapshot, error) {
 	merged := Snapshot{}
-	byName := map[string]*Customer{}
+	byName := map[string]*ClientCounts{}
 	for _, s := range snapshots {
 		merged.Entries = append(merged.Entries, s.Entries...)
 		if s.At.After(merged.At) {
 			merged.At = s.At
 		}
-		for _, c := range s.Customers {
-			if len(c.Windows) != 2*len(Pairs) || len(c.Series) > pointCount {
-				return Snapshot{}, ErrSnapshot
+		for _, c := range s.Clients {
+			if len(c.Windows) != 2*len(WindowPairs) || len(c.Series) > pointCount {
+				return Snapshot{}, ErrSnapshotFormat
 			}
 			mergeClientCounts(byName, c)
 		}
 	}
 	slices.Sort(merged.Entries)
-	merged.Customers = make([]Customer, 0, len(byName))
+	merged.Clients = make([]ClientCounts, 0, len(byName))
 	for _, c := range byName {
-		merged.Customers = append(merged.Customers, *c)
+		merged.Clients = append(merged.Clients, *c)
 	}
-	slices.SortFunc(merged.Customers, func(a, b Customer) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(merged.Clients, func(a, b ClientCounts) int { return strings.Compare(a.Name, b.Name) })
 	return merged, nil
 }
 
-func mergeClientCounts(byName map[string]*Customer, c Customer) {
+func mergeClientCounts(byName map[string]*ClientCounts, c ClientCounts) {
 	sum, found := byName[c.Name]
 	if !found {
 		c.Windows = slices.Clone(c.Windows)
--- a/entry/caller/caller.go
+++ b/entry/caller/caller.go
@@ -19,12 +19,12 @@
 var (
 	// ErrNoAddress means that Options has no address.
 	ErrNoAddress = errors.New("no callers' address given")
-	// ErrGaveUp means that the context ended before a final response arrived. Result
+	// ErrNoFinalResponse means that the context ended before a final response arrived. Result
 	// holds the last known state.
-	ErrGaveUp = errors.New("no final response in time")
-	// ErrNotWhole means that a response is malformed, or that a payload in it doesn't match
+	ErrNoFinalResponse = errors.New("no final response in time")
+	// ErrCorruptResponse means that a response is malformed, or that a payload in it doesn't match
 	// its length or digest.
-	ErrNotWhole = errors.New("corrupt response")
+	ErrCorruptResponse = errors.New("corrupt response")
 )
 
 const (
@@ -33,9 +33,9 @@
 	// request; it doubles in between.
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// DefaultAttempt is the default timeout of one attempt.
-	DefaultAttempt   = 20 * time.Second
-	maxResponseBytes = 1 << 30 // bytes
+	// DefaultAttemptTimeout is the default timeout of one attempt.
+	DefaultAttemptTimeout = 20 * time.Second
+	maxResponseBytes      = 1 << 30 // bytes
 )
 
 // Options configures a Client.
@@ -43,11 +43,11 @@
 	// Addresses are the addresses (IP:port) of entries or of a load balancer, used in turn.
 	Addresses []string
 	Token     string
-	// Attempt is the timeout of one attempt. A connection can stop delivering data while
+	// AttemptTimeout is the timeout of one attempt. A connection can stop delivering data while
 	// new ones work; a retry under the same ID joins the running job.
-	Attempt time.Duration
-	// OnWait, if set, is called before each wait for a retry.
-	OnWait func(reason string, pause time.Duration)
+	AttemptTimeout time.Duration
+	// OnRetry, if set, is called before each wait for a retry.
+	OnRetry func(reason string, pause time.Duration)
 	// Jitter returns a random number in [0,1) that spreads the retries.
 	Jitter func() float64
 }
@@ -60,11 +60,11 @@
 
 // New returns a client.
 func New(opts Options) *Client {
-	if opts.Attempt <= 0 {
-		opts.Attempt = DefaultAttempt
+	if opts.AttemptTimeout <= 0 {
+		opts.AttemptTimeout = DefaultAttemptTimeout
 	}
-	if opts.OnWait == nil {
-		opts.OnWait = func(string, time.Duration) {}
+	if opts.OnRetry == nil {
+		opts.OnRetry = func(string, time.Duration) {}
 	}
 	if opts.Jitter == nil {
 		opts.Jitter = rand.Float64
@@ -81,7 +81,7 @@
 }
 
 // Submit obtains a submission ID, submits the job and retries until a final response
-// arrives or ctx ends. The error is ErrGaveUp, ErrNoAddress or ErrNotWhole; an error
+// arrives or ctx ends. The error is ErrNoFinalResponse, ErrNoAddress or ErrCorruptResponse; an error
 // response of an entry is not an error but a Result.
 func (c *Client) Submit(ctx context.Context, job []byte) (Result, error) {
 	if len(c.opts.Addresses) == 0 {
@@ -108,7 +108,7 @@
 		r, err := s.attempt(ctx)
 		if err != nil {
 			if s.wait(ctx, "no response: "+err.Error(), s.backoff()) != nil {
-				return s.known, ErrGaveUp
+				return s.known, ErrNoFinalResponse
 			}
 			continue
 		}
@@ -122,7 +122,7 @@
 		}
 		s.known = result
 		if s.wait(ctx, result.Message, s.retryDelay(r.retryAfter)) != nil {
-			return s.known, ErrGaveUp
+			return s.known, ErrNoFinalResponse
 		}
 	}
 }
@@ -179,7 +179,7 @@
 }
 
 func (s *submission) wait(ctx context.Context, reason string, pause time.Duration) error {
-	s.client.opts.OnWait(reason, pause)
+	s.client.opts.OnRetry(reason, pause)
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -191,7 +191,7 @@
 }
 
 func (s *submission) send(ctx context.Context, method, path string, body []byte) (response, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.client.opts.Attempt)
+	ctx, cancel := context.WithTimeout(ctx, s.client.opts.AttemptTimeout)
 	defer cancel()
 	addresses := s.client.opts.Addresses
 	url := "http://" + addresses[s.addressIndex%len(addresses)] + path
--- a/entry/caller/caller_test.go
+++ b/entry/caller/caller_test.go
@@ -71,9 +71,9 @@
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	c := caller.New(caller.Options{
-		Addresses: []string{server.Listener.Addr().String()},
-		Attempt:   500 * time.Millisecond,
-		Jitter:    func() float64 { return 0 },
+		Addresses:      []string{server.Listener.Addr().String()},
+		AttemptTimeout: 500 * time.Millisecond,
+		Jitter:         func() float64 { return 0 },
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
@@ -128,10 +128,10 @@
 
 func TestTimeoutReturnsLastKnownState(t *testing.T) {
 	result, _, err := submit(t, 200*time.Millisecond, respondWithError(http.StatusTooManyRequests, "backlog", "no", "60000"))
-	assert.ErrorIs(t, err, caller.ErrGaveUp)
+	assert.ErrorIs(t, err, caller.ErrNoFinalResponse)
 	assert.Equal(t, result.Ran, caller.RanNo)
 	result, _, err = submit(t, 200*time.Millisecond, hang)
-	assert.ErrorIs(t, err, caller.ErrGaveUp)
+	assert.ErrorIs(t, err, caller.ErrNoFinalResponse)
 	assert.Equal(t, result.Ran, caller.RanUnknown)
 }
 
@@ -139,5 +139,5 @@
 	_, _, err := submit(t, time.Minute, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"outcome":"complete","tasks":[{"payload":"AAAA","length":3,"digest":"00"}]}`)
 	})
-	assert.ErrorIs(t, err, caller.ErrNotWhole)
+	assert.ErrorIs(t, err, caller.ErrCorruptResponse)
 }
--- a/entry/caller/result.go
+++ b/entry/caller/result.go
@@ -67,7 +67,7 @@
 func decodeResult(status int, raw []byte) (Result, error) {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
-		return Result{}, fmt.Errorf("%w: status %d: %w", ErrNotWhole, status, err)
+		return Result{}, fmt.Errorf("%w: status %d: %w", ErrCorruptResponse, status, err)
 	}
 	out := Result{Submission: b.Submission, Status: status, Tasks: b.Tasks, Ran: RanUnknown}
 	switch {
@@ -86,7 +86,7 @@
 	for i, t := range tasks {
 		sum := sha256.Sum256(t.Payload)
 		if len(t.Payload) != t.Length || hex.EncodeToString(sum[:]) != t.Digest {
-			return fmt.Errorf("%w: task %d", ErrNotWhole, i)
+			return fmt.Errorf("%w: task %d", ErrCorruptResponse, i)
 		}
 	}
 	return nil
--- a/entry/cmd/almondstand/docs_test.go
+++ b/entry/cmd/almondstand/docs_test.go
@@ -29,7 +29,7 @@
 
 // owned reports whether the event number belongs to an entry.
 func owned(number int) bool {
-	return eventlog.Between(1000, 1999)(number) || eventlog.Between(3000, 4999)(number)
+	return eventlog.NumberRange(1000, 1999)(number) || eventlog.NumberRange(3000, 4999)(number)
 }
 
 // TestEventsCatalogue compares docs/EVENTS.md with the events defined. This program imports
--- a/entry/cmd/almondstand/edge.go
+++ b/entry/cmd/almondstand/edge.go
@@ -26,7 +26,7 @@
 	}
 	metrics := telemetry.NewMetrics(metricsPrefix)
 	defer func() { _ = metrics.Close() }()
-	logger, closeOutput, err := telemetry.NewOutput(os.Stdout, s.Log.Level, metrics)
+	logger, closeOutput, err := telemetry.NewRateLimitedLogger(os.Stdout, s.Log.Level, metrics)
 	if err != nil {
 		return err
 	}
--- a/entry/cmd/almondstand/entry.go
+++ b/entry/cmd/almondstand/entry.go
@@ -33,7 +33,7 @@
 
 // checkSettings validates a settings file of either mode.
 func checkSettings(path string) error {
-	capacityMode, err := settings.Has(path, capacitySection)
+	capacityMode, err := settings.HasField(path, capacitySection)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 
 // runByMode runs an entry in the mode that the settings select.
 func runByMode(ctx context.Context, path string) error {
-	capacityMode, err := settings.Has(path, capacitySection)
+	capacityMode, err := settings.HasField(path, capacitySection)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 func example() node.Settings {
 	s := node.Default()
 	s.ID = "entry-1"
-	s.Zone = "zagreb"
+	s.DataCentre = "zagreb"
 	s.Listen.Callers = address("127.0.0.1:7001")
 	s.Listen.Internal = address("127.0.0.1:7002")
 	s.Listen.Operators = address("127.0.0.1:7003")
--- a/entry/command/command_test.go
+++ b/entry/command/command_test.go
@@ -80,22 +80,22 @@
 	return []contracts.Version{v}
 }
 
-func (f *fakeEntry) Apply(_ context.Context, c contract.Contract, e contracts.Expect) (contracts.Written, error) {
+func (f *fakeEntry) Apply(_ context.Context, c contract.Contract, e contracts.Precondition) (contracts.WriteResult, error) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	old := f.store.versions[c.Customer]
+	old := f.store.versions[c.Client]
 	if !e.AnyRevision && e.Revision != old.Revision {
-		return contracts.Written{}, &contracts.ConflictError{Expected: e.Revision, Winner: old}
+		return contracts.WriteResult{}, &contracts.ConflictError{Expected: e.Revision, Current: old}
 	}
-	if old.Revision > 0 && old.Contract.Same(c) {
-		return contracts.Written{Revision: old.Revision, Unchanged: true}, nil
+	if old.Revision > 0 && old.Contract.SameTerms(c) {
+		return contracts.WriteResult{Revision: old.Revision, Unchanged: true}, nil
 	}
 	f.store.revision++
-	f.store.versions[c.Customer] = contracts.Version{Revision: f.store.revision, Contract: c}
-	return contracts.Written{Revision: f.store.revision}, nil
+	f.store.versions[c.Client] = contracts.Version{Revision: f.store.revision, Contract: c}
+	return contracts.WriteResult{Revision: f.store.revision}, nil
 }
 
-func (f *fakeEntry) Retire(ctx context.Context, client string, e contracts.Expect) (contracts.Written, error) {
+func (f *fakeEntry) Retire(ctx context.Context, client string, e contracts.Precondition) (contracts.WriteResult, error) {
 	f.store.mu.Lock()
 	c := f.store.versions[client].Contract
 	f.store.mu.Unlock()
@@ -110,10 +110,10 @@
 	t.Helper()
 	digest := sha256.Sum256([]byte(token))
 	recorder := burn.NewRecorder(time.Now())
-	recorder.Record(time.Now(), burn.Observation{Customer: "acme"})
+	recorder.Record(time.Now(), burn.Observation{Client: "acme"})
 	s, err := operator.New(operator.Options{
 		TokenDigest: hex.EncodeToString(digest[:]),
-		Registry:    f, Writer: f, Members: f, Fleet: f, Burn: recorder, Traffic: telemetry.NewControl(tally.NoopScope),
+		Registry:    f, Writer: f, Members: f, Fleet: f, BurnRecorder: recorder, TrafficMeter: telemetry.NewControlTraffic(tally.NoopScope),
 	})
 	assert.NilError(t, err)
 	return s
--- a/entry/command/contract.go
+++ b/entry/command/contract.go
@@ -43,11 +43,11 @@
 }
 
 func conflictError(clientID string, f *client.Failure) error {
-	if f.Winner == nil {
+	if f.InForce == nil {
 		return fmt.Errorf("%s: conflict: there is no contract to replace: apply without --revision", clientID)
 	}
 	return fmt.Errorf("%s: conflict: revision %d, written %s, is in force: read it with `almondstand contract get %s`, merge, and apply with --revision %d",
-		clientID, f.Winner.Revision, f.Winner.WrittenAt.Format(time.RFC3339), clientID, f.Winner.Revision)
+		clientID, f.InForce.Revision, f.InForce.WrittenAt.Format(time.RFC3339), clientID, f.InForce.Revision)
 }
 
 var versionHeader = []string{"CUSTOMER", "STATE", "REVISION", "WRITTEN", "RATE", "BURST", "IN FLIGHT", "URGENCY", "ANSWER TIME", "RUN LIMIT", "OBJECTIVE"}
@@ -55,8 +55,8 @@
 func versionRow(v contracts.Version) []string {
 	c := v.Contract
 	return []string{
-		c.Customer, string(c.State), strconv.FormatInt(v.Revision, 10), v.WrittenAt.Format(time.RFC3339),
-		strconv.FormatFloat(c.Rate, 'g', -1, 64), strconv.Itoa(c.Burst), strconv.Itoa(c.InFlight), strconv.Itoa(c.Urgency),
+		c.Client, string(c.State), strconv.FormatInt(v.Revision, 10), v.WrittenAt.Format(time.RFC3339),
+		strconv.FormatFloat(c.Rate, 'g', -1, 64), strconv.Itoa(c.Burst), strconv.Itoa(c.InFlight), strconv.Itoa(c.Priority),
 		c.AnswerTime.String(), c.RunLimit.String(), strconv.FormatFloat(c.Objective, 'g', -1, 64),
 	}
 }
--- a/entry/command/contract_apply.go
+++ b/entry/command/contract_apply.go
@@ -88,10 +88,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		if otherPath, duplicate := seen[c.Customer]; duplicate {
-			return nil, fmt.Errorf("%s and %s both declare customer %s: keep one", otherPath, path, c.Customer)
+		if otherPath, duplicate := seen[c.Client]; duplicate {
+			return nil, fmt.Errorf("%s and %s both declare customer %s: keep one", otherPath, path, c.Client)
 		}
-		seen[c.Customer] = path
+		seen[c.Client] = path
 		declared = append(declared, c)
 	}
 	return declared, nil
@@ -132,15 +132,15 @@
 func applyAll(cmd *cobra.Command, c *client.Client, declared []contract.Contract, flags applyFlags) error {
 	revisions := map[string]int64{}
 	for _, k := range declared {
-		expect, err := expectedVersion(cmd.Context(), c, k.Customer, flags)
+		expect, err := expectedVersion(cmd.Context(), c, k.Client, flags)
 		if err != nil {
-			return withAdvice(k.Customer, err)
+			return withAdvice(k.Client, err)
 		}
 		changed, err := c.Apply(cmd.Context(), k, expect)
 		if err != nil {
-			return withAdvice(k.Customer, fmt.Errorf("%s: %w", k.Customer, err))
+			return withAdvice(k.Client, fmt.Errorf("%s: %w", k.Client, err))
 		}
-		revisions[k.Customer] = changed.Revision
+		revisions[k.Client] = changed.Revision
 		if _, err := fmt.Fprintln(cmd.OutOrStdout(), changeLine(changed)); err != nil {
 			return err
 		}
@@ -152,28 +152,28 @@
 }
 
 // expectedVersion returns the version that the change must replace.
-func expectedVersion(ctx context.Context, c *client.Client, clientID string, flags applyFlags) (contracts.Expect, error) {
+func expectedVersion(ctx context.Context, c *client.Client, clientID string, flags applyFlags) (contracts.Precondition, error) {
 	switch {
 	case flags.force:
-		return contracts.Expect{AnyRevision: true}, nil
+		return contracts.Precondition{AnyRevision: true}, nil
 	case flags.revision >= 0:
-		return contracts.Expect{Revision: flags.revision}, nil
+		return contracts.Precondition{Revision: flags.revision}, nil
 	}
 	v, err := c.Contract(ctx, clientID)
 	if client.IsCode(err, operator.CodeNotFound) {
-		return contracts.Expect{}, nil
+		return contracts.Precondition{}, nil
 	}
-	return contracts.Expect{Revision: v.Revision}, err
+	return contracts.Precondition{Revision: v.Revision}, err
 }
 
-func changeLine(c operator.Changed) string {
+func changeLine(c operator.ChangeResult) string {
 	switch {
 	case c.Unchanged:
-		return fmt.Sprintf("%s: unchanged at revision %d", c.Customer, c.Revision)
+		return fmt.Sprintf("%s: unchanged at revision %d", c.Client, c.Revision)
 	case c.Superseded:
-		return fmt.Sprintf("%s: accepted at revision %d, replaced by another change since", c.Customer, c.Revision)
+		return fmt.Sprintf("%s: accepted at revision %d, replaced by another change since", c.Client, c.Revision)
 	}
-	return fmt.Sprintf("%s: accepted at revision %d", c.Customer, c.Revision)
+	return fmt.Sprintf("%s: accepted at revision %d", c.Client, c.Revision)
 }
 
 // waitInForce queries every live entry until all have the revisions in force, or
@@ -215,7 +215,7 @@
 // findLagging returns the number of live entries, and the ids of those that lack
 // a revision or did not answer.
 func findLagging(ctx context.Context, c *client.Client, revisions map[string]int64) (live int, lagging []string, err error) {
-	answers, err := client.Everywhere(ctx, c, func(ctx context.Context, c *client.Client) (bool, error) {
+	answers, err := client.CallAll(ctx, c, func(ctx context.Context, c *client.Client) (bool, error) {
 		return hasRevisions(ctx, c, revisions)
 	})
 	if err != nil {
--- a/entry/command/contract_read.go
+++ b/entry/command/contract_read.go
@@ -33,7 +33,7 @@
 	}
 	// The change id identifies a write and is not part of the contract that apply
 	// reads.
-	v.Contract.Change = ""
+	v.Contract.ChangeID = ""
 	return writeJSON(w, v.Contract)
 }
 
--- a/entry/command/contract_retire.go
+++ b/entry/command/contract_retire.go
@@ -19,9 +19,9 @@
 			if err != nil {
 				return err
 			}
-			expect := contracts.Expect{AnyRevision: true}
+			expect := contracts.Precondition{AnyRevision: true}
 			if cmd.Flags().Changed("revision") {
-				expect = contracts.Expect{Revision: revision}
+				expect = contracts.Precondition{Revision: revision}
 			}
 			changed, err := c.Retire(cmd.Context(), args[0], expect)
 			if err != nil {
--- a/entry/command/explain.go
+++ b/entry/command/explain.go
@@ -36,18 +36,18 @@
 	return cmd
 }
 
-func readTimeline(in io.Reader, id string, paths []string) (explain.Story, error) {
+func readTimeline(in io.Reader, id string, paths []string) (explain.Timeline, error) {
 	if len(paths) == 0 {
-		return explain.Read(id, in)
+		return explain.FromLogs(id, in)
 	}
 	var logs []io.Reader
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
-			return explain.Story{}, fmt.Errorf("explain: %w", err)
+			return explain.Timeline{}, fmt.Errorf("explain: %w", err)
 		}
 		defer func() { _ = file.Close() }()
 		logs = append(logs, file)
 	}
-	return explain.Read(id, logs...)
+	return explain.FromLogs(id, logs...)
 }
--- a/entry/command/report_burn.go
+++ b/entry/command/report_burn.go
@@ -29,13 +29,13 @@
 	case formatJSON:
 		return writeJSON(w, report)
 	case formatHTML:
-		return report.WritePage(w)
+		return report.WriteHTML(w)
 	}
 	return report.WriteTable(w)
 }
 
 func fetchBurn(ctx context.Context, c *client.Client, withSeries bool) (burn.Report, error) {
-	answers, err := client.Everywhere(ctx, c, func(ctx context.Context, c *client.Client) (burn.Snapshot, error) {
+	answers, err := client.CallAll(ctx, c, func(ctx context.Context, c *client.Client) (burn.Snapshot, error) {
 		return c.Burn(ctx, withSeries)
 	})
 	if err != nil {
@@ -51,5 +51,5 @@
 	if err != nil {
 		return burn.Report{}, err
 	}
-	return burn.NewReport(merged, client.Missing(answers)), nil
+	return burn.NewReport(merged, client.FailedEntries(answers)), nil
 }
--- a/entry/command/report_control.go
+++ b/entry/command/report_control.go
@@ -40,13 +40,13 @@
 }
 
 func fetchControl(ctx context.Context, c *client.Client, _ []string) (controlSummary, error) {
-	answers, err := client.Everywhere(ctx, c, func(ctx context.Context, c *client.Client) (operator.Control, error) {
+	answers, err := client.CallAll(ctx, c, func(ctx context.Context, c *client.Client) (operator.Control, error) {
 		return c.Control(ctx)
 	})
 	if err != nil {
 		return controlSummary{}, withAdvice("", err)
 	}
-	summary := controlSummary{Missing: client.Missing(answers)}
+	summary := controlSummary{Missing: client.FailedEntries(answers)}
 	for _, a := range answers {
 		if a.Err == nil {
 			summary.Entries = append(summary.Entries, a.Value)
--- a/entry/command/submit.go
+++ b/entry/command/submit.go
@@ -61,13 +61,13 @@
 		return err
 	}
 	p := newProgress(cmd.ErrOrStderr(), flags.quiet)
-	client := caller.New(caller.Options{Addresses: addresses, Token: token, OnWait: p.setWaiting})
+	client := caller.New(caller.Options{Addresses: addresses, Token: token, OnRetry: p.setWaiting})
 	ctx, cancel := context.WithTimeout(cmd.Context(), flags.timeout)
 	defer cancel()
 	p.start()
 	result, err := client.Submit(ctx, body)
 	p.stop()
-	if err != nil && !errors.Is(err, caller.ErrGaveUp) {
+	if err != nil && !errors.Is(err, caller.ErrNoFinalResponse) {
 		return &statusError{exitUnknown, err}
 	}
 	return reportResult(cmd.OutOrStdout(), result, err, flags.timeout, format)
--- a/entry/contracts/bench_test.go
+++ b/entry/contracts/bench_test.go
@@ -21,7 +21,7 @@
 	assert.NilError(b, err)
 	b.Cleanup(s.Close)
 	node := newTestEntryTimeout(b, s, 2*time.Second)
-	for version := range contracts.KeptVersions + 1 {
+	for version := range contracts.MaxHistory + 1 {
 		for i := range contractCount {
 			c := sample(fmt.Sprintf("team-%03d", i), float64(1+version))
 			_, err := node.writer.Apply(b.Context(), c, anyRevision)
@@ -77,10 +77,10 @@
 	b.ResetTimer()
 	for range b.N {
 		before := s.Counts()["txn"]
-		for key := range first.registry.Held() {
+		for key := range first.registry.HeldRevisions() {
 			s.Delete(key)
 		}
-		for key := range first.registry.Held() {
+		for key := range first.registry.HeldRevisions() {
 			for value, _ := s.Value(key); value == nil; value, _ = s.Value(key) {
 				time.Sleep(time.Millisecond)
 			}
--- a/entry/contracts/export_test.go
+++ b/entry/contracts/export_test.go
@@ -9,8 +9,8 @@
 // Poll reads all contracts from the store once, as Run does at its start.
 func (r *Registry) Poll(ctx context.Context) bool { return r.listAll(ctx).valid }
 
-// Watched applies a change of a key as a watch event delivers it.
-func (r *Registry) Watched(ctx context.Context, kv platform.KeyValue) {
+// ApplyWatched applies a change of a key as a watch event delivers it.
+func (r *Registry) ApplyWatched(ctx context.Context, kv platform.KeyValue) {
 	r.applyEvents(ctx, []platform.Event{{KeyValue: kv}})
 }
 
--- a/entry/contracts/follow.go
+++ b/entry/contracts/follow.go
@@ -69,7 +69,7 @@
 		present[kv.Key] = true
 	}
 	r.applyStored(ctx, kvs)
-	for key := range r.Held() {
+	for key := range r.HeldRevisions() {
 		if !present[key] {
 			r.handleDeleted(ctx, key)
 		}
@@ -97,7 +97,7 @@
 // backup made before the contract; the two cases look the same. Dropping the contract
 // would revert an accepted change.
 func (r *Registry) handleDeleted(ctx context.Context, key string) {
-	if _, held := r.Held()[key]; !held {
+	if _, held := r.HeldRevisions()[key]; !held {
 		return
 	}
 	r.metrics.rejected.Inc(1)
--- a/entry/contracts/fuzz_test.go
+++ b/entry/contracts/fuzz_test.go
@@ -24,7 +24,7 @@
 		assert.Equal(t, applied, len(registry.All()))
 		for _, c := range registry.All() {
 			assert.NilError(t, c.Check())
-			assert.Equal(t, c.Customer, "a")
+			assert.Equal(t, c.Client, "a")
 			assert.Assert(t, registry.Revision() > 0)
 		}
 	})
--- a/entry/contracts/machine_test.go
+++ b/entry/contracts/machine_test.go
@@ -68,9 +68,9 @@
 
 func newNode(t *rapid.T, s *store.Server) *testEntry {
 	client, err := etcd.New(etcd.Options{
-		Addresses:  []string{s.Address},
-		RetryPause: time.Millisecond,
-		Timeout:    30 * time.Second,
+		Addresses:    []string{s.Address},
+		RetryBackoff: time.Millisecond,
+		Timeout:      30 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -87,26 +87,26 @@
 func client(t *rapid.T) string { return rapid.SampledFrom(clients).Draw(t, "customer") }
 
 // expect draws the revision in force, none, or any.
-func expect(t *rapid.T, b *testEntry, name string) contracts.Expect {
+func expect(t *rapid.T, b *testEntry, name string) contracts.Precondition {
 	switch rapid.IntRange(0, 3).Draw(t, "expect") {
 	case 0:
-		return contracts.Expect{Revision: 0}
+		return contracts.Precondition{Revision: 0}
 	case 1:
-		return contracts.Expect{Revision: b.registry.Held()[contracts.Key(name)]}
+		return contracts.Precondition{Revision: b.registry.HeldRevisions()[contracts.Key(name)]}
 	}
 	return anyRevision
 }
 
 // recordResult records the result that the writer returned for a change.
-func (m *machine) recordResult(t *rapid.T, c contract.Contract, written contracts.Written, err error) {
+func (m *machine) recordResult(t *rapid.T, c contract.Contract, written contracts.WriteResult, err error) {
 	switch {
 	case err == nil:
-		if written.Revision <= m.oracle.newest[c.Customer].revision && !written.Superseded {
-			t.Fatalf("accepted at %d, after %d", written.Revision, m.oracle.newest[c.Customer].revision)
+		if written.Revision <= m.oracle.newest[c.Client].revision && !written.Superseded {
+			t.Fatalf("accepted at %d, after %d", written.Revision, m.oracle.newest[c.Client].revision)
 		}
 		m.oracle.accepted[c.Rate] = written.Revision
-		if written.Revision > m.oracle.newest[c.Customer].revision {
-			m.oracle.newest[c.Customer] = accepted{written.Revision, c.Rate, c.State == contract.Retired}
+		if written.Revision > m.oracle.newest[c.Client].revision {
+			m.oracle.newest[c.Client] = accepted{written.Revision, c.Rate, c.State == contract.Retired}
 		}
 	case errors.Is(err, contracts.ErrConflict):
 		m.oracle.rejected[c.Rate] = true
@@ -123,7 +123,7 @@
 
 func (m *machine) Apply(t *rapid.T) {
 	b, c := m.node(t), m.change(client(t))
-	written, err := b.writer.Apply(context.Background(), c, expect(t, b, c.Customer))
+	written, err := b.writer.Apply(context.Background(), c, expect(t, b, c.Client))
 	m.recordResult(t, c, written, err)
 }
 
@@ -131,10 +131,10 @@
 func (m *machine) Race(t *rapid.T) {
 	name := client(t)
 	first, second := m.change(name), m.change(name)
-	expected := contracts.Expect{Revision: m.oracle.newest[name].revision}
+	expected := contracts.Precondition{Revision: m.oracle.newest[name].revision}
 	claimed := m.claimedRevision(name)
 	var wait sync.WaitGroup
-	var results [2]contracts.Written
+	var results [2]contracts.WriteResult
 	var errs [2]error
 	for i, c := range []contract.Contract{first, second} {
 		wait.Go(func() { results[i], errs[i] = m.nodes[i].writer.Apply(context.Background(), c, expected) })
@@ -146,8 +146,8 @@
 	var conflict *contracts.ConflictError
 	for i, err := range errs {
 		winner := 1 - i
-		if errs[winner] == nil && errors.As(err, &conflict) && conflict.Winner.Revision != results[winner].Revision {
-			t.Fatalf("the conflict contains revision %d, not %d", conflict.Winner.Revision, results[winner].Revision)
+		if errs[winner] == nil && errors.As(err, &conflict) && conflict.Current.Revision != results[winner].Revision {
+			t.Fatalf("the conflict contains revision %d, not %d", conflict.Current.Revision, results[winner].Revision)
 		}
 	}
 	switch {
@@ -166,7 +166,7 @@
 func (m *machine) checkBothConflicts(t *rapid.T, claimed int64, errs [2]error) {
 	for _, err := range errs {
 		var conflict *contracts.ConflictError
-		if !errors.As(err, &conflict) || conflict.Winner.Revision != claimed {
+		if !errors.As(err, &conflict) || conflict.Current.Revision != claimed {
 			t.Fatalf("unreadable value claims revision %d, the writer returned %v", claimed, err)
 		}
 	}
@@ -214,7 +214,7 @@
 }
 
 func (m *machine) LoseAnswers(t *rapid.T) {
-	m.store.LoseAnswers(rapid.IntRange(1, 3).Draw(t, "answers"))
+	m.store.LoseResponses(rapid.IntRange(1, 3).Draw(t, "answers"))
 	m.losingAnswers = true
 }
 
@@ -258,7 +258,7 @@
 
 func (m *machine) FromPeer(t *rapid.T) {
 	b, peer := m.node(t), m.node(t)
-	if _, err := b.registry.MergeAnswer(peer.registry.Answer(nil)); err != nil {
+	if _, err := b.registry.MergeResponse(peer.registry.BuildResponse(nil)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -311,7 +311,7 @@
 // finish lets the entries repair the store, and checks that the newest accepted change
 // is in force everywhere and in the store.
 func (m *machine) finish(t *rapid.T) {
-	m.store.LoseAnswers(0)
+	m.store.LoseResponses(0)
 	m.syncAll()
 	for _, b := range m.nodes {
 		b.registry.Poll(context.Background())
@@ -343,8 +343,8 @@
 }
 
 func (m *machine) checkNewest(t *rapid.T, b *testEntry, name string, want accepted) {
-	c, found := b.registry.ByCustomer(name)
-	revision := b.registry.Held()[contracts.Key(name)]
+	c, found := b.registry.ByClient(name)
+	revision := b.registry.HeldRevisions()[contracts.Key(name)]
 	if !found || revision != want.revision || c.Rate != want.rate || (c.State == contract.Retired) != want.retired {
 		t.Fatalf("%s: in force is %v at %d, accepted was %v", name, c, revision, want)
 	}
--- a/entry/contracts/peers.go
+++ b/entry/contracts/peers.go
@@ -11,9 +11,9 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// ErrNotWhole means that a peer's response was corrupted or lacks records, and that
+// ErrIncomplete means that a peer's response was corrupted or lacks records, and that
 // nothing of it was used.
-var ErrNotWhole = errors.New("peer's response with contracts is incomplete or corrupted")
+var ErrIncomplete = errors.New("peer's response with contracts is incomplete or corrupted")
 
 // Merge applies the records that are newer than those in force and returns how many it
 // applied.
@@ -31,8 +31,8 @@
 	return applied
 }
 
-// Answer returns the records that are newer than the revisions a peer holds.
-func (r *Registry) Answer(request *wirev1.FetchContractsRequest) *wirev1.FetchContractsResponse {
+// BuildResponse returns the records that are newer than the revisions a peer holds.
+func (r *Registry) BuildResponse(request *wirev1.FetchContractsRequest) *wirev1.FetchContractsResponse {
 	all := r.Snapshot()
 	response := &wirev1.FetchContractsResponse{Total: uint32(len(all))}
 	for _, rec := range all {
@@ -45,15 +45,15 @@
 	return response
 }
 
-// MergeAnswer merges a peer's response after verifying its record count and digest, and
+// MergeResponse merges a peer's response after verifying its record count and digest, and
 // returns how many records it applied. With a part of a response this entry would have
 // some contracts in force and lack others, and would reject the callers of the missing
 // ones as unknown.
-func (r *Registry) MergeAnswer(response *wirev1.FetchContractsResponse) (int, error) {
+func (r *Registry) MergeResponse(response *wirev1.FetchContractsResponse) (int, error) {
 	if !r.isComplete(response) {
 		eventPeerRefused.Log(context.Background(), r.opts.Logger,
 			slog.Int("records", len(response.GetRecords())), slog.Int("total", int(response.GetTotal())))
-		return 0, ErrNotWhole
+		return 0, ErrIncomplete
 	}
 	return r.Merge(response.GetRecords()), nil
 }
@@ -62,7 +62,7 @@
 	if !bytes.Equal(response.GetDigest(), recordsDigest(response.GetRecords())) {
 		return false
 	}
-	known := r.Held()
+	known := r.HeldRevisions()
 	for _, rec := range response.GetRecords() {
 		known[rec.GetKey()] = rec.GetRevision()
 	}
--- a/entry/contracts/record.go
+++ b/entry/contracts/record.go
@@ -24,9 +24,9 @@
 // format is the version of the record encoding.
 const format = 1
 
-// KeptVersions is the number of older versions kept beside a contract. They are sent
+// MaxHistory is the number of older versions kept beside a contract. They are sent
 // with every change, so the number is small.
-const KeptVersions = 4
+const MaxHistory = 4
 
 // maxRevision bounds the revisions that are accepted, so that a manually written one
 // leaves enough numbers for all later changes.
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if strings.TrimPrefix(key, Prefix) != c.Customer {
+	if strings.TrimPrefix(key, Prefix) != c.Client {
 		return nil, errKey
 	}
 	version := Version{Revision: s.Revision, Previous: s.Previous, WrittenAt: s.WrittenAt, Contract: c}
@@ -147,11 +147,11 @@
 
 // byChange returns the version that the change made, or nil.
 func (r *record) byChange(change string) *Version {
-	if r.Contract.Change == change {
+	if r.Contract.ChangeID == change {
 		return &r.Version
 	}
 	for i := range r.History {
-		if r.History[i].Contract.Change == change {
+		if r.History[i].Contract.ChangeID == change {
 			return &r.History[i]
 		}
 	}
@@ -171,8 +171,8 @@
 	}
 	version.Previous = r.Revision
 	history := r.versions()
-	if len(history) > KeptVersions {
-		history = history[:KeptVersions]
+	if len(history) > MaxHistory {
+		history = history[:MaxHistory]
 	}
 	return &record{Version: version, History: history}
 }
--- a/entry/contracts/registry.go
+++ b/entry/contracts/registry.go
@@ -137,8 +137,8 @@
 	return r.current.Load().lookup(digest)
 }
 
-// ByCustomer returns a client's contract.
-func (r *Registry) ByCustomer(name string) (contract.Contract, bool) {
+// ByClient returns a client's contract.
+func (r *Registry) ByClient(name string) (contract.Contract, bool) {
 	h, found := r.current.Load().byClient[name]
 	if !found {
 		return contract.Contract{}, false
@@ -176,8 +176,8 @@
 	return all
 }
 
-// Held returns the revision in force of each key.
-func (r *Registry) Held() map[string]int64 {
+// HeldRevisions returns the revision in force of each key.
+func (r *Registry) HeldRevisions() map[string]int64 {
 	s := r.current.Load()
 	all := make(map[string]int64, len(s.byClient))
 	for _, h := range s.byClient {
@@ -192,8 +192,8 @@
 // Digest is equal at entries that hold the same versions.
 func (r *Registry) Digest() uint64 { return r.current.Load().digest }
 
-// Listed reports whether the store was read in full since the start.
-func (r *Registry) Listed() bool { return r.listed.Load() }
+// HasSynced reports whether the store was read in full since the start.
+func (r *Registry) HasSynced() bool { return r.listed.Load() }
 
 // StoreAge returns the time since the store last answered, or the maximum duration if it
 // never has.
@@ -267,7 +267,7 @@
 		r.logUnreadable(ctx, c, err)
 		return resultUnreadable
 	}
-	client := rec.Contract.Customer
+	client := rec.Contract.Client
 	current, found := changed[client]
 	if !found {
 		current, found = s.byClient[client]
--- a/entry/contracts/registry_test.go
+++ b/entry/contracts/registry_test.go
@@ -37,7 +37,7 @@
 	s, err := store.Serve()
 	assert.NilError(t, err)
 	t.Cleanup(s.Close)
-	s.SetProgress(50 * time.Millisecond)
+	s.SetProgressInterval(50 * time.Millisecond)
 	return s
 }
 
@@ -52,11 +52,11 @@
 func newTestEntryTimeout(t testing.TB, s *store.Server, timeout time.Duration) *testEntry {
 	t.Helper()
 	client, err := etcd.New(etcd.Options{
-		Addresses:      []string{s.Address},
-		Timeout:        3 * timeout,
-		AttemptTimeout: timeout,
-		WatchIdle:      timeout,
-		RetryPause:     5 * time.Millisecond,
+		Addresses:        []string{s.Address},
+		Timeout:          3 * timeout,
+		AttemptTimeout:   timeout,
+		WatchIdleTimeout: timeout,
+		RetryBackoff:     5 * time.Millisecond,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(client.Close)
@@ -87,12 +87,12 @@
 func sample(customer string, rate float64) contract.Contract {
 	digest := tokenDigest("token of " + customer)
 	return contract.Contract{
-		Customer:     customer,
+		Client:       customer,
 		State:        contract.Active,
 		Rate:         rate,
 		Burst:        100,
 		InFlight:     200,
-		Urgency:      5,
+		Priority:     5,
 		AnswerTime:   contract.Duration(2 * time.Second),
 		RunLimit:     contract.Duration(5 * time.Second),
 		Objective:    0.999,
@@ -101,7 +101,7 @@
 	}
 }
 
-var anyRevision = contracts.Expect{AnyRevision: true}
+var anyRevision = contracts.Precondition{AnyRevision: true}
 
 func (b *testEntry) apply(t *testing.T, c contract.Contract) int64 {
 	t.Helper()
@@ -125,7 +125,7 @@
 func (b *testEntry) waitForRate(t *testing.T, customer string, rate float64) {
 	t.Helper()
 	eventually(t, "contract of "+customer+" in force", func() bool {
-		c, found := b.registry.ByCustomer(customer)
+		c, found := b.registry.ByClient(customer)
 		return found && c.Rate == rate
 	})
 }
@@ -137,12 +137,12 @@
 	second.run(t)
 	revision := first.apply(t, sample("karlovac", 10))
 	second.waitForRate(t, "karlovac", 10)
-	assert.Equal(t, second.registry.Held()["contracts/karlovac"], revision)
+	assert.Equal(t, second.registry.HeldRevisions()["contracts/karlovac"], revision)
 	assert.Equal(t, second.registry.Digest(), first.registry.Digest())
 
 	c, found := second.registry.ByToken(tokenDigest("token of karlovac"))
 	assert.Assert(t, found)
-	assert.Equal(t, c.Customer, "karlovac")
+	assert.Equal(t, c.Client, "karlovac")
 	_, found = second.registry.ByToken(tokenDigest("another"))
 	assert.Assert(t, !found)
 }
@@ -151,10 +151,10 @@
 // meanwhile must still arrive, without listing everything again.
 func TestChangeDuringLostWatch(t *testing.T) {
 	breakWatch := map[string]func(*store.Server){
-		"cut":        func(s *store.Server) { s.CutWatches() },
+		"cut":        func(s *store.Server) { s.CloseWatches() },
 		"silent":     func(s *store.Server) { s.SilenceWatches() },
-		"refused":    func(s *store.Server) { s.SetMode(store.Refuse); s.CutWatches() },
-		"store down": func(s *store.Server) { s.SetMode(store.Down); s.CutWatches() },
+		"refused":    func(s *store.Server) { s.SetMode(store.CloseConnections); s.CloseWatches() },
+		"store down": func(s *store.Server) { s.SetMode(store.Down); s.CloseWatches() },
 		"store hung": func(s *store.Server) { s.SetMode(store.Silent); s.SilenceWatches() },
 	}
 	for name, act := range breakWatch {
@@ -184,8 +184,8 @@
 	b.run(t)
 	other.apply(t, sample("karlovac", 10))
 	b.waitForRate(t, "karlovac", 10)
-	s.SetMode(store.Refuse)
-	s.CutWatches()
+	s.SetMode(store.CloseConnections)
+	s.CloseWatches()
 	watches := s.Counts()["watch"]
 	eventually(t, "a watch refused", func() bool { return s.Counts()["watch"] > watches })
 	b.store.Put(contracts.Key("osijek"), encoded(t, other, sample("osijek", 30)))
@@ -200,7 +200,7 @@
 	s := newStore(t)
 	other := newTestEntry(t, s)
 	other.apply(t, c)
-	value, _ := s.Value(contracts.Key(c.Customer))
+	value, _ := s.Value(contracts.Key(c.Client))
 	return value
 }
 
@@ -227,7 +227,7 @@
 		fresh.registry.Poll(t.Context())
 		return fresh.registry.Digest() == other.registry.Digest()
 	})
-	c, _ := b.registry.ByCustomer("karlovac")
+	c, _ := b.registry.ByClient("karlovac")
 	assert.Equal(t, c.Rate, 24.0)
 	other.apply(t, sample("karlovac", 40))
 	b.waitForRate(t, "karlovac", 40)
@@ -245,10 +245,10 @@
 	b.apply(t, sample("varazdin", 5)) // Comes after the bad values on the watch.
 	b.waitForRate(t, "varazdin", 5)
 	b.waitForRate(t, "karlovac", 10)
-	_, found := b.registry.ByCustomer("osijek")
+	_, found := b.registry.ByClient("osijek")
 	assert.Assert(t, !found)
 
-	written, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: revision})
+	written, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Precondition{Revision: revision})
 	assert.NilError(t, err)
 	fresh := newTestEntry(t, s)
 	fresh.registry.Poll(t.Context())
@@ -289,25 +289,25 @@
 	s.SetMode(store.Down)
 	fresh := newTestEntry(t, s)
 	assert.Assert(t, !fresh.registry.Poll(t.Context()))
-	answer := b.registry.Answer(&wirev1.FetchContractsRequest{Held: fresh.registry.Held()})
+	answer := b.registry.BuildResponse(&wirev1.FetchContractsRequest{Held: fresh.registry.HeldRevisions()})
 
 	truncated := proto.Clone(answer).(*wirev1.FetchContractsResponse)
 	truncated.Records = truncated.Records[:1]
-	_, err := fresh.registry.MergeAnswer(truncated)
-	assert.ErrorIs(t, err, contracts.ErrNotWhole)
+	_, err := fresh.registry.MergeResponse(truncated)
+	assert.ErrorIs(t, err, contracts.ErrIncomplete)
 	changed := proto.Clone(answer).(*wirev1.FetchContractsResponse)
 	changed.Records[0].Revision++
-	_, err = fresh.registry.MergeAnswer(changed)
-	assert.ErrorIs(t, err, contracts.ErrNotWhole)
+	_, err = fresh.registry.MergeResponse(changed)
+	assert.ErrorIs(t, err, contracts.ErrIncomplete)
 	assert.Equal(t, len(fresh.registry.All()), 0)
 
-	applied, err := fresh.registry.MergeAnswer(answer)
+	applied, err := fresh.registry.MergeResponse(answer)
 	assert.NilError(t, err)
 	assert.Equal(t, applied, 2)
 	assert.Equal(t, fresh.registry.Digest(), b.registry.Digest())
-	again := b.registry.Answer(&wirev1.FetchContractsRequest{Held: fresh.registry.Held()})
+	again := b.registry.BuildResponse(&wirev1.FetchContractsRequest{Held: fresh.registry.HeldRevisions()})
 	assert.Equal(t, len(again.Records), 0)
-	_, err = fresh.registry.MergeAnswer(again)
+	_, err = fresh.registry.MergeResponse(again)
 	assert.NilError(t, err)
 }
 
@@ -317,10 +317,10 @@
 	s := newStore(t)
 	b, fresh := newTestEntry(t, s), newTestEntry(t, s)
 	b.apply(t, sample("karlovac", 10))
-	held := b.registry.Held()
+	held := b.registry.HeldRevisions()
 	b.apply(t, sample("osijek", 20))
-	_, err := fresh.registry.MergeAnswer(b.registry.Answer(&wirev1.FetchContractsRequest{Held: held}))
-	assert.ErrorIs(t, err, contracts.ErrNotWhole)
+	_, err := fresh.registry.MergeResponse(b.registry.BuildResponse(&wirev1.FetchContractsRequest{Held: held}))
+	assert.ErrorIs(t, err, contracts.ErrIncomplete)
 	assert.Equal(t, len(fresh.registry.All()), 0)
 }
 
@@ -350,7 +350,7 @@
 	s.Save()
 	other.apply(t, sample("karlovac", 20))
 	assert.Equal(t, registry.Merge(other.registry.Snapshot()), 1)
-	registry.Watched(t.Context(), *old)
+	registry.ApplyWatched(t.Context(), *old)
 	registry.RepairAll(t.Context())
 	assert.Equal(t, alarms(), 0, out.String())
 
@@ -394,10 +394,10 @@
 	b.registry.Merge([]*wirev1.ContractRecord{{Key: contracts.Key("osijek"), Value: encoded(t, b, sample("osijek", 5))}})
 	c, found := b.registry.ByToken(tokenDigest("token of osijek"))
 	assert.Assert(t, found)
-	assert.Equal(t, c.Customer, "osijek")
+	assert.Equal(t, c.Client, "osijek")
 
 	_, err := b.writer.Apply(t.Context(), duplicate, anyRevision)
-	var invalid *contract.Invalid
+	var invalid *contract.InvalidError
 	assert.Assert(t, errors.As(err, &invalid))
 	assert.Equal(t, invalid.Problems[0].Path, "token_digests[0]")
 }
@@ -413,7 +413,7 @@
 	assert.Equal(t, registry.StoreAge(time.Now()), time.Duration(math.MaxInt64))
 	assert.Assert(t, registry.Poll(t.Context()))
 	assert.Assert(t, registry.StoreAge(time.Now().Add(time.Hour)) >= 59*time.Minute)
-	s.SetMode(store.Refuse)
+	s.SetMode(store.CloseConnections)
 	clockOffset.Store(int64(2 * time.Hour))
 	assert.Assert(t, !registry.Poll(t.Context()))
 	assert.Assert(t, registry.StoreAge(time.Now().Add(2*time.Hour)) >= 119*time.Minute)
--- a/entry/contracts/snapshot.go
+++ b/entry/contracts/snapshot.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		if first, found := s.byToken[digest]; found {
-			conflicts = append(conflicts, tokenConflict{used: first.held.record.Contract.Customer, ignored: client})
+			conflicts = append(conflicts, tokenConflict{used: first.held.record.Contract.Client, ignored: client})
 			continue
 		}
 		s.byToken[digest] = owner{digest: digest, held: h}
--- a/entry/contracts/writer.go
+++ b/entry/contracts/writer.go
@@ -21,8 +21,8 @@
 	// ErrUnknownOutcome means that the change may or may not have been made, or may still be
 	// made.
 	ErrUnknownOutcome = errors.New("outcome of the change is unknown")
-	// ErrStoreDown means that the store was not reached; nothing was changed.
-	ErrStoreDown = errors.New("store does not answer; nothing was changed")
+	// ErrStoreUnavailable means that the store was not reached; nothing was changed.
+	ErrStoreUnavailable = errors.New("store does not answer; nothing was changed")
 	// ErrNotFound means that the client has no contract.
 	ErrNotFound = errors.New("customer has no contract")
 )
@@ -31,29 +31,29 @@
 type ConflictError struct {
 	// Expected is the revision that the change was made for; zero for none.
 	Expected int64
-	// Winner is the version in the store. Its Revision is zero when there is none; its
+	// Current is the version in the store. Its Revision is zero when there is none; its
 	// Contract is empty when this entry can't decode it.
-	Winner Version
+	Current Version
 }
 
 // Error names both revisions.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%v: expected revision %d, found %d", ErrConflict, e.Expected, e.Winner.Revision)
+	return fmt.Sprintf("%v: expected revision %d, found %d", ErrConflict, e.Expected, e.Current.Revision)
 }
 
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// Expect is the precondition of a change: the version that it replaces.
-type Expect struct {
+// Precondition is the precondition of a change: the version that it replaces.
+type Precondition struct {
 	// AnyRevision accepts whatever is in the store when the change starts.
 	AnyRevision bool
 	// Revision is the version to be replaced; zero: there is none yet.
 	Revision int64
 }
 
-// Written is the result of an accepted change.
-type Written struct {
+// WriteResult is the result of an accepted change.
+type WriteResult struct {
 	// Revision of the version that the change made.
 	Revision int64
 	// Unchanged is true when the store already held the same content.
@@ -70,8 +70,8 @@
 	Registry *Registry
 	// Timeout bounds one change.
 	Timeout time.Duration
-	// NewChange returns a unique change id.
-	NewChange func() string
+	// NewChangeID returns a unique change id.
+	NewChangeID func() string
 }
 
 // DefaultTimeout bounds one change when WriterOptions doesn't.
@@ -85,8 +85,8 @@
 // NewWriter returns a writer.
 func NewWriter(opts WriterOptions) *Writer {
 	setDefault(&opts.Timeout, DefaultTimeout)
-	if opts.NewChange == nil {
-		opts.NewChange = newChangeID
+	if opts.NewChangeID == nil {
+		opts.NewChangeID = newChangeID
 	}
 	return &Writer{opts: opts}
 }
@@ -98,22 +98,22 @@
 }
 
 // Apply writes a contract if the store holds the expected version. It returns a
-// *contract.Invalid, a *ConflictError, ErrStoreDown (nothing was changed) or
+// *contract.InvalidError, a *ConflictError, ErrStoreUnavailable (nothing was changed) or
 // ErrUnknownOutcome. Repeating a change that was made succeeds with the revision of the
 // first time.
-func (w *Writer) Apply(ctx context.Context, c contract.Contract, expect Expect) (Written, error) {
+func (w *Writer) Apply(ctx context.Context, c contract.Contract, expect Precondition) (WriteResult, error) {
 	if err := c.Check(); err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	if err := w.checkTokens(c); err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	edit := func(*record) (contract.Contract, error) { return c, nil }
-	return w.write(ctx, c.Customer, expect, edit)
+	return w.write(ctx, c.Client, expect, edit)
 }
 
 // Retire ends a client's contract.
-func (w *Writer) Retire(ctx context.Context, client string, expect Expect) (Written, error) {
+func (w *Writer) Retire(ctx context.Context, client string, expect Precondition) (WriteResult, error) {
 	return w.write(ctx, client, expect, func(base *record) (contract.Contract, error) {
 		if base == nil {
 			return contract.Contract{}, ErrNotFound
@@ -142,14 +142,14 @@
 // checkTokens rejects a token that belongs to another client. Two concurrent changes can
 // both pass it; the registry then resolves the conflict.
 func (w *Writer) checkTokens(c contract.Contract) error {
-	var invalid contract.Invalid
+	var invalid contract.InvalidError
 	for i, text := range c.TokenDigests {
 		digest, _ := parseDigest(text)
 		other, found := w.opts.Registry.ByToken(digest)
-		if found && other.Customer != c.Customer {
+		if found && other.Client != c.Client {
 			invalid.Problems = append(invalid.Problems, contract.Problem{
 				Path:    fmt.Sprintf("token_digests[%d]", i),
-				Read:    "a digest of customer " + other.Customer,
+				Found:   "a digest of customer " + other.Client,
 				Allowed: "a token of this customer alone",
 			})
 		}
@@ -187,7 +187,7 @@
 func (w *Writer) read(ctx context.Context, client string) (*base, error) {
 	kv, revision, err := w.opts.Store.Get(ctx, Key(client))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrStoreDown, err)
+		return nil, fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	}
 	b := w.newBase(client, kv)
 	b.storeRevision = revision
@@ -221,59 +221,59 @@
 // without a new version (by a repair).
 const maxTries = 4
 
-func (w *Writer) write(ctx context.Context, client string, expect Expect, edit func(*record) (contract.Contract, error)) (Written, error) {
+func (w *Writer) write(ctx context.Context, client string, expect Precondition, edit func(*record) (contract.Contract, error)) (WriteResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Timeout)
 	defer cancel()
-	change := w.opts.NewChange()
+	change := w.opts.NewChangeID()
 	b, err := w.read(ctx, client)
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	for range maxTries {
 		c, err := edit(b.record)
 		if err != nil {
-			return Written{}, err
+			return WriteResult{}, err
 		}
 		if written, done, err := b.precheck(c, expect); done {
 			return written, err
 		}
-		c.Change = change
+		c.ChangeID = change
 		p, err := w.propose(client, b, c)
 		if err != nil {
-			return Written{}, err
+			return WriteResult{}, err
 		}
 		written, current, err := w.swap(ctx, p)
 		if err != nil || current == nil {
 			return written, err
 		}
 		if current.isRepeat(c, b.revision()) {
-			return Written{Revision: current.revision(), Unchanged: true}, nil
+			return WriteResult{Revision: current.revision(), Unchanged: true}, nil
 		}
 		if current.revision() != b.revision() {
-			return Written{}, conflictError(b.revision(), current.record)
+			return WriteResult{}, conflictError(b.revision(), current.record)
 		}
 		b = current
 	}
-	return Written{}, conflictError(b.revision(), b.record)
+	return WriteResult{}, conflictError(b.revision(), b.record)
 }
 
 // precheck reports whether a change is decided before anything is written: the store
 // already holds the content, or doesn't hold the expected version.
-func (b *base) precheck(c contract.Contract, expect Expect) (written Written, done bool, err error) {
+func (b *base) precheck(c contract.Contract, expect Precondition) (written WriteResult, done bool, err error) {
 	// The newer value may be an accepted change made at an entry of a newer release: the
 	// operator has to agree explicitly to replace it.
 	if b.unreadableRevision > 0 && !expect.AnyRevision {
-		return Written{}, true, &ConflictError{Expected: expect.Revision, Winner: Version{Revision: b.unreadableRevision}}
+		return WriteResult{}, true, &ConflictError{Expected: expect.Revision, Current: Version{Revision: b.unreadableRevision}}
 	}
 	expected := expect.AnyRevision || expect.Revision == b.revision()
-	same := b.stored && b.record.Contract.Same(c)
+	same := b.stored && b.record.Contract.SameTerms(c)
 	switch {
 	case (same && expected) || b.isRepeat(c, expect.Revision):
-		return Written{Revision: b.revision(), Unchanged: true}, true, nil
+		return WriteResult{Revision: b.revision(), Unchanged: true}, true, nil
 	case !expected:
-		return Written{}, true, conflictError(expect.Revision, b.record)
+		return WriteResult{}, true, conflictError(expect.Revision, b.record)
 	}
-	return Written{}, false, nil
+	return WriteResult{}, false, nil
 }
 
 // isRepeat reports whether the store's version is this same change, made against the
@@ -281,13 +281,13 @@
 // first attempt may have taken effect only now, and reporting it as a conflict would
 // make the operator search for another person's change.
 func (b *base) isRepeat(c contract.Contract, previous int64) bool {
-	return b.stored && b.record.Contract.Same(c) && b.record.Previous == previous
+	return b.stored && b.record.Contract.SameTerms(c) && b.record.Previous == previous
 }
 
 func conflictError(expected int64, winner *record) error {
 	e := &ConflictError{Expected: expected}
 	if winner != nil {
-		e.Winner = winner.Version
+		e.Current = winner.Version
 	}
 	return e
 }
@@ -311,7 +311,7 @@
 }
 
 // swap writes a proposal. If the store holds another value, it returns that.
-func (w *Writer) swap(ctx context.Context, p *proposal) (Written, *base, error) {
+func (w *Writer) swap(ctx context.Context, p *proposal) (WriteResult, *base, error) {
 	key := Key(p.client)
 	result, err := w.opts.Store.CompareAndSwap(ctx, key, p.base.modRevision, p.value, 0)
 	switch {
@@ -319,27 +319,27 @@
 		written, err := w.resolveUnknown(ctx, p)
 		return written, nil, err
 	case errors.Is(err, platform.ErrUnavailable):
-		return Written{}, nil, fmt.Errorf("%w: %w", ErrStoreDown, err)
+		return WriteResult{}, nil, fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	case err != nil:
-		return Written{}, nil, err
+		return WriteResult{}, nil, err
 	case result.Swapped:
 		return w.accepted(ctx, p), nil, nil
 	}
 	current := w.newBase(p.client, result.Current)
 	current.storeRevision = result.Revision
-	return Written{}, current, nil
+	return WriteResult{}, current, nil
 }
 
-func (w *Writer) accepted(ctx context.Context, p *proposal) Written {
+func (w *Writer) accepted(ctx context.Context, p *proposal) WriteResult {
 	w.opts.Registry.applyCandidates(ctx, []candidate{{key: Key(p.client), value: p.value, from: "writer"}})
-	return Written{Revision: p.record.Revision}
+	return WriteResult{Revision: p.record.Revision}
 }
 
 // resolveUnknown determines the outcome of a write whose response was lost. It reads the
 // key back; while the key is unchanged, it sends the same write again: the comparison
 // lets only one of the two copies take effect, whichever arrives first. At the timeout
 // the outcome stays unknown, since a copy may still be in flight.
-func (w *Writer) resolveUnknown(ctx context.Context, p *proposal) (Written, error) {
+func (w *Writer) resolveUnknown(ctx context.Context, p *proposal) (WriteResult, error) {
 	registry := w.opts.Registry
 	key := Key(p.client)
 	for ctx.Err() == nil {
@@ -360,32 +360,32 @@
 		}
 		return w.outcomeOf(ctx, p, kv)
 	}
-	return Written{}, w.logUnknownOutcome(ctx, p)
+	return WriteResult{}, w.logUnknownOutcome(ctx, p)
 }
 
 // outcomeOf determines the outcome of the proposal from the version now in the store.
-func (w *Writer) outcomeOf(ctx context.Context, p *proposal, kv *platform.KeyValue) (Written, error) {
+func (w *Writer) outcomeOf(ctx context.Context, p *proposal, kv *platform.KeyValue) (WriteResult, error) {
 	if kv == nil {
-		return Written{}, w.logUnknownOutcome(ctx, p)
+		return WriteResult{}, w.logUnknownOutcome(ctx, p)
 	}
 	rec, err := decodeRecord(kv.Key, kv.Value)
 	if err != nil {
-		return Written{}, w.logUnknownOutcome(ctx, p)
+		return WriteResult{}, w.logUnknownOutcome(ctx, p)
 	}
 	w.opts.Registry.applyCandidates(ctx, []candidate{{key: kv.Key, value: kv.Value, from: "store"}})
-	if own := rec.byChange(p.record.Contract.Change); own != nil {
-		return Written{Revision: own.Revision, Superseded: own.Revision != rec.Revision}, nil
+	if own := rec.byChange(p.record.Contract.ChangeID); own != nil {
+		return WriteResult{Revision: own.Revision, Superseded: own.Revision != rec.Revision}, nil
 	}
 	// The key has changed, so a copy of the write that is still in flight fails its
 	// comparison. Another change took its place if the version history shows which one.
 	if rec.successor(p.base.revision()) != nil {
-		return Written{}, conflictError(p.base.revision(), rec)
+		return WriteResult{}, conflictError(p.base.revision(), rec)
 	}
-	return Written{}, w.logUnknownOutcome(ctx, p)
+	return WriteResult{}, w.logUnknownOutcome(ctx, p)
 }
 
 func (w *Writer) logUnknownOutcome(ctx context.Context, p *proposal) error {
 	eventUnknownOutcome.Log(ctx, w.opts.Registry.opts.Logger,
-		slog.String("customer", p.client), slog.String("change", p.record.Contract.Change))
+		slog.String("customer", p.client), slog.String("change", p.record.Contract.ChangeID))
 	return ErrUnknownOutcome
 }
--- a/entry/contracts/writer_test.go
+++ b/entry/contracts/writer_test.go
@@ -19,8 +19,8 @@
 func TestApplyWithLostResponse(t *testing.T) {
 	s := newStore(t)
 	b := newTestEntry(t, s)
-	s.LoseAnswers(2)
-	written, err := b.writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	s.LoseResponses(2)
+	written, err := b.writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.NilError(t, err)
 	versions, err := b.writer.History(t.Context(), "karlovac")
 	assert.NilError(t, err)
@@ -35,10 +35,10 @@
 func TestApplyWithDelayedWrite(t *testing.T) {
 	s := newStore(t)
 	b := newTestEntry(t, s)
-	s.LateWrites(1, 30*time.Millisecond)
-	written, err := b.writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	s.DelayWrites(1, 30*time.Millisecond)
+	written, err := b.writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.NilError(t, err)
-	next, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: written.Revision})
+	next, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Precondition{Revision: written.Revision})
 	assert.NilError(t, err)
 	time.Sleep(60 * time.Millisecond)
 	versions, err := b.writer.History(t.Context(), "karlovac")
@@ -57,8 +57,8 @@
 		other.apply(t, sample("karlovac", 20))
 	}}
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: hooked, Registry: b.registry})
-	s.LoseAnswers(1)
-	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	s.LoseResponses(1)
+	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.NilError(t, err)
 	assert.Assert(t, written.Superseded)
 	b.waitForRate(t, "karlovac", 20)
@@ -74,11 +74,11 @@
 		other.apply(t, sample("karlovac", 30))
 	}}
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: hooked, Registry: b.registry})
-	s.LateWrites(1, time.Hour)
-	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	s.DelayWrites(1, time.Hour)
+	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	var conflict *contracts.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
-	assert.Equal(t, conflict.Winner.Contract.Rate, 30.0)
+	assert.Equal(t, conflict.Current.Contract.Rate, 30.0)
 }
 
 // As above, but so many changes follow that the history no longer shows it. The outcome
@@ -87,13 +87,13 @@
 	s := newStore(t)
 	b, other := newTestEntry(t, s), newTestEntry(t, s)
 	hooked := &hookedStore{Store: b.client, afterLostSwap: func() {
-		for i := range contracts.KeptVersions + 2 {
+		for i := range contracts.MaxHistory + 2 {
 			other.apply(t, sample("karlovac", float64(20+i)))
 		}
 	}}
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: hooked, Registry: b.registry})
-	s.LoseAnswers(1)
-	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	s.LoseResponses(1)
+	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.ErrorIs(t, err, contracts.ErrUnknownOutcome)
 }
 
@@ -124,15 +124,15 @@
 func TestApplyWithoutResponse(t *testing.T) {
 	s := newStore(t)
 	b := newTestEntry(t, s)
-	hooked := &hookedStore{Store: b.client, afterLostSwap: func() { s.SetMode(store.Refuse) }}
+	hooked := &hookedStore{Store: b.client, afterLostSwap: func() { s.SetMode(store.CloseConnections) }}
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: hooked, Registry: b.registry, Timeout: time.Second})
-	s.LoseAnswers(1)
-	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	s.LoseResponses(1)
+	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.ErrorIs(t, err, contracts.ErrUnknownOutcome)
-	assert.Assert(t, !errors.Is(err, contracts.ErrStoreDown))
+	assert.Assert(t, !errors.Is(err, contracts.ErrStoreUnavailable))
 
 	s.SetMode(store.Up)
-	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.NilError(t, err)
 	assert.Assert(t, written.Unchanged)
 	assert.Equal(t, s.Counts()["txn"], int64(1))
@@ -143,7 +143,7 @@
 	b := newTestEntry(t, s)
 	s.SetMode(store.Down)
 	_, err := b.writer.Apply(t.Context(), sample("karlovac", 10), anyRevision)
-	assert.ErrorIs(t, err, contracts.ErrStoreDown)
+	assert.ErrorIs(t, err, contracts.ErrStoreUnavailable)
 	assert.Equal(t, s.Counts()["txn"], int64(0))
 }
 
@@ -157,7 +157,7 @@
 		first.apply(t, sample("karlovac", 10))
 	}}
 	writer := contracts.NewWriter(contracts.WriterOptions{Store: hooked, Registry: b.registry})
-	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Expect{})
+	written, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	assert.NilError(t, err)
 	assert.Assert(t, written.Unchanged)
 }
@@ -167,18 +167,18 @@
 	b := newTestEntry(t, s)
 	revision := b.apply(t, sample("karlovac", 10))
 	other := newTestEntry(t, s)
-	winner, err := other.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: revision})
+	winner, err := other.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Precondition{Revision: revision})
 	assert.NilError(t, err)
 	for _, expected := range []int64{0, revision} {
-		_, err = b.writer.Apply(t.Context(), sample("karlovac", 30), contracts.Expect{Revision: expected})
+		_, err = b.writer.Apply(t.Context(), sample("karlovac", 30), contracts.Precondition{Revision: expected})
 		var conflict *contracts.ConflictError
 		assert.Assert(t, errors.As(err, &conflict))
 		assert.ErrorIs(t, err, contracts.ErrConflict)
 		assert.Equal(t, conflict.Expected, expected)
-		assert.Equal(t, conflict.Winner.Revision, winner.Revision)
-		assert.Equal(t, conflict.Winner.Contract.Rate, 20.0)
+		assert.Equal(t, conflict.Current.Revision, winner.Revision)
+		assert.Equal(t, conflict.Current.Contract.Rate, 20.0)
 	}
-	_, err = b.writer.Apply(t.Context(), sample("osijek", 1), contracts.Expect{Revision: 7})
+	_, err = b.writer.Apply(t.Context(), sample("osijek", 1), contracts.Precondition{Revision: 7})
 	assert.ErrorIs(t, err, contracts.ErrConflict)
 }
 
@@ -186,9 +186,9 @@
 	s := newStore(t)
 	b := newTestEntry(t, s)
 	c := sample("karlovac", 10)
-	c.Urgency = 0
+	c.Priority = 0
 	_, err := b.writer.Apply(t.Context(), c, anyRevision)
-	var invalid *contract.Invalid
+	var invalid *contract.InvalidError
 	assert.Assert(t, errors.As(err, &invalid))
 	assert.Equal(t, len(s.Counts()), 0)
 }
@@ -201,10 +201,10 @@
 	b := newTestEntry(t, s)
 	revision := b.apply(t, sample("karlovac", 10))
 	s.Put(contracts.Key("karlovac"), []byte(`{"format":2,"revision":5000,"contract":{}}`))
-	_, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Expect{Revision: revision})
+	_, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Precondition{Revision: revision})
 	var conflict *contracts.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
-	assert.Equal(t, conflict.Winner.Revision, int64(5000))
+	assert.Equal(t, conflict.Current.Revision, int64(5000))
 	written, err := b.writer.Apply(t.Context(), sample("karlovac", 20), anyRevision)
 	assert.NilError(t, err)
 	assert.Equal(t, written.Revision, int64(5001))
@@ -235,7 +235,7 @@
 	}
 	versions, err := b.writer.History(t.Context(), "karlovac")
 	assert.NilError(t, err)
-	assert.Equal(t, len(versions), 1+contracts.KeptVersions)
+	assert.Equal(t, len(versions), 1+contracts.MaxHistory)
 	for i, v := range versions {
 		assert.Equal(t, v.Contract.Rate, float64(10-i))
 		if i > 0 {
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -53,7 +53,7 @@
 	jobs     *jobs.Engine
 	sessions *sessions.Server
 	lag      *lag.Meter
-	front    *front.Front
+	front    *front.Handler
 	draining atomic.Bool
 	// runnerReached is true once at least one runner was reachable. Until then the
 	// entry is not ready: it would reject jobs that other entries can serve.
@@ -74,7 +74,7 @@
 		Logger:  o.Logger,
 	}, client, e.config)
 	e.jobs = jobs.New(jobs.Options{
-		Planner: planner.Options{Zone: s.Zone, Seed: incarnation},
+		Planner: planner.Options{DataCentre: s.DataCentre, Seed: incarnation},
 		Logger:  o.Logger,
 		Scope:   o.Metrics.Scope,
 	})
@@ -184,16 +184,16 @@
 	}
 	start := time.Now()
 	bounds := e.settings.Load().Bounds
-	draining.Log(runCtx, e.opts.Logger, slog.Int("open", e.front.Open()))
+	draining.Log(runCtx, e.opts.Logger, slog.Int("open", e.front.InFlight()))
 	e.draining.Store(true)
-	e.front.Closing()
+	e.front.DisableKeepAlives()
 	time.Sleep(bounds.BalancerNotice.Std())
-	e.front.Close()
-	limit := bounds.Grace.Std() - exitReserve
-	for e.front.Open() > 0 && time.Since(start) < limit {
+	e.front.RejectNewJobs()
+	limit := bounds.GracePeriod.Std() - exitReserve
+	for e.front.InFlight() > 0 && time.Since(start) < limit {
 		time.Sleep(drainPollInterval)
 	}
-	if n := e.front.Open(); n > 0 {
+	if n := e.front.InFlight(); n > 0 {
 		drainTimedOut.Log(runCtx, e.opts.Logger, slog.Int("open", n))
 	}
 	return nil
--- a/entry/edge/gauges.go
+++ b/entry/edge/gauges.go
@@ -48,10 +48,10 @@
 		waiting.Update(float64(count.Waiting))
 		oldest.Update(count.Oldest.Seconds())
 		running.Update(float64(count.Running))
-		crashes := e.jobs.Crashes()
+		crashes := e.jobs.CrashCounts()
 		suspects.Update(float64(crashes.Suspects))
 		taskCrashes.Update(float64(crashes.Attributed))
-		commonCauseCrashes.Update(float64(crashes.Common))
-		droppedLines.Update(float64(e.opts.Metrics.LinesLeftOut()))
+		commonCauseCrashes.Update(float64(crashes.CommonCause))
+		droppedLines.Update(float64(e.opts.Metrics.LinesDropped()))
 	}
 }
