--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -29,10 +29,10 @@
 // fakes implements all dependencies of the server.
 type fakes struct {
 	versions []contracts.Version
-	written  contracts.Written
+	written  contracts.WriteResult
 	err      error
 	applied  []contract.Contract
-	expected []contracts.Expect
+	expected []contracts.Precondition
 }
 
 func (f *fakes) All() []contract.Contract {
@@ -43,19 +43,19 @@
 }
 
 func (f *fakes) History(client string) []contracts.Version {
-	if len(f.versions) == 0 || f.versions[0].Contract.Customer != client {
+	if len(f.versions) == 0 || f.versions[0].Contract.Client != client {
 		return nil
 	}
 	return f.versions
 }
 
-func (f *fakes) Apply(_ context.Context, c contract.Contract, e contracts.Expect) (contracts.Written, error) {
+func (f *fakes) Apply(_ context.Context, c contract.Contract, e contracts.Precondition) (contracts.WriteResult, error) {
 	f.applied = append(f.applied, c)
 	f.expected = append(f.expected, e)
 	return f.written, f.err
 }
 
-func (f *fakes) Retire(_ context.Context, _ string, e contracts.Expect) (contracts.Written, error) {
+func (f *fakes) Retire(_ context.Context, _ string, e contracts.Precondition) (contracts.WriteResult, error) {
 	f.expected = append(f.expected, e)
 	return f.written, f.err
 }
@@ -74,12 +74,12 @@
 	t.Helper()
 	digest := sha256.Sum256([]byte(token))
 	recorder := burn.NewRecorder(time.Now())
-	recorder.Record(time.Now(), burn.Observation{Customer: "acme", Kind: burn.Late})
-	control := telemetry.NewControl(tally.NoopScope)
+	recorder.Record(time.Now(), burn.Observation{Client: "acme", Outcome: burn.Late})
+	control := telemetry.NewControlTraffic(tally.NoopScope)
 	control.Kind("exchange").Call(10, 20)
 	s, err := operator.New(operator.Options{
 		TokenDigest: hex.EncodeToString(digest[:]),
-		Registry:    f, Writer: f, Members: f, Fleet: f, Burn: recorder, Traffic: control,
+		Registry:    f, Writer: f, Members: f, Fleet: f, BurnRecorder: recorder, TrafficMeter: control,
 	})
 	assert.NilError(t, err)
 	server := httptest.NewServer(s.Handler())
@@ -109,7 +109,7 @@
 
 func acmeVersion(revision int64) contracts.Version {
 	return contracts.Version{Revision: revision, Contract: contract.Contract{
-		Customer: "acme", State: contract.Active, Rate: 10, Burst: 100, InFlight: 100, Urgency: 5,
+		Client: "acme", State: contract.Active, Rate: 10, Burst: 100, InFlight: 100, Priority: 5,
 		AnswerTime: contract.Duration(time.Second), RunLimit: contract.Duration(time.Second), Objective: 0.99,
 		Services: []string{"teardown"}, TokenDigests: []string{strings.Repeat("ab", 32)},
 	}}
@@ -164,7 +164,7 @@
 }
 
 func TestPutRequiresExpectedVersion(t *testing.T) {
-	f := &fakes{written: contracts.Written{Revision: 8}}
+	f := &fakes{written: contracts.WriteResult{Revision: 8}}
 	url := serve(t, f) + "/v1/contracts/acme"
 	body := encode(t, acmeVersion(0))
 	for _, h := range []string{`If-Match: "7"`, "If-Match: *", "If-None-Match: *"} {
@@ -172,10 +172,10 @@
 		assert.Equal(t, resp.StatusCode, http.StatusOK, "%s", raw)
 		assert.Equal(t, resp.Header.Get("ETag"), `"8"`)
 	}
-	assert.DeepEqual(t, f.expected, []contracts.Expect{{Revision: 7}, {AnyRevision: true}, {}})
+	assert.DeepEqual(t, f.expected, []contracts.Precondition{{Revision: 7}, {AnyRevision: true}, {}})
 	resp, raw := call(t, http.MethodPut, url, body)
 	assert.Equal(t, resp.StatusCode, http.StatusPreconditionRequired)
-	assert.Equal(t, errorCode(t, raw), operator.CodePrecondition)
+	assert.Equal(t, errorCode(t, raw), operator.CodePreconditionRequired)
 	for _, h := range []string{`If-Match: "x"`, `If-Match: "0"`, `If-None-Match: "7"`} {
 		resp, _ := call(t, http.MethodPut, url, body, h)
 		assert.Equal(t, resp.StatusCode, http.StatusBadRequest, "%s", h)
@@ -192,12 +192,12 @@
 	assert.NilError(t, json.Unmarshal(raw, &e))
 	assert.Assert(t, len(e.Error.Problems) > 0)
 	other := acmeVersion(0)
-	other.Contract.Customer = "other"
+	other.Contract.Client = "other"
 	resp, _ = call(t, http.MethodPut, url, encode(t, other), "If-Match: *")
 	assert.Equal(t, resp.StatusCode, http.StatusBadRequest)
 	resp, raw = call(t, http.MethodPut, url, strings.Repeat(" ", contract.MaxSize+1), "If-Match: *")
 	assert.Equal(t, resp.StatusCode, http.StatusRequestEntityTooLarge)
-	assert.Equal(t, errorCode(t, raw), operator.CodeTooLarge)
+	assert.Equal(t, errorCode(t, raw), operator.CodeContractTooLarge)
 	assert.Equal(t, len(f.applied), 0)
 }
 
@@ -210,11 +210,11 @@
 		status int
 		code   operator.Code
 	}{
-		{&contracts.ConflictError{Expected: 3, Winner: acmeVersion(7)}, http.StatusConflict, operator.CodeConflict},
-		{contracts.ErrStoreDown, http.StatusServiceUnavailable, operator.CodeStoreDown},
+		{&contracts.ConflictError{Expected: 3, Current: acmeVersion(7)}, http.StatusConflict, operator.CodeConflict},
+		{contracts.ErrStoreUnavailable, http.StatusServiceUnavailable, operator.CodeStoreUnavailable},
 		{contracts.ErrUnknownOutcome, http.StatusGatewayTimeout, operator.CodeUnknownOutcome},
 		{contracts.ErrNotFound, http.StatusNotFound, operator.CodeNotFound},
-		{&contract.Invalid{Problems: []contract.Problem{{Path: "x"}}}, http.StatusUnprocessableEntity, operator.CodeInvalid},
+		{&contract.InvalidError{Problems: []contract.Problem{{Path: "x"}}}, http.StatusUnprocessableEntity, operator.CodeInvalidContract},
 	}
 	for _, c := range cases {
 		f := &fakes{err: c.err}
@@ -232,9 +232,9 @@
 			assert.Equal(t, errorCode(t, raw), c.code)
 			var e operator.ErrorBody
 			assert.NilError(t, json.Unmarshal(raw, &e))
-			assert.Equal(t, e.Winner != nil, c.code == operator.CodeConflict)
+			assert.Equal(t, e.InForce != nil, c.code == operator.CodeConflict)
 		}
-		assert.DeepEqual(t, f.expected, []contracts.Expect{{Revision: 3}, {AnyRevision: true}})
+		assert.DeepEqual(t, f.expected, []contracts.Precondition{{Revision: 3}, {AnyRevision: true}})
 	}
 }
 
@@ -243,9 +243,9 @@
 	_, raw := call(t, http.MethodGet, url+"/v1/burn?series=true", "")
 	var snapshot burn.Snapshot
 	assert.NilError(t, json.Unmarshal(raw, &snapshot))
-	assert.Equal(t, snapshot.Customers[0].Objective, 0.99)
-	assert.Equal(t, snapshot.Customers[0].Windows[0][burn.Late], uint64(1))
-	assert.Equal(t, len(snapshot.Customers[0].Series), 1)
+	assert.Equal(t, snapshot.Clients[0].Objective, 0.99)
+	assert.Equal(t, snapshot.Clients[0].Windows[0][burn.Late], uint64(1))
+	assert.Equal(t, len(snapshot.Clients[0].Series), 1)
 	_, raw = call(t, http.MethodGet, url+"/v1/control", "")
 	var control operator.Control
 	assert.NilError(t, json.Unmarshal(raw, &control))
--- a/entry/operator/reports.go
+++ b/entry/operator/reports.go
@@ -12,18 +12,18 @@
 func (s *Server) burn(w http.ResponseWriter, r *http.Request) {
 	withSeries := r.URL.Query().Get("series") == "true"
 	self := s.opts.Members.Self().GetId()
-	writeJSON(w, http.StatusOK, s.opts.Burn.Snapshot(s.opts.Now(), self, s.targets(), withSeries))
+	writeJSON(w, http.StatusOK, s.opts.BurnRecorder.Snapshot(s.opts.Now(), self, s.targets(), withSeries))
 }
 
 func (s *Server) targets() []burn.Target {
 	var targets []burn.Target
 	for _, c := range s.opts.Registry.All() {
-		v, found := s.versionInForce(c.Customer)
+		v, found := s.versionInForce(c.Client)
 		if !found {
 			continue
 		}
 		targets = append(targets, burn.Target{
-			Customer:   c.Customer,
+			Client:     c.Client,
 			Objective:  v.Contract.Objective,
 			AnswerTime: v.Contract.AnswerTime.Std(),
 			Revision:   v.Revision,
@@ -40,7 +40,7 @@
 		CPUMs:      usage.CPU.Milliseconds(),
 		RSSBytes:   usage.RSS,
 		Goroutines: usage.Goroutines,
-		Traffic:    s.opts.Traffic.Snapshot(),
+		Traffic:    s.opts.TrafficMeter.Snapshot(),
 	})
 }
 
@@ -50,7 +50,7 @@
 		out.Entries = append(out.Entries, Entry{
 			ID:          e.GetId(),
 			Incarnation: e.GetIncarnation(),
-			Zone:        e.GetZone(),
+			DataCentre:  e.GetZone(),
 			Internal:    e.GetAddress(),
 			Operators:   e.GetOperators(),
 			Draining:    e.GetDraining(),
@@ -63,15 +63,15 @@
 	out := Endpoints{Entry: s.opts.Members.Self().GetId(), Endpoints: []Endpoint{}}
 	for _, e := range s.opts.Fleet.Endpoints() {
 		out.Endpoints = append(out.Endpoints, Endpoint{
-			ID:      string(e.ID),
-			Service: e.Service,
-			Zone:    e.Zone,
-			Address: e.Address,
-			Bare:    e.Bare,
-			Slots:   e.Slots,
-			Leaving: e.Leaving,
-			Usable:  e.Usable,
-			Open:    e.Open,
+			ID:         string(e.ID),
+			Service:    e.Service,
+			DataCentre: e.DataCentre,
+			Address:    e.Address,
+			Bare:       e.Bare,
+			Slots:      e.Slots,
+			Draining:   e.Leaving,
+			Usable:     e.Usable,
+			InFlight:   e.Open,
 		})
 	}
 	slices.SortFunc(out.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -35,8 +35,8 @@
 
 // Writer changes contracts.
 type Writer interface {
-	Apply(ctx context.Context, c contract.Contract, expect contracts.Expect) (contracts.Written, error)
-	Retire(ctx context.Context, client string, expect contracts.Expect) (contracts.Written, error)
+	Apply(ctx context.Context, c contract.Contract, expect contracts.Precondition) (contracts.WriteResult, error)
+	Retire(ctx context.Context, client string, expect contracts.Precondition) (contracts.WriteResult, error)
 }
 
 // Members returns the live entries.
@@ -51,13 +51,13 @@
 	Endpoints() []fleet.Status
 }
 
-// Burn returns how the jobs of this entry ended.
-type Burn interface {
+// BurnRecorder returns how the jobs of this entry ended.
+type BurnRecorder interface {
 	Snapshot(now time.Time, entry string, targets []burn.Target, withSeries bool) burn.Snapshot
 }
 
-// Traffic returns the control traffic of this entry.
-type Traffic interface {
+// TrafficMeter returns the control traffic of this entry.
+type TrafficMeter interface {
 	Snapshot() []telemetry.Traffic
 }
 
@@ -65,13 +65,13 @@
 // Scope.
 type Options struct {
 	// TokenDigest is the SHA-256, in hex, of the operators' bearer token.
-	TokenDigest string
-	Registry    Registry
-	Writer      Writer
-	Members     Members
-	Fleet       Fleet
-	Burn        Burn
-	Traffic     Traffic
+	TokenDigest  string
+	Registry     Registry
+	Writer       Writer
+	Members      Members
+	Fleet        Fleet
+	BurnRecorder BurnRecorder
+	TrafficMeter TrafficMeter
 	// Metrics may be nil: then /metrics isn't served.
 	Metrics *telemetry.Metrics
 	Ready   *telemetry.Ready
--- a/entry/operator/types.go
+++ b/entry/operator/types.go
@@ -14,18 +14,18 @@
 
 // Values of Code.
 const (
-	CodeUnauthenticated Code = "unauthenticated"
-	CodeNotFound        Code = "not_found"
-	CodeInvalid         Code = "invalid_contract"
-	CodeBadRequest      Code = "bad_request"
-	CodeTooLarge        Code = "too_large"
-	// CodePrecondition: the request must state which version it replaces.
-	CodePrecondition Code = "precondition_required"
+	CodeUnauthenticated  Code = "unauthenticated"
+	CodeNotFound         Code = "not_found"
+	CodeInvalidContract  Code = "invalid_contract"
+	CodeBadRequest       Code = "bad_request"
+	CodeContractTooLarge Code = "too_large"
+	// CodePreconditionRequired: the request must state which version it replaces.
+	CodePreconditionRequired Code = "precondition_required"
 	// CodeConflict: the version in force is not the one to be replaced.
 	CodeConflict Code = "conflict"
-	// CodeStoreDown: the store is unavailable and nothing was changed; retry
+	// CodeStoreUnavailable: the store is unavailable and nothing was changed; retry
 	// later.
-	CodeStoreDown Code = "store_down"
+	CodeStoreUnavailable Code = "store_down"
 	// CodeUnknownOutcome: the change may or may not have been made; read the
 	// contract to find out.
 	CodeUnknownOutcome Code = "unknown_outcome"
@@ -35,9 +35,9 @@
 // ErrorBody is the body of every response that is not successful.
 type ErrorBody struct {
 	Error Error `json:"error"`
-	// Winner is the version in force, with CodeConflict; absent if the client has
+	// InForce is the version in force, with CodeConflict; absent if the client has
 	// no contract.
-	Winner *contracts.Version `json:"winner,omitempty"`
+	InForce *contracts.Version `json:"winner,omitempty"`
 }
 
 // Error describes a failure and what the operator can do about it.
@@ -56,13 +56,13 @@
 // History is the response of GET /v1/contracts/{customer}/history, with the version
 // in force first.
 type History struct {
-	Customer string              `json:"customer"`
+	Client   string              `json:"customer"`
 	Versions []contracts.Version `json:"versions"`
 }
 
-// Changed is the response to an accepted change.
-type Changed struct {
-	Customer string `json:"customer"`
+// ChangeResult is the response to an accepted change.
+type ChangeResult struct {
+	Client   string `json:"customer"`
 	Revision int64  `json:"revision"`
 	// Unchanged is true if a contract with the same content was already in force.
 	Unchanged bool `json:"unchanged,omitempty"`
@@ -82,7 +82,7 @@
 type Entry struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
-	Zone        string `json:"zone"`
+	DataCentre  string `json:"zone"`
 	// Internal and Operators are addresses in the form IP:port.
 	Internal  string `json:"internal"`
 	Operators string `json:"operators"`
@@ -97,18 +97,18 @@
 
 // Endpoint describes an endpoint as seen by the responding entry.
 type Endpoint struct {
-	ID      string `json:"id"`
-	Service string `json:"service"`
-	Zone    string `json:"zone"`
-	Address string `json:"address"`
+	ID         string `json:"id"`
+	Service    string `json:"service"`
+	DataCentre string `json:"zone"`
+	Address    string `json:"address"`
 	// Bare is true for a runner without a guard.
-	Bare    bool `json:"bare"`
-	Slots   int  `json:"slots"`
-	Leaving bool `json:"leaving"`
+	Bare     bool `json:"bare"`
+	Slots    int  `json:"slots"`
+	Draining bool `json:"leaving"`
 	// Usable is false while this entry starts no tasks there.
 	Usable bool `json:"usable"`
-	// Open is the number of tasks that this entry has in flight there.
-	Open int `json:"open"`
+	// InFlight is the number of tasks that this entry has in flight there.
+	InFlight int `json:"open"`
 }
 
 // Control is the response of GET /v1/control: the resource usage of the process
--- a/entry/peer/bare_test.go
+++ b/entry/peer/bare_test.go
@@ -22,11 +22,11 @@
 func (discardSink) ApplyReport(string, scheduler.EndpointID, scheduler.Report) {}
 
 // withFleet gives an entry a real fleet.
-func withFleet(t *testing.T) func(*entry) Bare {
-	return func(e *entry) Bare {
+func withFleet(t *testing.T) func(*entry) BareEndpoints {
+	return func(e *entry) BareEndpoints {
 		f := fleet.New(fleet.Options{
-			EntryID: e.info.ID, Incarnation: e.info.Incarnation, Zone: e.info.Zone, Sink: discardSink{},
-			Changed: func(urgent bool) { e.peers.Hasten(urgent) },
+			EntryID: e.info.ID, Incarnation: e.info.Incarnation, DataCentre: e.info.DataCentre, Sink: discardSink{},
+			OnChange: func(urgent bool) { e.peers.RequestRound(urgent) },
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -79,7 +79,7 @@
 	})
 	// Each entry makes one more round at the startup interval, and none after that.
 	time.Sleep(2 * startInterval)
-	runner := fleet.Bare{Service: "teardown", Address: "127.0.0.1:9", Slots: 8, Connections: 64, TTL: 30 * time.Second}
+	runner := fleet.BareAnnouncement{Service: "teardown", Address: "127.0.0.1:9", Slots: 8, Connections: 64, TTL: 30 * time.Second}
 
 	_, err := all[0].fleet().AnnounceBare(time.Now(), runner)
 	assert.NilError(t, err)
--- a/entry/peer/cluster_test.go
+++ b/entry/peer/cluster_test.go
@@ -125,7 +125,7 @@
 func (staticContracts) Revision() int64                  { return 1 }
 func (staticContracts) Digest() uint64                   { return 1 }
 func (staticContracts) StoreAge(time.Time) time.Duration { return 0 }
-func (staticContracts) Listed() bool                     { return true }
+func (staticContracts) HasSynced() bool                  { return true }
 
 // node is one entry process.
 type node struct {
@@ -180,12 +180,12 @@
 	clock := func() time.Time { return c.now }
 	half := func() float64 { return 0.5 }
 	n.members = member.New(member.Options{
-		Self: member.Info{ID: n.name, Incarnation: uint64(c.now.UnixNano()), Address: n.name, Zone: "z"}, Now: clock,
+		Self: member.Info{ID: n.name, Incarnation: uint64(c.now.UnixNano()), Address: n.name, DataCentre: "z"}, Now: clock,
 	})
 	n.registrar = member.NewRegistrar(member.RegistrarOptions{Store: n.storeConn, Table: n.members, Now: clock, Jitter: half})
 	n.quota = quota.New(quota.Options{Self: peerID(n.members.Self()).String(), Jitter: half})
 	n.quota.SetContracts(c.now, contract.Contract{
-		Customer: "karlovac", State: contract.Active, Rate: clusterRate, Burst: clusterBurst, InFlight: clusterFlight,
+		Client: "karlovac", State: contract.Active, Rate: clusterRate, Burst: clusterBurst, InFlight: clusterFlight,
 		AnswerTime: contract.Duration(2 * time.Second),
 	})
 	n.peers = New(Options{
@@ -218,7 +218,7 @@
 func (c *cluster) call(from, to *node, lost bool) {
 	id := peerID(to.members.Self())
 	if !c.running(to) || to.left || c.cut(from, to) {
-		from.members.Missed(id.ID, id.Incarnation)
+		from.members.RecordFailedCall(id.ID, id.Incarnation)
 		return
 	}
 	asked := c.now
@@ -228,7 +228,7 @@
 		panic(err)
 	}
 	if lost {
-		from.members.Missed(id.ID, id.Incarnation)
+		from.members.RecordFailedCall(id.ID, id.Incarnation)
 		return
 	}
 	from.peers.applyResponse(context.Background(), nil, id, resp, asked)
--- a/entry/peer/config.go
+++ b/entry/peer/config.go
@@ -28,7 +28,7 @@
 
 // hasContracts reports whether contracts were received from the store or from a peer.
 func (p *Peers) hasContracts() bool {
-	return p.opts.Contracts.Listed() || p.bootstrapped.Load()
+	return p.opts.Contracts.HasSynced() || p.bootstrapped.Load()
 }
 
 // syncContracts fetches the contracts that the peer holds and this entry lacks.
@@ -80,14 +80,14 @@
 func (p *Peers) fetchContracts(ctx context.Context, client wirev1connect.PeerServiceClient) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	req := &wirev1.FetchContractsRequest{Held: p.opts.Contracts.Held()}
+	req := &wirev1.FetchContractsRequest{Held: p.opts.Contracts.HeldRevisions()}
 	resp, err := client.FetchContracts(ctx, connect.NewRequest(req))
 	if err != nil {
 		count(p.meter.fetch, req, nil)
 		return err
 	}
 	count(p.meter.fetch, req, resp.Msg)
-	applied, err := p.opts.Contracts.MergeAnswer(resp.Msg)
+	applied, err := p.opts.Contracts.MergeResponse(resp.Msg)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 		// An empty response would look like a system without contracts.
 		return nil, connect.NewError(connect.CodeUnavailable, errNotReady)
 	}
-	resp := s.p.opts.Contracts.Answer(req.Msg)
+	resp := s.p.opts.Contracts.BuildResponse(req.Msg)
 	count(s.p.meter.fetch, resp, req.Msg)
 	return connect.NewResponse(resp), nil
 }
--- a/entry/peer/early.go
+++ b/entry/peer/early.go
@@ -36,10 +36,10 @@
 	return earlyRounds{wake: make(chan struct{}, 1), urgent: &atomic.Bool{}, limiter: &earlyLimiter{tokens: earlyBurst}}
 }
 
-// Hasten requests a gossip round before the next regular one, because what this entry
+// RequestRound requests a gossip round before the next regular one, because what this entry
 // last sent to its peers is out of date. It never blocks. An urgent round goes to all
 // peers; another one may be dropped if there were many.
-func (p *Peers) Hasten(urgent bool) {
+func (p *Peers) RequestRound(urgent bool) {
 	if urgent {
 		p.early.urgent.Store(true)
 	}
--- a/entry/peer/exchange.go
+++ b/entry/peer/exchange.go
@@ -38,7 +38,7 @@
 	}
 	// The address may have been taken over by another process, whose answer does not show
 	// that the intended one is alive.
-	p.opts.Members.Missed(target.ID, target.Incarnation)
+	p.opts.Members.RecordFailedCall(target.ID, target.Incarnation)
 	if err == nil || ctx.Err() != nil {
 		return
 	}
@@ -63,7 +63,7 @@
 	count(p.meter.exchange, req, resp.Msg)
 	from := peerID(resp.Msg.GetFrom())
 	if from.ID == p.opts.Members.Info().ID {
-		p.opts.Members.Learn([]*wirev1.EntryInfo{resp.Msg.GetFrom()})
+		p.opts.Members.MergeGossip([]*wirev1.EntryInfo{resp.Msg.GetFrom()})
 		return from, errSelf
 	}
 	if from.ID == "" {
@@ -83,30 +83,30 @@
 	}
 	if s == nil {
 		// A call to a seed: which entry will answer is not known.
-		req.Known = p.opts.Members.Known(true)
+		req.Known = p.opts.Members.GossipEntries(true)
 		return req
 	}
-	req.Demand = p.opts.Quota.Demand(now, to.String())
-	req.Bare = s.unsentBare(now, p.opts.Bare.Bare())
-	req.BareUse = p.opts.Bare.Use()
-	req.Known = p.opts.Members.Known(s.sendsAllMembers())
+	req.Demand = p.opts.Quota.Demands(now, to.String())
+	req.Bare = s.unsentBare(now, p.opts.Bare.BareEndpoints())
+	req.BareUse = p.opts.Bare.BareUsage()
+	req.Known = p.opts.Members.GossipEntries(s.sendsAllMembers())
 	return req
 }
 
 // applyResponse applies a peer's response to a call that was sent at asked.
 func (p *Peers) applyResponse(ctx context.Context, client wirev1connect.PeerServiceClient, from quota.PeerID, resp *wirev1.ExchangeResponse, asked time.Time) {
 	s := p.state(from)
-	p.opts.Members.Heard(resp.GetFrom(), asked)
-	p.opts.Members.Learn(resp.GetKnown())
+	p.opts.Members.RecordContact(resp.GetFrom(), asked)
+	p.opts.Members.MergeGossip(resp.GetKnown())
 	s.setSendAllMembers(resp.GetMembersDigest() != p.opts.Members.Digest())
 	p.recordContact(asked)
 	s.markKnown(resp.GetBare())
-	p.opts.Bare.ApplyBare(resp.GetBare())
-	p.opts.Bare.ApplyUse(from.ID, resp.GetBareUse())
+	p.opts.Bare.ApplyBareEndpoints(resp.GetBare())
+	p.opts.Bare.ApplyBareUsage(from.ID, resp.GetBareUse())
 	now := p.opts.Now()
 	p.recordConfirmation(from, resp, asked)
 	p.refreshShare(now)
-	p.opts.Quota.Borrow(now, from.String(), resp.GetLoans(), asked)
+	p.opts.Quota.AcquireLeases(now, from.String(), resp.GetLoans(), asked)
 	p.syncContracts(ctx, client, from, resp.GetConfigRevision(), resp.GetConfigDigest())
 }
 
@@ -115,12 +115,12 @@
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
 	p.holder.Confirm(from, quota.Confirmation{
-		AskedAt:    asked,
-		Counted:    counted > 0,
-		CountedFor: time.Duration(max(counted, 1)-1) * time.Millisecond,
-		Unsettled:  resp.GetUnsettled(),
-		Rooted:     resp.GetRooted(),
-		Holding:    resp.GetHolding(),
+		AskedAt:            asked,
+		Counted:            counted > 0,
+		CountedFor:         time.Duration(max(counted, 1)-1) * time.Millisecond,
+		Unsettled:          resp.GetUnsettled(),
+		MembershipComplete: resp.GetRooted(),
+		Holding:            resp.GetHolding(),
 	})
 }
 
--- a/entry/peer/forward.go
+++ b/entry/peer/forward.go
@@ -14,7 +14,7 @@
 )
 
 // Forward sends a caller's request to the entry that owns it. Its errors wrap
-// ErrPeerSilent, ErrPeerGone or ErrPeerFailed; after any of them the peer may still have
+// ErrPeerUnresponsive, ErrPeerGone or ErrPeerFailed; after any of them the peer may still have
 // accepted the request. The request names a submission, so sending it twice is safe.
 func (p *Peers) Forward(ctx context.Context, entry string, req *wirev1.ForwardRequest) (*wirev1.ForwardResponse, error) {
 	target, known := p.opts.Members.Peer(entry)
@@ -45,10 +45,10 @@
 }
 
 func (p *Peers) unknownPeerError(entry string, incarnation uint64) error {
-	if incarnation != 0 && p.opts.Members.Standing(entry, incarnation) == member.Gone {
+	if incarnation != 0 && p.opts.Members.Status(entry, incarnation) == member.Gone {
 		return eris.Wrap(ErrPeerGone, entry)
 	}
-	return eris.Wrap(ErrPeerSilent, entry)
+	return eris.Wrap(ErrPeerUnresponsive, entry)
 }
 
 // forwardError maps connect's error codes to this package's errors.
@@ -57,10 +57,10 @@
 	case connect.CodeFailedPrecondition:
 		return p.unknownPeerError(target.ID, target.Incarnation)
 	case connect.CodeUnavailable, connect.CodeUnknown:
-		p.opts.Members.Missed(target.ID, target.Incarnation)
-		return eris.Wrap(ErrPeerSilent, err.Error())
+		p.opts.Members.RecordFailedCall(target.ID, target.Incarnation)
+		return eris.Wrap(ErrPeerUnresponsive, err.Error())
 	case connect.CodeDeadlineExceeded, connect.CodeCanceled:
-		return eris.Wrap(ErrPeerSilent, err.Error())
+		return eris.Wrap(ErrPeerUnresponsive, err.Error())
 	default:
 		return eris.Wrap(ErrPeerFailed, err.Error())
 	}
@@ -83,7 +83,7 @@
 
 // lastContact is the start time of the last call that the store or a peer answered.
 func (p *Peers) lastContact() time.Time {
-	at := p.opts.Members.StoreAsked()
+	at := p.opts.Members.LastStoreCall()
 	if answered := p.lastAnswered.Load(); answered != nil && answered.After(at) {
 		at = *answered
 	}
--- a/entry/peer/gate.go
+++ b/entry/peer/gate.go
@@ -38,7 +38,7 @@
 }
 
 func (p *Peers) checkServing(now time.Time) (bool, time.Duration) {
-	if !p.hasContracts() || p.withoutShare.Load() || !p.opts.Lease.Admissible(now) {
+	if !p.hasContracts() || p.withoutShare.Load() || !p.opts.Lease.MayAdmit(now) {
 		return false, retryStarting
 	}
 	if p.isolated(now) || p.leaving.Load() {
--- a/entry/peer/guards.go
+++ b/entry/peer/guards.go
@@ -42,12 +42,12 @@
 // Guards is the part of the fleet with which a joining entry learns guards from its
 // peers.
 type Guards interface {
-	// GuardsFor lists the guards that should attach to an entry; everywhere means that any
+	// GuardHintsFor lists the guards that should attach to an entry; everywhere means that any
 	// other entry would list the same ones.
-	GuardsFor(e *wirev1.EntryInfo) (guards []*wirev1.GuardHint, everywhere bool)
-	// Greet contacts the guards. It returns when each guard has answered or was dropped, or
+	GuardHintsFor(e *wirev1.EntryInfo) (guards []*wirev1.GuardHint, everywhere bool)
+	// ConnectHints contacts the guards. It returns when each guard has answered or was dropped, or
 	// when ctx ends.
-	Greet(ctx context.Context, guards []*wirev1.GuardHint)
+	ConnectHints(ctx context.Context, guards []*wirev1.GuardHint)
 }
 
 // guardDiscovery is the progress of learning the guards from peers.
@@ -95,14 +95,14 @@
 				defer close(answered)
 				p.queryGuards(ctx, to)
 			})
-			if !uptime.SleepUnless(ctx, guardsHedge, answered) || p.guards.done.Load() {
+			if !uptime.SleepUntilEvent(ctx, guardsHedge, answered) || p.guards.done.Load() {
 				break
 			}
 		}
 		if len(asked) > 0 && inFlight.Load() == 0 && len(p.unaskedPeers(asked)) == 0 {
 			p.guards.settled.Store(true)
 		}
-		if !uptime.SleepUnless(ctx, guardsPoll, nil) {
+		if !uptime.SleepUntilEvent(ctx, guardsPoll, nil) {
 			return
 		}
 	}
@@ -134,7 +134,7 @@
 		}
 		return
 	}
-	p.opts.Guards.Greet(ctx, resp.GetGuards())
+	p.opts.Guards.ConnectHints(ctx, resp.GetGuards())
 	eventGuardsFetched.Log(ctx, p.opts.Logger,
 		slog.String("peer", to.ID), slog.Int("guards", len(resp.GetGuards())), slog.Bool("complete", resp.GetComplete()))
 	if resp.GetComplete() && p.guards.complete.Add(1) >= completeAnswers {
@@ -183,7 +183,7 @@
 	if p.opts.Guards == nil {
 		return &wirev1.FetchGuardsResponse{Digest: guardsDigest(nil)}
 	}
-	guards, everywhere := p.opts.Guards.GuardsFor(from)
+	guards, everywhere := p.opts.Guards.GuardHintsFor(from)
 	return &wirev1.FetchGuardsResponse{
 		Guards:   guards,
 		Total:    uint32(len(guards)),
--- a/entry/peer/guards_test.go
+++ b/entry/peer/guards_test.go
@@ -23,9 +23,11 @@
 	hold chan struct{}
 }
 
-func (g *fakeGuards) GuardsFor(*wirev1.EntryInfo) ([]*wirev1.GuardHint, bool) { return g.known, true }
+func (g *fakeGuards) GuardHintsFor(*wirev1.EntryInfo) ([]*wirev1.GuardHint, bool) {
+	return g.known, true
+}
 
-func (g *fakeGuards) Greet(ctx context.Context, guards []*wirev1.GuardHint) {
+func (g *fakeGuards) ConnectHints(ctx context.Context, guards []*wirev1.GuardHint) {
 	g.mu.Lock()
 	g.contacted = append(g.contacted, guards...)
 	g.mu.Unlock()
@@ -163,7 +165,7 @@
 	t.Helper()
 	e := newEntry(t, newStore(t), "q", options{})
 	members := member.New(member.Options{Self: member.Info{ID: "e1", Incarnation: 1, Address: "10.1.0.11:7001"}})
-	members.Learn([]*wirev1.EntryInfo{{Id: "e2", Incarnation: 1, Address: "10.1.0.12:7001", HeardMs: 1}})
+	members.MergeGossip([]*wirev1.EntryInfo{{Id: "e2", Incarnation: 1, Address: "10.1.0.12:7001", HeardMs: 1}})
 	o := Options{Members: members, Quota: e.quota, Guards: &fakeGuards{}}
 	for _, c := range change {
 		c(&o)
--- a/entry/peer/peer.go
+++ b/entry/peer/peer.go
@@ -24,8 +24,8 @@
 
 // Errors of Forward and of gossip calls.
 var (
-	// ErrPeerSilent: the peer did not answer; it may have received the request.
-	ErrPeerSilent = eris.New("peer: no answer")
+	// ErrPeerUnresponsive: the peer did not answer; it may have received the request.
+	ErrPeerUnresponsive = eris.New("peer: no answer")
 	// ErrPeerGone: the addressed process has ended.
 	ErrPeerGone = eris.New("peer: ended or replaced")
 	// ErrPeerFailed: the peer answered with an error of its own; the outcome of the request
@@ -53,44 +53,44 @@
 	Digest() uint64
 	// StoreAge is the time since the store last answered.
 	StoreAge(now time.Time) time.Duration
-	// Listed reports whether the store was read in full since the start.
-	Listed() bool
-	// Held returns the revision of each contract held.
-	Held() map[string]int64
-	// Answer serves a peer's request; MergeAnswer applies a peer's response if it is
+	// HasSynced reports whether the store was read in full since the start.
+	HasSynced() bool
+	// HeldRevisions returns the revision of each contract held.
+	HeldRevisions() map[string]int64
+	// BuildResponse serves a peer's request; MergeResponse applies a peer's response if it is
 	// complete.
-	Answer(*wirev1.FetchContractsRequest) *wirev1.FetchContractsResponse
-	MergeAnswer(*wirev1.FetchContractsResponse) (int, error)
+	BuildResponse(*wirev1.FetchContractsRequest) *wirev1.FetchContractsResponse
+	MergeResponse(*wirev1.FetchContractsResponse) (int, error)
 }
 
-// Bare is the part of the fleet that entries share by gossip.
-type Bare interface {
-	// Bare lists the endpoints without a guard; ApplyBare applies a peer's list.
-	Bare() []*wirev1.BareEndpoint
-	ApplyBare([]*wirev1.BareEndpoint)
-	// Use is this entry's current use of them; ApplyUse applies a peer's.
-	Use() []*wirev1.BareUse
-	ApplyUse(from string, all []*wirev1.BareUse)
+// BareEndpoints is the part of the fleet that entries share by gossip.
+type BareEndpoints interface {
+	// BareEndpoints lists the endpoints without a guard; ApplyBareEndpoints applies a peer's list.
+	BareEndpoints() []*wirev1.BareEndpoint
+	ApplyBareEndpoints([]*wirev1.BareEndpoint)
+	// BareUsage is this entry's current use of them; ApplyBareUsage applies a peer's.
+	BareUsage() []*wirev1.BareUse
+	ApplyBareUsage(from string, all []*wirev1.BareUse)
 }
 
 // Quota is the part of the client limits that is coordinated with peers.
 type Quota interface {
-	Demand(now time.Time, to string) []*wirev1.Demand
-	Lacking(now time.Time) bool
-	Lend(now time.Time, from string, demands []*wirev1.Demand) []*wirev1.Loan
-	Borrow(now time.Time, from string, loans []*wirev1.Loan, askedAt time.Time)
-	Drop(now time.Time, from string)
-	Unsettled(now time.Time) []string
+	Demands(now time.Time, to string) []*wirev1.Demand
+	NeedsLeases(now time.Time) bool
+	GrantLeases(now time.Time, from string, demands []*wirev1.Demand) []*wirev1.Loan
+	AcquireLeases(now time.Time, from string, loans []*wirev1.Loan, askedAt time.Time)
+	DropLeases(now time.Time, from string)
+	UnsettledClients(now time.Time) []string
 	SetShare(now time.Time, s quota.Share)
-	StopLending()
+	StopGranting()
 	Close()
 	Idle(now time.Time) bool
 }
 
 // Lease tells whether this entry's registration allows it to admit new work.
 type Lease interface {
-	Admissible(now time.Time) bool
-	Touch()
+	MayAdmit(now time.Time) bool
+	RequestUpdate()
 }
 
 // ForwardHandler serves a request that a peer forwards.
@@ -103,7 +103,7 @@
 	Lease     Lease
 	Contracts Contracts
 	Quota     Quota
-	Bare      Bare
+	Bare      BareEndpoints
 	// Guards is nil for an entry that neither lists nor contacts guards.
 	Guards  Guards
 	Forward ForwardHandler
@@ -121,7 +121,7 @@
 	// Isolation is how long this entry accepts new work while neither the store nor a peer
 	// answers.
 	Isolation time.Duration
-	Control   *telemetry.Control
+	Control   *telemetry.ControlTraffic
 	Logger    *slog.Logger
 	Scope     tally.Scope
 	Now       func() time.Time
@@ -141,7 +141,7 @@
 		o.Scope = tally.NoopScope
 	}
 	if o.Control == nil {
-		o.Control = telemetry.NewControl(o.Scope)
+		o.Control = telemetry.NewControlTraffic(o.Scope)
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -207,8 +207,8 @@
 }
 
 // Standing returns what is known of one incarnation of an entry.
-func (p *Peers) Standing(entry string, incarnation uint64) member.Standing {
-	return p.opts.Members.Standing(entry, incarnation)
+func (p *Peers) Status(entry string, incarnation uint64) member.Status {
+	return p.opts.Members.Status(entry, incarnation)
 }
 
 func peerID(e *wirev1.EntryInfo) quota.PeerID {
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -105,20 +105,20 @@
 	all []*wirev1.BareEndpoint
 }
 
-func (b *fakeBare) Bare() []*wirev1.BareEndpoint {
+func (b *fakeBare) BareEndpoints() []*wirev1.BareEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.all
 }
 
-func (b *fakeBare) ApplyBare(got []*wirev1.BareEndpoint) {
+func (b *fakeBare) ApplyBareEndpoints(got []*wirev1.BareEndpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.all = append(b.all, got...)
 }
 
-func (b *fakeBare) Use() []*wirev1.BareUse             { return nil }
-func (b *fakeBare) ApplyUse(string, []*wirev1.BareUse) {}
+func (b *fakeBare) BareUsage() []*wirev1.BareUse             { return nil }
+func (b *fakeBare) ApplyBareUsage(string, []*wirev1.BareUse) {}
 
 // entry is one entry without the job engine.
 type entry struct {
@@ -127,7 +127,7 @@
 	members  *member.Table
 	registry *contracts.Registry
 	quota    *quota.Table
-	bare     Bare
+	bare     BareEndpoints
 	relay    *relay.Relay
 	peers    *Peers
 	server   *http.Server
@@ -142,7 +142,7 @@
 	// relayed entries are reached through a relay.
 	relayed bool
 	// bare is the entry's fleet; interval is the time between regular rounds.
-	bare     func(*entry) Bare
+	bare     func(*entry) BareEndpoints
 	interval time.Duration
 	// guards is the part of the entry's fleet used for joining; nil for none.
 	guards Guards
@@ -160,7 +160,7 @@
 	e := &entry{
 		info: member.Info{
 			ID: id, Incarnation: uint64(time.Now().UnixNano()) + incarnations.Add(1),
-			Address: l.Addr().String(), Zone: "zagreb",
+			Address: l.Addr().String(), DataCentre: "zagreb",
 		},
 		store: &cuttable{Store: client},
 		bare:  &fakeBare{},
@@ -221,14 +221,14 @@
 	s, err := store.Serve()
 	assert.NilError(t, err)
 	t.Cleanup(s.Close)
-	s.SetProgress(100 * time.Millisecond)
+	s.SetProgressInterval(100 * time.Millisecond)
 	return s
 }
 
 func sample(rate float64) contract.Contract {
 	digest := sha256.Sum256([]byte("token"))
 	return contract.Contract{
-		Customer: "karlovac", State: contract.Active, Rate: rate, Burst: 100, InFlight: 100, Urgency: 5,
+		Client: "karlovac", State: contract.Active, Rate: rate, Burst: 100, InFlight: 100, Priority: 5,
 		AnswerTime: contract.Duration(2 * time.Second), RunLimit: contract.Duration(time.Second),
 		Objective: 0.99, Services: []string{"teardown"}, TokenDigests: []string{hex.EncodeToString(digest[:])},
 	}
@@ -237,7 +237,7 @@
 func apply(t *testing.T, e *entry, c contract.Contract) {
 	t.Helper()
 	w := contracts.NewWriter(contracts.WriterOptions{Store: e.store, Registry: e.registry, Timeout: 3 * time.Second})
-	_, err := w.Apply(t.Context(), c, contracts.Expect{AnyRevision: true})
+	_, err := w.Apply(t.Context(), c, contracts.Precondition{AnyRevision: true})
 	assert.NilError(t, err)
 }
 
@@ -257,7 +257,7 @@
 }
 
 func (e *entry) rate() float64 {
-	c, _ := e.registry.ByCustomer("karlovac")
+	c, _ := e.registry.ByClient("karlovac")
 	return c.Rate
 }
 
@@ -332,7 +332,7 @@
 		return &wirev1.ForwardResponse{Status: 200, Body: r.GetBody()}, nil
 	}
 	a, b := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{forward: echo})
-	eventually(t, "b known", func() bool { return a.members.Standing("b", b.info.Incarnation) == member.Live })
+	eventually(t, "b known", func() bool { return a.members.Status("b", b.info.Incarnation) == member.Live })
 	req := &wirev1.ForwardRequest{Submission: "s", Body: []byte("job")}
 	resp, err := a.peers.Forward(t.Context(), "b", req)
 	assert.NilError(t, err)
@@ -340,15 +340,15 @@
 
 	b.kill()
 	_, err = a.peers.Forward(t.Context(), "b", req)
-	assert.Assert(t, errors.Is(err, ErrPeerSilent), "%v", err)
-	eventually(t, "b silent", func() bool { return a.members.Standing("b", b.info.Incarnation) == member.Silent })
+	assert.Assert(t, errors.Is(err, ErrPeerUnresponsive), "%v", err)
+	eventually(t, "b silent", func() bool { return a.members.Status("b", b.info.Incarnation) == member.Silent })
 
 	newer := newEntry(t, s, "b", options{forward: echo})
-	eventually(t, "b gone", func() bool { return a.members.Standing("b", b.info.Incarnation) == member.Gone })
+	eventually(t, "b gone", func() bool { return a.members.Status("b", b.info.Incarnation) == member.Gone })
 	_, err = a.peers.Forward(t.Context(), "b", &wirev1.ForwardRequest{ToIncarnation: b.info.Incarnation})
 	assert.Assert(t, errors.Is(err, ErrPeerGone), "%v", err)
 	_, err = a.peers.Forward(t.Context(), "nobody", req)
-	assert.Assert(t, errors.Is(err, ErrPeerSilent), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrPeerUnresponsive), "%v", err)
 	_, err = a.peers.Forward(t.Context(), "b", &wirev1.ForwardRequest{ToIncarnation: newer.info.Incarnation})
 	assert.NilError(t, err)
 }
@@ -369,7 +369,7 @@
 	assert.NilError(t, b.peers.Leave(t.Context()))
 	assert.Equal(t, b.share(), 0.0)
 	eventually(t, "whole rate", func() bool { return a.share() == 90 })
-	assert.Equal(t, a.members.Standing("b", b.info.Incarnation), member.Gone)
+	assert.Equal(t, a.members.Status("b", b.info.Incarnation), member.Gone)
 }
 
 // A network device between two entries drops the state of their open connection: the
@@ -384,7 +384,7 @@
 	}
 	a, b := newEntry(t, s, "a", options{}), newEntry(t, s, "b", options{forward: hang, relayed: true})
 	known := func() bool {
-		return a.members.Standing("b", b.info.Incarnation) == member.Live && a.peers.lastAnswered.Load() != nil
+		return a.members.Status("b", b.info.Incarnation) == member.Live && a.peers.lastAnswered.Load() != nil
 	}
 	eventually(t, "b known", known)
 	failed := make(chan error, 1)
@@ -397,10 +397,10 @@
 	// The call has been sent once the connection has carried a later response.
 	began := *a.peers.lastAnswered.Load()
 	eventually(t, "an exchange after the call", func() bool { return a.peers.lastAnswered.Load().Sub(began) > time.Second })
-	b.relay.Forget(true, true)
+	b.relay.Blackhole(true, true)
 	forgotten := time.Now()
 	err := <-failed
-	assert.Assert(t, errors.Is(err, ErrPeerSilent), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrPeerUnresponsive), "%v", err)
 	assert.NilError(t, ctx.Err())
 	eventually(t, "an answer on the new connection", func() bool { return a.peers.lastAnswered.Load().After(forgotten) })
 }
@@ -428,7 +428,7 @@
 }
 
 func (b brokenPeer) FetchContracts(_ context.Context, req *connect.Request[wirev1.FetchContractsRequest]) (*connect.Response[wirev1.FetchContractsResponse], error) {
-	resp := proto.CloneOf(b.from.Answer(req.Msg))
+	resp := proto.CloneOf(b.from.BuildResponse(req.Msg))
 	b.corrupt(resp)
 	return connect.NewResponse(resp), nil
 }
@@ -442,7 +442,7 @@
 	eventually(t, "serving", a.serves)
 	apply(t, a, sample(90))
 	other := sample(30)
-	other.Customer, other.TokenDigests = "osijek", nil
+	other.Client, other.TokenDigests = "osijek", nil
 	apply(t, a, other)
 	c := newEntry(t, s, "c", options{noStore: true})
 	for name, corrupt := range map[string]func(*wirev1.FetchContractsResponse){
@@ -451,7 +451,7 @@
 		"value changed":  func(r *wirev1.FetchContractsResponse) { r.Records[0].Value[0] ^= 1 },
 	} {
 		err := c.peers.fetchContracts(t.Context(), brokenPeer{corrupt: corrupt, from: a.registry})
-		assert.Assert(t, errors.Is(err, contracts.ErrNotWhole), "%s: %v", name, err)
+		assert.Assert(t, errors.Is(err, contracts.ErrIncomplete), "%s: %v", name, err)
 		assert.Assert(t, !c.peers.hasContracts(), name)
 		assert.Equal(t, len(c.registry.All()), 0, name)
 	}
--- a/entry/peer/recheck.go
+++ b/entry/peer/recheck.go
@@ -24,10 +24,10 @@
 	startedAt time.Time
 }
 
-// AwaitServe is MayServe for new work that may wait briefly. An entry that was suspended
+// AwaitServing is MayServe for new work that may wait briefly. An entry that was suspended
 // has received nothing for that time; whether it is isolated is known after one gossip
 // round.
-func (p *Peers) AwaitServe(ctx context.Context) (ok bool, retryAfter time.Duration) {
+func (p *Peers) AwaitServing(ctx context.Context) (ok bool, retryAfter time.Duration) {
 	now := p.opts.Now()
 	ok, retryAfter = p.MayServe(now)
 	if !p.contactUncertain(now) {
@@ -38,7 +38,7 @@
 		return ok, retryAfter
 	}
 	if first {
-		p.Hasten(true)
+		p.RequestRound(true)
 		go p.finishRecheck(done)
 	}
 	select {
--- a/entry/peer/run.go
+++ b/entry/peer/run.go
@@ -131,7 +131,7 @@
 // from each: to take its share, or to acquire quota leases. Otherwise it returns Fanout
 // of them at random.
 func (p *Peers) selectPeers(now time.Time, peers []member.Peer) []member.Peer {
-	if len(peers) <= p.opts.Fanout || !p.joined() || p.opts.Quota.Lacking(now) {
+	if len(peers) <= p.opts.Fanout || !p.joined() || p.opts.Quota.NeedsLeases(now) {
 		return peers
 	}
 	chosen := append([]member.Peer{}, peers...)
@@ -149,7 +149,7 @@
 	for _, peer := range peers {
 		present[quota.PeerID{ID: peer.Info.ID, Incarnation: peer.Info.Incarnation}] = true
 		addresses[peer.Info.Address] = true
-		if peer.Standing == member.Live {
+		if peer.Status == member.Live {
 			live++
 		}
 	}
@@ -221,8 +221,8 @@
 // granted expire while its last jobs finish.
 func (p *Peers) Drain() {
 	p.opts.Members.SetDraining()
-	p.opts.Lease.Touch()
-	p.opts.Quota.StopLending()
+	p.opts.Lease.RequestUpdate()
+	p.opts.Quota.StopGranting()
 }
 
 // Leave takes this entry out gracefully, after its last job: it stops granting quota
@@ -243,7 +243,7 @@
 		}
 	}
 	p.opts.Members.SetLeft()
-	p.opts.Lease.Touch()
+	p.opts.Lease.RequestUpdate()
 	var calls sync.WaitGroup
 	for _, peer := range p.opts.Members.Peers() {
 		calls.Go(func() { p.announceLeave(ctx, peer.Info) })
--- a/entry/peer/server.go
+++ b/entry/peer/server.go
@@ -48,17 +48,17 @@
 	}
 	now := p.opts.Now()
 	if from.ID == p.opts.Members.Info().ID {
-		p.opts.Members.Learn([]*wirev1.EntryInfo{req.GetFrom()})
+		p.opts.Members.MergeGossip([]*wirev1.EntryInfo{req.GetFrom()})
 		return &wirev1.ExchangeResponse{From: p.opts.Members.Self()}, nil
 	}
-	p.opts.Members.Heard(req.GetFrom(), now)
-	p.opts.Members.Learn(req.GetKnown())
+	p.opts.Members.RecordContact(req.GetFrom(), now)
+	p.opts.Members.MergeGossip(req.GetKnown())
 	// The limits must include the caller before the response confirms it.
 	p.refreshShare(now)
 	s := p.state(from)
 	s.markKnown(req.GetBare())
-	p.opts.Bare.ApplyBare(req.GetBare())
-	p.opts.Bare.ApplyUse(from.ID, req.GetBareUse())
+	p.opts.Bare.ApplyBareEndpoints(req.GetBare())
+	p.opts.Bare.ApplyBareUsage(from.ID, req.GetBareUse())
 	differs := req.GetMembersDigest() != p.opts.Members.Digest()
 	s.setSendAllMembers(differs)
 	return p.buildResponse(now, from, s, req, differs), nil
@@ -70,20 +70,20 @@
 		ConfigRevision: p.opts.Contracts.Revision(),
 		ConfigDigest:   p.opts.Contracts.Digest(),
 		StoreAgeMs:     p.storeAgeMs(now),
-		Bare:           s.unsentBare(now, p.opts.Bare.Bare()),
-		BareUse:        p.opts.Bare.Use(),
-		Known:          p.opts.Members.Known(differs || !p.opts.Members.InContact()),
+		Bare:           s.unsentBare(now, p.opts.Bare.BareEndpoints()),
+		BareUse:        p.opts.Bare.BareUsage(),
+		Known:          p.opts.Members.GossipEntries(differs || !p.opts.Members.InContact()),
 		MembersDigest:  p.opts.Members.Digest(),
 		Rooted:         p.membershipComplete(),
 		Holding:        p.holdsShare(),
-		Unsettled:      p.opts.Quota.Unsettled(now),
+		Unsettled:      p.opts.Quota.UnsettledClients(now),
 	}
 	if len(req.GetDemand()) > 0 {
-		resp.Loans = p.opts.Quota.Lend(now, from.String(), req.GetDemand())
+		resp.Loans = p.opts.Quota.GrantLeases(now, from.String(), req.GetDemand())
 	}
 	peer, known := p.opts.Members.Peer(from.ID)
 	if known && peer.Info.Incarnation == from.Incarnation {
-		resp.CountedMs = uint64(max(now.Sub(peer.Counted), 0)/time.Millisecond) + 1
+		resp.CountedMs = uint64(max(now.Sub(peer.CountedSince), 0)/time.Millisecond) + 1
 	}
 	return resp
 }
--- a/entry/peer/share.go
+++ b/entry/peer/share.go
@@ -28,26 +28,26 @@
 	}
 	for id := range p.shares {
 		if !present[id] {
-			p.opts.Quota.Drop(now, id.String())
+			p.opts.Quota.DropLeases(now, id.String())
 		}
 	}
 	p.shares = present
-	p.shareContact.Store(&s.Contact)
-	p.withoutShare.Store(p.holder.Cold())
+	p.shareContact.Store(&s.LastContact)
+	p.withoutShare.Store(p.holder.LacksHolder())
 	p.suspended.Store(p.holder.Suspended())
 }
 
-func (p *Peers) clusterView(now time.Time) quota.Surroundings {
-	s := quota.Surroundings{
-		Live:    map[quota.PeerID]bool{},
-		Rooted:  p.opts.Members.Rooted(),
-		Alone:   p.noOtherEntries(now),
-		Contact: p.lastContact(),
+func (p *Peers) clusterView(now time.Time) quota.MembershipView {
+	s := quota.MembershipView{
+		Live:         map[quota.PeerID]bool{},
+		SelfListed:   p.opts.Members.SelfListed(),
+		NoOtherPeers: p.noOtherEntries(now),
+		LastContact:  p.lastContact(),
 	}
 	for _, peer := range p.opts.Members.Peers() {
 		id := quota.PeerID{ID: peer.Info.ID, Incarnation: peer.Info.Incarnation}
 		s.Peers = append(s.Peers, id)
-		s.Live[id] = peer.Standing == member.Live
+		s.Live[id] = peer.Status == member.Live
 	}
 	return s
 }
@@ -62,7 +62,7 @@
 func (p *Peers) membershipComplete() bool {
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
-	return p.holder.Rooted()
+	return p.holder.MembershipComplete()
 }
 
 func (p *Peers) holdsShare() bool {
--- a/entry/quota/account.go
+++ b/entry/quota/account.go
@@ -80,7 +80,7 @@
 	a.limit = next
 	a.answerTime = cmp.Or(time.Duration(c.AnswerTime), defaultAnswerTime)
 	a.active = c.State != contract.Retired
-	a.rebase(now, s.base(c.Customer, next))
+	a.rebase(now, s.base(c.Client, next))
 	if isNew {
 		// A contract that is added while this entry holds a share starts with a full token
 		// bucket; an entry that joins later must not add tokens.
@@ -97,7 +97,7 @@
 
 // base returns this entry's own part of a limit.
 func (s Share) base(client string, limit amounts) amounts {
-	if !s.Holding || s.Entries < 1 || s.Waiting[client] {
+	if !s.Holding || s.Entries < 1 || s.PendingClients[client] {
 		return amounts{}
 	}
 	return limit.times(1 / float64(s.Entries))
@@ -294,7 +294,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance(now)
-	far := a.last.Add(2*a.opts.Span + 2*a.answerTime)
+	far := a.last.Add(2*a.opts.LeaseDuration + 2*a.answerTime)
 	low := a.allowance.minBetween(a.last, far, "")
 	if low.positive() != low {
 		return false
@@ -317,11 +317,11 @@
 	s := Status{Rate: max(available.rate, 0), Burst: max(available.burst, 0), InFlight: max(available.inFlight, 0),
 		Tokens: a.tokens, Used: a.used}
 	for _, l := range a.allowance.leased {
-		s.BorrowedRate += l.at(a.last).rate
-		s.BorrowedInFlight += l.at(a.last).inFlight
+		s.LeasedRate += l.at(a.last).rate
+		s.LeasedInFlight += l.at(a.last).inFlight
 	}
 	granted := a.allowance.base.minus(available)
-	s.LentRate = granted.rate + s.BorrowedRate
-	s.LentInFlight = granted.inFlight + s.BorrowedInFlight
+	s.GrantedRate = granted.rate + s.LeasedRate
+	s.GrantedInFlight = granted.inFlight + s.LeasedInFlight
 	return s
 }
--- a/entry/quota/bench_test.go
+++ b/entry/quota/bench_test.go
@@ -10,7 +10,7 @@
 // BenchmarkAdmitOnLeases measures an admission and its undo, with all threads on one client, at an
 // entry that depends on leases from seven others.
 func BenchmarkAdmitOnLeases(b *testing.B) {
-	c := contract.Contract{Customer: client, State: contract.Active, Rate: contract.MaxRate, Burst: contract.MaxBurst,
+	c := contract.Contract{Client: client, State: contract.Active, Rate: contract.MaxRate, Burst: contract.MaxBurst,
 		InFlight: contract.MaxInFlight, AnswerTime: contract.Duration(20 * time.Second)}
 	r := newSimulation(8, c)
 	r.admitted(10, 0, loadPattern{tasks: 1000, every: 5 * time.Millisecond, at: []string{"e0"}})
--- a/entry/quota/giveback_test.go
+++ b/entry/quota/giveback_test.go
@@ -17,10 +17,10 @@
 	call := func(number, rate uint64) []*wirev1.Demand {
 		return []*wirev1.Demand{{Customer: client, Call: number, RateMilli: rate * milliPerTask, Lender: lessorKey("a")}}
 	}
-	lessor.Lend(start, "b", call(7, 30))
-	lessor.Lend(start.Add(time.Second), "b", call(6, 40))
-	lessor.StopLending()
-	lessor.Lend(start.Add(time.Second), "b", call(7, 30))
+	lessor.GrantLeases(start, "b", call(7, 30))
+	lessor.GrantLeases(start.Add(time.Second), "b", call(6, 40))
+	lessor.StopGranting()
+	lessor.GrantLeases(start.Add(time.Second), "b", call(7, 30))
 	assert.Equal(t, lessor.Statuses(start.Add(time.Second))[0].Rate, 20.0)
 }
 
@@ -30,15 +30,15 @@
 func TestDroppedLeaseInUseIsNotReturned(t *testing.T) {
 	lessor, lessee := newNamedTable("a", 2), newNamedTable("b", 2)
 	exchange := func(now time.Time) {
-		lessee.Borrow(now, "a", lessor.Lend(now, "b", lessee.Demand(now, "a")), now)
+		lessee.AcquireLeases(now, "a", lessor.GrantLeases(now, "b", lessee.Demands(now, "a")), now)
 	}
 	for range 2 {
 		lessee.Admit(start, client, 15)
 	}
 	exchange(start)
 	assert.Assert(t, lessee.Admit(start.Add(100*time.Millisecond), client, 10).OK, "admitted on the lease")
-	lessee.Drop(start.Add(200*time.Millisecond), "a")
-	lessor.StopLending()
+	lessee.DropLeases(start.Add(200*time.Millisecond), "a")
+	lessor.StopGranting()
 	exchange(start.Add(300 * time.Millisecond))
 	assert.Assert(t, lessor.Statuses(start.Add(300 * time.Millisecond))[0].InFlight <= 5)
 }
@@ -50,11 +50,11 @@
 	for range 2 {
 		lessee.Admit(start, client, 15)
 	}
-	lessee.Borrow(start, "a", lessor.Lend(start, "b", lessee.Demand(start, "a")), start)
+	lessee.AcquireLeases(start, "a", lessor.GrantLeases(start, "b", lessee.Demands(start, "a")), start)
 	assert.Assert(t, lessor.Statuses(start)[0].InFlight < 15)
 	lessee.Close()
 	later := start.Add(time.Second)
-	lessor.Lend(later, "b", lessee.Demand(later, "a"))
+	lessor.GrantLeases(later, "b", lessee.Demands(later, "a"))
 	assert.Equal(t, lessor.Statuses(later)[0].InFlight, 15.0)
-	assert.Equal(t, len(lessee.Demand(later, "a")), 0)
+	assert.Equal(t, len(lessee.Demands(later, "a")), 0)
 }
--- a/entry/quota/holder.go
+++ b/entry/quota/holder.go
@@ -35,23 +35,23 @@
 	CountedFor time.Duration
 	// Unsettled names clients of whose limits the peer still holds more than its share.
 	Unsettled []string
-	// Rooted means that the peer knows every entry that may hold a share.
-	Rooted bool
+	// MembershipComplete means that the peer knows every entry that may hold a share.
+	MembershipComplete bool
 	// Holding means that the peer itself holds a share.
 	Holding bool
 }
 
-// Surroundings is the membership information on which the Holder decides.
-type Surroundings struct {
+// MembershipView is the membership information on which the Holder decides.
+type MembershipView struct {
 	// Peers are the other entries that are not gone; Live marks those that respond.
 	Peers []PeerID
 	Live  map[PeerID]bool
 	// Rooted means that a listing of the store contained this entry's present registration.
-	Rooted bool
-	// Alone means that no peer can be found besides those in Peers.
-	Alone bool
-	// Contact is the start of the last call that the store or a peer answered.
-	Contact time.Time
+	SelfListed bool
+	// NoOtherPeers means that no peer can be found besides those in Peers.
+	NoOtherPeers bool
+	// LastContact is the start of the last call that the store or a peer answered.
+	LastContact time.Time
 }
 
 // Holder decides whether this entry may hold base shares. It takes a share only when every entry
@@ -98,7 +98,7 @@
 		return
 	}
 	h.replies[p] = c
-	h.markMembershipComplete(c.Rooted, c.AskedAt)
+	h.markMembershipComplete(c.MembershipComplete, c.AskedAt)
 }
 
 func (h *Holder) markMembershipComplete(complete bool, at time.Time) {
@@ -114,9 +114,9 @@
 // it again.
 func (h *Holder) Suspended() bool { return h.holding && h.suspended }
 
-// Cold reports whether this entry has no usable share and knows no holder that could grant it a
+// LacksHolder reports whether this entry has no usable share and knows no holder that could grant it a
 // lease.
-func (h *Holder) Cold() bool { return !h.Holding() && !h.peerHoldsShare() }
+func (h *Holder) LacksHolder() bool { return !h.Holding() && !h.peerHoldsShare() }
 
 func (h *Holder) peerHoldsShare() bool {
 	for _, c := range h.replies {
@@ -127,22 +127,22 @@
 	return false
 }
 
-// Rooted reports whether this entry knows every entry that may hold a share.
-func (h *Holder) Rooted() bool { return h.membershipComplete }
+// MembershipComplete reports whether this entry knows every entry that may hold a share.
+func (h *Holder) MembershipComplete() bool { return h.membershipComplete }
 
 // Joined reports whether this entry holds its share and no confirmation is outstanding.
 func (h *Holder) Joined() bool { return h.holding && h.peersSettled && !h.suspended }
 
 // Decide returns the share that this entry may use now.
-func (h *Holder) Decide(now time.Time, s Surroundings) Share {
-	h.markMembershipComplete(s.Rooted, now)
+func (h *Holder) Decide(now time.Time, s MembershipView) Share {
+	h.markMembershipComplete(s.SelfListed, now)
 	h.removeStaleReplies(s.Peers)
 	h.checkIsolation(now, s)
 	h.join(now, s)
 	share := Share{Entries: 1 + len(s.Peers), Holding: h.Holding()}
 	if share.Holding && !h.peersSettled {
-		share.Waiting = h.waitingClients(s.Peers)
-		h.peersSettled = len(share.Waiting) == 0
+		share.PendingClients = h.waitingClients(s.Peers)
+		h.peersSettled = len(share.PendingClients) == 0
 	}
 	return share
 }
@@ -159,11 +159,11 @@
 	}
 }
 
-func (h *Holder) join(now time.Time, s Surroundings) {
+func (h *Holder) join(now time.Time, s MembershipView) {
 	if h.holding || !h.membershipComplete {
 		return
 	}
-	if len(s.Peers) == 0 && !s.Alone {
+	if len(s.Peers) == 0 && !s.NoOtherPeers {
 		return
 	}
 	for _, p := range s.Peers {
@@ -191,17 +191,17 @@
 
 // checkIsolation suspends the share of an entry that reaches nobody, and evaluates the replies
 // after contact is restored.
-func (h *Holder) checkIsolation(now time.Time, s Surroundings) {
+func (h *Holder) checkIsolation(now time.Time, s MembershipView) {
 	if !h.holding {
 		return
 	}
-	isolated := len(s.Peers) > 0 && now.Sub(s.Contact) > h.isolation
+	isolated := len(s.Peers) > 0 && now.Sub(s.LastContact) > h.isolation
 	if isolated {
-		h.suspend(s.Contact)
+		h.suspend(s.LastContact)
 		return
 	}
-	if h.lastContact.IsZero() || !h.suspended && s.Contact.Sub(h.lastContact) <= h.isolation {
-		h.lastContact = s.Contact
+	if h.lastContact.IsZero() || !h.suspended && s.LastContact.Sub(h.lastContact) <= h.isolation {
+		h.lastContact = s.LastContact
 		return
 	}
 	// Either the share was suspended, or this process was paused for the whole isolation and
@@ -230,7 +230,7 @@
 // resume ends the suspension once every responding peer has replied to a request sent after the
 // last contact. If no peer responds it waits for a listing of the store, because other entries may
 // have joined in the meantime.
-func (h *Holder) resume(now time.Time, s Surroundings) {
+func (h *Holder) resume(now time.Time, s MembershipView) {
 	confirmations := 0
 	for _, p := range s.Peers {
 		confirmed := h.confirmedSince(now, p)
@@ -246,7 +246,7 @@
 			return
 		}
 	}
-	if confirmations == 0 && !s.Rooted {
+	if confirmations == 0 && !s.SelfListed {
 		return
 	}
 	if confirmations == 0 && len(s.Peers) > 0 {
@@ -256,23 +256,23 @@
 	h.endIsolation(s)
 }
 
-func (h *Holder) rejoin(now time.Time, s Surroundings) {
+func (h *Holder) rejoin(now time.Time, s MembershipView) {
 	h.holding = false
 	h.peersSettled = false
 	h.membershipComplete = false
-	h.markMembershipComplete(s.Rooted, s.Contact)
+	h.markMembershipComplete(s.SelfListed, s.LastContact)
 	for p, c := range h.replies {
 		if !h.confirmedSince(now, p) {
 			delete(h.replies, p)
 			continue
 		}
-		h.markMembershipComplete(c.Rooted, c.AskedAt)
+		h.markMembershipComplete(c.MembershipComplete, c.AskedAt)
 	}
 	h.endIsolation(s)
 	shareRejoining.Log(context.Background(), h.logger)
 }
 
-func (h *Holder) endIsolation(s Surroundings) {
+func (h *Holder) endIsolation(s MembershipView) {
 	h.suspended = false
-	h.lastContact = s.Contact
+	h.lastContact = s.LastContact
 }
--- a/entry/quota/holder_test.go
+++ b/entry/quota/holder_test.go
@@ -14,8 +14,8 @@
 
 // surroundings returns the view of a holder whose last contact with its peers was at the given
 // time.
-func surroundings(contact time.Time, peers ...PeerID) Surroundings {
-	s := Surroundings{Peers: peers, Live: map[PeerID]bool{}, Rooted: true, Contact: contact}
+func surroundings(contact time.Time, peers ...PeerID) MembershipView {
+	s := MembershipView{Peers: peers, Live: map[PeerID]bool{}, SelfListed: true, LastContact: contact}
 	for _, p := range peers {
 		s.Live[p] = true
 	}
@@ -23,7 +23,7 @@
 }
 
 func countedSince(askedAt time.Time, since time.Duration) Confirmation {
-	return Confirmation{AskedAt: askedAt, Counted: true, CountedFor: since, Rooted: true, Holding: true}
+	return Confirmation{AskedAt: askedAt, Counted: true, CountedFor: since, MembershipComplete: true, Holding: true}
 }
 
 // A new entry finds two others. It holds no share until both count it. A client of whose limits
@@ -36,11 +36,11 @@
 	c.Unsettled = []string{client}
 	h.Confirm(peerB, c)
 	s := h.Decide(start, surroundings(start, peerA, peerB))
-	assert.Assert(t, s.Holding && s.Waiting[client] && s.Entries == 3)
+	assert.Assert(t, s.Holding && s.PendingClients[client] && s.Entries == 3)
 	later := start.Add(time.Second)
 	h.Confirm(peerB, countedSince(later, time.Second))
 	s = h.Decide(later, surroundings(later, peerA, peerB))
-	assert.Assert(t, s.Holding && !s.Waiting[client])
+	assert.Assert(t, s.Holding && !s.PendingClients[client])
 	assert.Assert(t, h.Joined())
 }
 
@@ -58,7 +58,7 @@
 	c.Unsettled = []string{client}
 	h.Confirm(peerA, c)
 	s := h.Decide(resumeAt, surroundings(resumeAt, peerA))
-	assert.Assert(t, !s.Holding || s.Waiting[client], "counted again, but not settled")
+	assert.Assert(t, !s.Holding || s.PendingClients[client], "counted again, but not settled")
 }
 
 // The same pause, but the other entry had no contact with the store and never stopped counting the
@@ -121,10 +121,10 @@
 	for range 3 {
 		lessee.Admit(start, client, 15)
 	}
-	loans := lessor.Lend(start, "b#1", lessee.Demand(start, "a#1"))
-	lessee.Borrow(start, "a#1", loans, start)
+	loans := lessor.GrantLeases(start, "b#1", lessee.Demands(start, "a#1"))
+	lessee.AcquireLeases(start, "a#1", loans, start)
 	assert.Assert(t, lessee.Statuses(start)[0].InFlight > 15)
-	lessee.Drop(start, "a#1")
+	lessee.DropLeases(start, "a#1")
 	assert.Equal(t, lessee.Statuses(start)[0].InFlight, 15.0)
 }
 
--- a/entry/quota/lending.go
+++ b/entry/quota/lending.go
@@ -50,13 +50,13 @@
 	before := a.burstSize()
 	a.allowance.addGranted(quotaLease{
 		peer: to, call: demand.call, amounts: amount,
-		expires:         a.last.Add(a.opts.Span + leaseMargin),
-		inFlightExpires: a.last.Add(a.opts.Span + a.answerTime + leaseMargin),
+		expires:         a.last.Add(a.opts.LeaseDuration + leaseMargin),
+		inFlightExpires: a.last.Add(a.opts.LeaseDuration + a.answerTime + leaseMargin),
 	})
 	l := &wirev1.Loan{
 		RateMilli: units(amount.rate), BurstMilli: units(amount.burst), InFlightMilli: units(amount.inFlight),
-		TtlMs:         uint32(a.opts.Span / time.Millisecond),
-		InFlightTtlMs: uint32((a.opts.Span + a.answerTime) / time.Millisecond),
+		TtlMs:         uint32(a.opts.LeaseDuration / time.Millisecond),
+		InFlightTtlMs: uint32((a.opts.LeaseDuration + a.answerTime) / time.Millisecond),
 		Call:          demand.call,
 	}
 	l.TokensMilli = units(a.transferTokens(before))
@@ -66,9 +66,9 @@
 // spareFor returns what this entry can grant to a peer for the whole duration of a lease. Leases
 // already granted to that peer are left out, because the new one replaces them.
 func (a *account) spareFor(to string) amounts {
-	end := a.last.Add(a.opts.Span + a.answerTime + leaseMargin)
+	end := a.last.Add(a.opts.LeaseDuration + a.answerTime + leaseMargin)
 	low := a.allowance.minBetween(a.last, end, to)
-	short := a.allowance.minBetween(a.last, a.last.Add(a.opts.Span+leaseMargin), to)
+	short := a.allowance.minBetween(a.last, a.last.Add(a.opts.LeaseDuration+leaseMargin), to)
 	low.rate, low.burst = short.rate, short.burst
 	keep := a.needed()
 	if a.collects(to) {
--- a/entry/quota/lumpy_test.go
+++ b/entry/quota/lumpy_test.go
@@ -63,7 +63,7 @@
 func (r *simulation) exchanges(now time.Time, step time.Duration) {
 	const pause = 900 * time.Millisecond
 	for _, m := range r.answers {
-		r.tables[m.to].Borrow(now, m.from, m.loans, m.askedAt)
+		r.tables[m.to].AcquireLeases(now, m.from, m.loans, m.askedAt)
 	}
 	r.answers = nil
 	for i, asker := range r.names {
@@ -73,7 +73,7 @@
 		}
 		for _, lessor := range r.names {
 			if lessor != asker {
-				loans := r.tables[lessor].Lend(now, asker, r.tables[asker].Demand(now, lessor))
+				loans := r.tables[lessor].GrantLeases(now, asker, r.tables[asker].Demands(now, lessor))
 				r.answers = append(r.answers, message{from: lessor, to: asker, loans: loans, askedAt: now})
 			}
 		}
@@ -81,7 +81,7 @@
 }
 
 func contractOf(rate float64, burst, inFlight int) contract.Contract {
-	return contract.Contract{Customer: client, State: contract.Active, Rate: rate, Burst: burst, InFlight: inFlight,
+	return contract.Contract{Client: client, State: contract.Active, Rate: rate, Burst: burst, InFlight: inFlight,
 		AnswerTime: contract.Duration(20 * time.Second)}
 }
 
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -25,9 +25,9 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// DefaultSpan is the duration of a lease of rate or burst. A lease of tasks in flight lasts longer
+// DefaultLeaseDuration is the duration of a lease of rate or burst. A lease of tasks in flight lasts longer
 // by the client's answer time, so that the tasks admitted on it have ended when it expires.
-const DefaultSpan = 3 * time.Second
+const DefaultLeaseDuration = 3 * time.Second
 
 // ExchangePause is the usual interval between two exchanges with a peer. A client that only a
 // lease could help is told to retry after this time.
@@ -37,10 +37,10 @@
 type Options struct {
 	// Self is this entry's PeerID as a string. It is hashed to decide which entries collect the
 	// shares for a job that no single share can hold.
-	Self   string
-	Span   time.Duration
-	Logger *slog.Logger
-	Scope  tally.Scope
+	Self          string
+	LeaseDuration time.Duration
+	Logger        *slog.Logger
+	Scope         tally.Scope
 	// Jitter returns a random number in [0,1).
 	Jitter func() float64
 }
@@ -67,16 +67,16 @@
 	Entries int
 	// Holding is false while some of the other entries may not count this one.
 	Holding bool
-	// Waiting names clients of whose limits another entry still holds more than its share.
-	Waiting map[string]bool
+	// PendingClients names clients of whose limits another entry still holds more than its share.
+	PendingClients map[string]bool
 }
 
 func (s Share) equal(o Share) bool {
-	if s.Entries != o.Entries || s.Holding != o.Holding || len(s.Waiting) != len(o.Waiting) {
+	if s.Entries != o.Entries || s.Holding != o.Holding || len(s.PendingClients) != len(o.PendingClients) {
 		return false
 	}
-	for c := range s.Waiting {
-		if !o.Waiting[c] {
+	for c := range s.PendingClients {
+		if !o.PendingClients[c] {
 			return false
 		}
 	}
@@ -103,8 +103,8 @@
 
 // New returns a table without contracts and without a share.
 func New(opts Options) *Table {
-	if opts.Span <= 0 {
-		opts.Span = DefaultSpan
+	if opts.LeaseDuration <= 0 {
+		opts.LeaseDuration = DefaultLeaseDuration
 	}
 	if opts.Logger == nil {
 		opts.Logger = slog.New(slog.DiscardHandler)
@@ -137,10 +137,10 @@
 		next[name] = a
 	}
 	for _, c := range contracts {
-		a, known := next[c.Customer]
+		a, known := next[c.Client]
 		if !known {
-			a = newAccount(now, c.Customer, t.opts)
-			next[c.Customer] = a
+			a = newAccount(now, c.Client, t.opts)
+			next[c.Client] = a
 		}
 		a.setContract(now, c, t.share)
 	}
@@ -191,9 +191,9 @@
 	return d
 }
 
-// Demand returns what this entry requests from one peer, and how much it keeps of that peer's
+// Demands returns what this entry requests from one peer, and how much it keeps of that peer's
 // earlier leases. The rest of those leases is already returned when Demand returns.
-func (t *Table) Demand(now time.Time, to string) []*wirev1.Demand {
+func (t *Table) Demands(now time.Time, to string) []*wirev1.Demand {
 	var all []*wirev1.Demand
 	for _, a := range *t.accounts.Load() {
 		if d := a.demand(now, to, t.closed.Load()); d != nil {
@@ -207,8 +207,8 @@
 	return all
 }
 
-// Lacking reports whether this entry needs new leases or renewals.
-func (t *Table) Lacking(now time.Time) bool {
+// NeedsLeases reports whether this entry needs new leases or renewals.
+func (t *Table) NeedsLeases(now time.Time) bool {
 	for _, a := range *t.accounts.Load() {
 		if a.needsLease(now) {
 			return true
@@ -217,9 +217,9 @@
 	return false
 }
 
-// Lend grants leases for as much of a peer's demands as this entry can spare. The granted amounts
+// GrantLeases grants leases for as much of a peer's demands as this entry can spare. The granted amounts
 // are deducted from this entry's share before the reply is sent.
-func (t *Table) Lend(now time.Time, from string, demands []*wirev1.Demand) []*wirev1.Loan {
+func (t *Table) GrantLeases(now time.Time, from string, demands []*wirev1.Demand) []*wirev1.Loan {
 	accounts := *t.accounts.Load()
 	addressed := len(demands) > 0 && demands[0].GetLender() == lessorKey(t.opts.Self)
 	var all []*wirev1.Loan
@@ -243,8 +243,8 @@
 	return all
 }
 
-// Borrow adds the leases in the reply to a call that began at askedAt.
-func (t *Table) Borrow(now time.Time, from string, loans []*wirev1.Loan, askedAt time.Time) {
+// AcquireLeases adds the leases in the reply to a call that began at askedAt.
+func (t *Table) AcquireLeases(now time.Time, from string, loans []*wirev1.Loan, askedAt time.Time) {
 	accounts := *t.accounts.Load()
 	for _, l := range loans {
 		if a, known := accounts[l.GetCustomer()]; known {
@@ -254,17 +254,17 @@
 	t.metrics.leased.Inc(int64(len(loans)))
 }
 
-// Drop discards the leases from a peer that was replaced or has left, because the entry that takes
+// DropLeases discards the leases from a peer that was replaced or has left, because the entry that takes
 // over its share does not know of them.
-func (t *Table) Drop(now time.Time, from string) {
+func (t *Table) DropLeases(now time.Time, from string) {
 	for _, a := range *t.accounts.Load() {
 		a.drop(now, from)
 	}
 }
 
-// Unsettled names the clients of whose limits this entry still holds, uses or has leased out more
+// UnsettledClients names the clients of whose limits this entry still holds, uses or has leased out more
 // than its present share.
-func (t *Table) Unsettled(now time.Time) []string {
+func (t *Table) UnsettledClients(now time.Time) []string {
 	var all []string
 	for name, a := range *t.accounts.Load() {
 		if !a.settled(now) {
@@ -275,13 +275,13 @@
 	return all
 }
 
-// StopLending stops granting leases for good, before the entry leaves.
-func (t *Table) StopLending() { t.grantsStopped.Store(true) }
+// StopGranting stops granting leases for good, before the entry leaves.
+func (t *Table) StopGranting() { t.grantsStopped.Store(true) }
 
 // Close stops admission and the granting of leases for good. Leases are returned with the next
 // call to each lessor.
 func (t *Table) Close() {
-	t.StopLending()
+	t.StopGranting()
 	t.closed.Store(true)
 }
 
@@ -298,12 +298,12 @@
 
 // Status describes one client's limits at this entry.
 type Status struct {
-	Customer                       string
-	Rate, Burst, InFlight          float64
-	Tokens                         float64
-	Used                           int
-	BorrowedRate, LentRate         float64
-	BorrowedInFlight, LentInFlight float64
+	Client                          string
+	Rate, Burst, InFlight           float64
+	Tokens                          float64
+	Used                            int
+	LeasedRate, GrantedRate         float64
+	LeasedInFlight, GrantedInFlight float64
 }
 
 // Statuses returns the clients' limits at this entry, sorted by client.
@@ -311,9 +311,9 @@
 	var all []Status
 	for name, a := range *t.accounts.Load() {
 		s := a.status(now)
-		s.Customer = name
+		s.Client = name
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(x, y Status) int { return compare(x.Customer, y.Customer) })
+	slices.SortFunc(all, func(x, y Status) int { return compare(x.Client, y.Client) })
 	return all
 }
--- a/entry/quota/quota_test.go
+++ b/entry/quota/quota_test.go
@@ -35,7 +35,7 @@
 
 func testContract() contract.Contract {
 	return contract.Contract{
-		Customer: client, State: contract.Active, Rate: 100, Burst: 40, InFlight: 30,
+		Client: client, State: contract.Active, Rate: 100, Burst: 40, InFlight: 30,
 		AnswerTime: contract.Duration(2 * time.Second),
 	}
 }
@@ -170,7 +170,7 @@
 	r := m.ask(t, asker, lessor)
 	fate := rapid.SampledFrom([]string{"arrives", "arrives", "late", "lost", "arrives and again later"}).Draw(t, "fate")
 	if strings.HasPrefix(fate, "arrives") && !m.frozen(asker) {
-		m.tables[asker].Borrow(m.now, lessor, r.loans, r.askedAt)
+		m.tables[asker].AcquireLeases(m.now, lessor, r.loans, r.askedAt)
 	}
 	if strings.HasSuffix(fate, "late") || strings.HasSuffix(fate, "later") {
 		m.replies = append(m.replies, r)
@@ -178,10 +178,10 @@
 }
 
 func (m *cluster) ask(t *rapid.T, asker, lessor string) message {
-	demand := m.tables[asker].Demand(m.now, lessor)
+	demand := m.tables[asker].Demands(m.now, lessor)
 	askedAt := m.now
 	m.wait(rapid.SampledFrom([]int{0, 0, 1, 300, 900}).Draw(t, "way"))
-	loans := m.tables[lessor].Lend(m.now, asker, demand)
+	loans := m.tables[lessor].GrantLeases(m.now, asker, demand)
 	return message{from: lessor, to: asker, loans: loans, askedAt: askedAt}
 }
 
@@ -191,7 +191,7 @@
 	if asker == lessor {
 		t.Skip("itself")
 	}
-	demands := m.tables[asker].Demand(m.now, lessor)
+	demands := m.tables[asker].Demands(m.now, lessor)
 	m.requests = append(m.requests, request{from: asker, to: lessor, demands: demands, askedAt: m.now})
 }
 
@@ -206,7 +206,7 @@
 	if m.frozen(at) || at == r.from {
 		t.Skip("frozen, or itself")
 	}
-	loans := m.tables[at].Lend(m.now, r.from, r.demands)
+	loans := m.tables[at].GrantLeases(m.now, r.from, r.demands)
 	m.replies = append(m.replies, message{from: at, to: r.from, loans: loans, askedAt: r.askedAt})
 	if rapid.Bool().Draw(t, "once") {
 		m.requests = append(m.requests[:i], m.requests[i+1:]...)
@@ -220,7 +220,7 @@
 	for _, lessor := range m.names {
 		if lessor != asker && !m.frozen(lessor) {
 			r := m.ask(t, asker, lessor)
-			m.tables[asker].Borrow(m.now, lessor, r.loans, r.askedAt)
+			m.tables[asker].AcquireLeases(m.now, lessor, r.loans, r.askedAt)
 		}
 	}
 	m.submitAll(t, asker)
@@ -235,7 +235,7 @@
 	if m.frozen(r.to) {
 		t.Skip("frozen")
 	}
-	m.tables[r.to].Borrow(m.now, r.from, r.loans, r.askedAt)
+	m.tables[r.to].AcquireLeases(m.now, r.from, r.loans, r.askedAt)
 	if rapid.Bool().Draw(t, "once") {
 		m.replies = append(m.replies[:i], m.replies[i+1:]...)
 	}
@@ -298,7 +298,7 @@
 		for asker, a := range tables {
 			for lessor, l := range tables {
 				if asker != lessor {
-					a.Borrow(now, lessor, l.Lend(now, asker, a.Demand(now, lessor)), now)
+					a.AcquireLeases(now, lessor, l.GrantLeases(now, asker, a.Demands(now, lessor)), now)
 				}
 			}
 		}
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -46,15 +46,15 @@
 type Store interface {
 	List(ctx context.Context, prefix string) ([]store.Item, error)
 	Put(ctx context.Context, key string, value []byte, lease int64) error
-	Grant(ctx context.Context, ttl time.Duration) (store.Lease, error)
-	Keep(ctx context.Context, id int64) error
-	End(ctx context.Context, id int64) error
+	GrantLease(ctx context.Context, ttl time.Duration) (store.Lease, error)
+	RenewLease(ctx context.Context, id int64) error
+	RevokeLease(ctx context.Context, id int64) error
 }
 
 // Config is the configuration that entries share by gossip; see entry/follower.
 type Config interface {
-	Held() (revision int64, raw []byte)
-	Take(ctx context.Context, revision int64, raw []byte)
+	Current() (revision int64, raw []byte)
+	Apply(ctx context.Context, revision int64, raw []byte)
 	Fresh() bool
 }
 
@@ -95,14 +95,14 @@
 }
 
 // Known returns the entries' addresses and a version number that changes with them.
-func (r *Registry) Known() ([]string, uint64) {
+func (r *Registry) Addresses() ([]string, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list, r.version
 }
 
-// Hint adds addresses of entries that the caller reaches.
-func (r *Registry) Hint(addresses []string) {
+// AddConfirmed adds addresses of entries that the caller reaches.
+func (r *Registry) AddConfirmed(addresses []string) {
 	addresses = r.validAddresses(addresses)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,10 +192,10 @@
 		if lease == 0 {
 			lease, err = r.register(ctx)
 		} else {
-			err = r.withTimeout(ctx, func(c context.Context) error { return r.store.Keep(c, lease) })
+			err = r.withTimeout(ctx, func(c context.Context) error { return r.store.RenewLease(c, lease) })
 		}
 		switch {
-		case errors.Is(err, store.ErrNoLease):
+		case errors.Is(err, store.ErrLeaseNotFound):
 			lease = 0
 			pause = 0
 			eventLeaseLost.Log(ctx, r.logger)
@@ -209,7 +209,7 @@
 		uptime.Sleep(ctx, pause)
 	}
 	if lease != 0 {
-		_ = r.withTimeout(context.WithoutCancel(ctx), func(c context.Context) error { return r.store.End(c, lease) })
+		_ = r.withTimeout(context.WithoutCancel(ctx), func(c context.Context) error { return r.store.RevokeLease(c, lease) })
 	}
 }
 
@@ -217,7 +217,7 @@
 func (r *Registry) register(ctx context.Context) (lease int64, err error) {
 	var granted store.Lease
 	err = r.withTimeout(ctx, func(c context.Context) error {
-		granted, err = r.store.Grant(c, leaseTTL)
+		granted, err = r.store.GrantLease(c, leaseTTL)
 		return err
 	})
 	if err != nil {
@@ -254,7 +254,7 @@
 		for _, i := range items {
 			addresses = append(addresses, string(i.Value))
 		}
-		r.Hint(addresses)
+		r.AddConfirmed(addresses)
 		uptime.Sleep(ctx, pause)
 	}
 }
@@ -290,7 +290,7 @@
 }
 
 func (r *Registry) gossipWith(ctx context.Context, client *http.Client, address string) {
-	revision, _ := r.config.Held()
+	revision, _ := r.config.Current()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	res, err := fleetwire.NewClient(client, address).Meet(callCtx, connect.NewRequest(&wirev1.MeetRequest{
@@ -304,17 +304,17 @@
 		return
 	}
 	r.addReported(res.Msg.GetEntries())
-	r.Hint([]string{address})
+	r.AddConfirmed([]string{address})
 	if res.Msg.GetConfigRevision() > revision {
-		r.config.Take(ctx, res.Msg.GetConfigRevision(), res.Msg.GetConfig())
+		r.config.Apply(ctx, res.Msg.GetConfigRevision(), res.Msg.GetConfig())
 	}
 }
 
 // Meet serves another entry's gossip call.
 func (r *Registry) Meet(_ context.Context, req *connect.Request[wirev1.MeetRequest]) (*connect.Response[wirev1.MeetResponse], error) {
-	r.Hint([]string{req.Msg.GetAddress()})
+	r.AddConfirmed([]string{req.Msg.GetAddress()})
 	res := &wirev1.MeetResponse{Entries: r.confirmedAddresses()}
-	if revision, raw := r.config.Held(); revision > req.Msg.GetConfigRevision() {
+	if revision, raw := r.config.Current(); revision > req.Msg.GetConfigRevision() {
 		res.ConfigRevision, res.Config = revision, raw
 	}
 	return connect.NewResponse(res), nil
--- a/entry/registry/registry_test.go
+++ b/entry/registry/registry_test.go
@@ -16,7 +16,7 @@
 
 type noConfig struct{ Config }
 
-func (noConfig) Held() (int64, []byte) { return 0, nil }
+func (noConfig) Current() (int64, []byte) { return 0, nil }
 
 func registryAt(address string) *Registry {
 	return New(Options{
@@ -33,7 +33,7 @@
 	res, err := b.Meet(t.Context(), connect.NewRequest(&wirev1.MeetRequest{Entry: a.opt.Entry, Address: a.opt.Address}))
 	assert.NilError(t, err)
 	a.addReported(res.Msg.GetEntries())
-	a.Hint([]string{b.opt.Address})
+	a.AddConfirmed([]string{b.opt.Address})
 }
 
 // A host is replaced by one at another address. When entries passed on every address
@@ -43,7 +43,7 @@
 func TestAddressOfAGoneEntryIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := registryAt("10.0.0.1:1"), registryAt("10.0.0.2:1"), registryAt("10.0.0.3:1")
-		a.Hint([]string{"10.0.0.9:1"})
+		a.AddConfirmed([]string{"10.0.0.9:1"})
 		for range 20 {
 			gossip(t, a, b)
 			gossip(t, b, c)
@@ -51,8 +51,8 @@
 			time.Sleep(2 * time.Second)
 		}
 		for _, r := range []*Registry{a, b, c} {
-			r.Hint(nil)
-			known, _ := r.Known()
+			r.AddConfirmed(nil)
+			known, _ := r.Addresses()
 			assert.Assert(t, !slices.Contains(known, "10.0.0.9:1"), "%s: %v", r.opt.Entry, known)
 			assert.Equal(t, len(known), 3, "%v", known)
 		}
@@ -65,6 +65,6 @@
 	a, b, c := registryAt("10.0.0.1:1"), registryAt("10.0.0.2:1"), registryAt("10.0.0.3:1")
 	gossip(t, c, b)
 	gossip(t, a, b)
-	known, _ := a.Known()
+	known, _ := a.Addresses()
 	assert.DeepEqual(t, known, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 }
--- a/entry/sessions/session.go
+++ b/entry/sessions/session.go
@@ -50,7 +50,7 @@
 }
 
 // Order implements jobs.Guard.
-func (s *session) Order(starts []planner.Start, stops []planner.Stop) {
+func (s *session) SendOrders(starts []planner.Start, stops []planner.Stop) {
 	s.mu.Lock()
 	if len(s.starts) == 0 {
 		s.decidedAt = uptime.Now()
@@ -99,7 +99,7 @@
 func (s *session) noteRead(m *wirev1.AttachRequest, messageAge time.Duration) {
 	ackSoon := false
 	if m.GetCapacity() != nil && messageAge <= ackMaxAge {
-		ackSoon, _ = s.server.jobs.Waiting(s.guard)
+		ackSoon, _ = s.server.jobs.PendingDemand(s.guard)
 	}
 	s.mu.Lock()
 	s.readClock = time.Duration(m.GetClockUs()) * time.Microsecond
@@ -115,14 +115,14 @@
 
 // serve runs the session until either side ends it.
 func (s *session) serve(ctx context.Context, open []work.RunID) error {
-	entries, version := s.server.members.Known()
+	entries, version := s.server.members.Addresses()
 	s.mu.Lock()
 	s.membersVersion = version
 	s.open += len(open)
 	s.mu.Unlock()
 	handshake := &wirev1.EntryHandshake{Entry: s.server.opt.Entry, Incarnation: s.server.opt.Incarnation}
 	for _, r := range open {
-		handshake.Open = append(handshake.Open, &wirev1.OpenRun{Task: fleetwire.Task(r.Task), Attempt: uint32(r.Attempt)})
+		handshake.Open = append(handshake.Open, &wirev1.OpenRun{Task: fleetwire.ToTaskName(r.Task), Attempt: uint32(r.Attempt)})
 	}
 	if err := s.stream.Send(&wirev1.AttachResponse{Handshake: handshake, Entries: entries, Guards: uint32(s.server.jobs.Guards()), ReadUs: s.clock.Microseconds()}); err != nil {
 		return err
@@ -143,18 +143,18 @@
 			return err
 		}
 		s.recordClock(m.GetClockUs())
-		update := jobs.News{Room: capacityOf(m.GetCapacity())}
+		update := jobs.GuardUpdate{Status: capacityOf(m.GetCapacity())}
 		ended := 0
 		for _, r := range m.GetReports() {
 			c := changeOf(r)
 			if c != planner.Running {
 				ended++
 			}
-			if c == planner.NotTaken || c == planner.Unknown {
-				s.server.opt.Lag.Stale()
+			if c == planner.NotAccepted || c == planner.Unknown {
+				s.server.opt.Lag.CountRejectedStart()
 			}
 			update.Reports = append(update.Reports, jobs.Report{
-				Run:    fleetwire.FromRun(r.GetTask(), r.GetAttempt()),
+				Run:    fleetwire.FromTaskName(r.GetTask(), r.GetAttempt()),
 				Change: c,
 				Ran:    time.Duration(r.GetRanUs()) * time.Microsecond,
 				Crash:  crashOf(r.GetCrash()),
@@ -163,11 +163,11 @@
 		s.mu.Lock()
 		s.open = max(s.open-ended, 0)
 		s.mu.Unlock()
-		if update.Room != nil || len(update.Reports) > 0 {
-			s.server.jobs.Tell(s.guard, s, update)
+		if update.Status != nil || len(update.Reports) > 0 {
+			s.server.jobs.ApplyUpdate(s.guard, s, update)
 		}
 		messageAge := s.messageAge(m.GetClockUs())
-		s.server.opt.Lag.Read(messageAge)
+		s.server.opt.Lag.ObserveMessage(messageAge)
 		s.noteRead(m, messageAge)
 		s.setRetiring(m.GetCapacity())
 	}
@@ -234,12 +234,12 @@
 			timer.Reset(delay)
 			continue
 		}
-		m.HasPending, m.PendingMilli = s.server.jobs.Waiting(s.guard)
+		m.HasPending, m.PendingMilli = s.server.jobs.PendingDemand(s.guard)
 		m.Guards = uint32(s.server.jobs.Guards())
 		if err := s.stream.Send(m); err != nil {
 			return err
 		}
-		s.server.opt.Lag.Sent(starts, uptime.Now()-decidedAt)
+		s.server.opt.Lag.ObserveSend(starts, uptime.Now()-decidedAt)
 		lastSent = now
 		timer.Reset(heartbeatBusy)
 	}
@@ -262,7 +262,7 @@
 // queue when there is nothing to send and no heartbeat is due yet; delay is then the time until
 // the next message is due.
 func (s *session) nextMessage(now, since time.Duration) (m *wirev1.AttachResponse, delay time.Duration) {
-	entries, version := s.server.members.Known()
+	entries, version := s.server.members.Addresses()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	interval := heartbeatIdle
@@ -281,7 +281,7 @@
 	}
 	s.ackAt = 0
 	for _, x := range s.stops {
-		m.Stops = append(m.Stops, &wirev1.StopOrder{Task: fleetwire.Task(x.Run.Task), Attempt: uint32(x.Run.Attempt)})
+		m.Stops = append(m.Stops, &wirev1.StopOrder{Task: fleetwire.ToTaskName(x.Run.Task), Attempt: uint32(x.Run.Attempt)})
 	}
 	s.starts, s.stops, s.sendNow = nil, nil, false
 	if version != s.membersVersion {
@@ -314,30 +314,30 @@
 			Job:    s.Run.Task.Job,
 			Step:   uint32(s.Run.Task.Step),
 			Spec:   s.Spec,
-			Need:   fleetwire.Amounts(s.Need),
-			LifeMs: uint32(max(s.Life.Milliseconds(), 0)),
+			Need:   fleetwire.ToAmounts(s.Need),
+			LifeMs: uint32(max(s.TimeLeft.Milliseconds(), 0)),
 			Tasks:  []*wirev1.TaskStart{t},
 		})
 	}
 	return out
 }
 
-func capacityOf(r *wirev1.Capacity) *planner.Room {
+func capacityOf(r *wirev1.Capacity) *planner.EndpointStatus {
 	if r == nil {
 		return nil
 	}
-	return &planner.Room{
-		Service: r.GetService(),
-		Runner:  work.Incarnation{ID: r.GetRunner(), Born: r.GetRunnerBornMs()},
-		Open:    r.GetOpen(),
-		Total:   fleetwire.FromAmounts(r.GetTotal()),
-		Used:    fleetwire.FromAmounts(r.GetAllocated()),
-		Labels:  r.GetLabels(),
-		Cleared: r.GetCleared(),
+	return &planner.EndpointStatus{
+		Service:       r.GetService(),
+		Runner:        work.Incarnation{ID: r.GetRunner(), StartedMilli: r.GetRunnerBornMs()},
+		AcceptsStarts: r.GetOpen(),
+		Total:         fleetwire.FromAmounts(r.GetTotal()),
+		Used:          fleetwire.FromAmounts(r.GetAllocated()),
+		Labels:        r.GetLabels(),
+		Reconciled:    r.GetCleared(),
 	}
 }
 
-func changeOf(r *wirev1.RunReport) planner.Change {
+func changeOf(r *wirev1.RunReport) planner.RunEvent {
 	switch r.GetState() {
 	case wirev1.RunState_RUN_STATE_RUNNING:
 		return planner.Running
@@ -360,25 +360,25 @@
 		return nil
 	}
 	crash := &jobs.Crash{Crash: planner.Crash{
-		Runner: work.Incarnation{ID: c.GetRunner(), Born: c.GetRunnerBornMs()},
-		Others: int(c.GetOthers()),
-		Newest: c.GetNewest(),
+		Runner:     work.Incarnation{ID: c.GetRunner(), StartedMilli: c.GetRunnerBornMs()},
+		OtherCount: int(c.GetOthers()),
+		Newest:     c.GetNewest(),
 	}}
 	for _, t := range c.GetBeside() {
-		crash.Beside = append(crash.Beside, t.GetJob())
+		crash.OtherJobs = append(crash.OtherJobs, t.GetJob())
 	}
 	return crash
 }
 
-func refusalOf(r wirev1.Refusal) planner.Change {
+func refusalOf(r wirev1.Refusal) planner.RunEvent {
 	switch r {
 	case wirev1.Refusal_REFUSAL_ROOM:
-		return planner.NoRoom
+		return planner.NoCapacity
 	case wirev1.Refusal_REFUSAL_RUNNER:
 		return planner.NotStarted
 	case wirev1.Refusal_REFUSAL_UNKNOWN:
 		return planner.Unknown
 	default:
-		return planner.NotTaken
+		return planner.NotAccepted
 	}
 }
--- a/entry/sessions/sessions.go
+++ b/entry/sessions/sessions.go
@@ -53,10 +53,10 @@
 
 // Members is the entry's view of the cluster membership.
 type Members interface {
-	// Known returns the addresses of the entries and a version that changes whenever they do.
-	Known() (addresses []string, version uint64)
+	// Addresses returns the addresses of the entries and a version that changes whenever they do.
+	Addresses() (addresses []string, version uint64)
 	// Hint suggests addresses at which entries may be found.
-	Hint(addresses []string)
+	AddConfirmed(addresses []string)
 }
 
 // Options configure a Server.
@@ -109,7 +109,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.guards {
-		if !l.endedAt.IsZero() && time.Since(l.endedAt) > removeAfter && s.jobs.Forget(id) {
+		if !l.endedAt.IsZero() && time.Since(l.endedAt) > removeAfter && s.jobs.RemoveEndpoint(id) {
 			delete(s.guards, id)
 		}
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return connect.NewError(connect.CodeFailedPrecondition, err)
 	}
-	s.members.Hint(g.GetEntries())
+	s.members.AddConfirmed(g.GetEntries())
 	guardAttached.Log(ctx, s.logger, slog.String("guard", sess.guard), slog.Uint64("incarnation", g.GetIncarnation()), slog.Int("open_runs", len(open)))
 	err = sess.serve(ctx, open)
 	s.jobs.Detach(sess.guard, sess)
--- a/entry/sessions/sessions_test.go
+++ b/entry/sessions/sessions_test.go
@@ -15,8 +15,8 @@
 	version uint64
 }
 
-func (m *fakeMembers) Known() ([]string, uint64) { return m.list, m.version }
-func (m *fakeMembers) Hint([]string)             {}
+func (m *fakeMembers) Addresses() ([]string, uint64) { return m.list, m.version }
+func (m *fakeMembers) AddConfirmed([]string)         {}
 
 // Guards against an entry that never gets a guard: an entry that no guard's settings name is found
 // only through the addresses that other entries send. The change must be sent, once, even when the
@@ -40,7 +40,7 @@
 func TestStartsAreGroupedAndCarryGuardClock(t *testing.T) {
 	s := &session{server: &Server{members: &fakeMembers{}}, clock: 5 * time.Second, clockAt: time.Second}
 	run := func(index int) planner.Start {
-		return planner.Start{Run: work.RunID{Task: work.TaskID{Job: "j", Index: index}, Attempt: 1}, Life: time.Second}
+		return planner.Start{Run: work.RunID{Task: work.TaskID{Job: "j", Index: index}, Attempt: 1}, TimeLeft: time.Second}
 	}
 	s.starts = []planner.Start{run(0), run(1)}
 	m, _ := s.nextMessage(1200*time.Millisecond, 0)
--- a/entry/submission/table.go
+++ b/entry/submission/table.go
@@ -16,12 +16,12 @@
 	Complete  Outcome = "complete"
 	Failed    Outcome = "failed"
 	Cancelled Outcome = "cancelled"
-	// Refused: nothing ran, and the id may be used again.
-	Refused Outcome = "refused"
+	// Rejected: nothing ran, and the id may be used again.
+	Rejected Outcome = "refused"
 )
 
-// Answer is the response to a submission, the same for every caller that requests it.
-type Answer struct {
+// Response is the response to a submission, the same for every caller that requests it.
+type Response struct {
 	// Status is the HTTP status.
 	Status int
 	Body   []byte
@@ -41,13 +41,13 @@
 	Unknown State = iota
 	// Unused: minted, and no job was submitted under it.
 	Unused
-	// Begun: this call marked it used; the caller now runs the job and calls Finish or
+	// Started: this call marked it used; the caller now runs the job and calls Finish or
 	// Abort.
-	Begun
+	Started
 	// Running: the job is running; its Flight can be waited for.
 	Running
-	// Kept: the response is cached.
-	Kept
+	// Cached: the response is cached.
+	Cached
 	// Evicted: it was accepted, and its response is no longer cached.
 	Evicted
 	// Expired: so old that it is no longer known whether it was used. It never runs.
@@ -62,16 +62,16 @@
 	cancel    func()
 	cancelled bool // guarded by the table
 	done      chan struct{}
-	answer    Answer
+	answer    Response
 }
 
 // Done is closed when the response is available.
 func (f *Flight) Done() <-chan struct{} { return f.done }
 
-// Answer returns the response; call it after Done is closed.
-func (f *Flight) Answer() Answer { return f.answer }
+// Response returns the response; call it after Done is closed.
+func (f *Flight) Response() Response { return f.answer }
 
-func (f *Flight) end(a Answer) {
+func (f *Flight) end(a Response) {
 	f.answer = a
 	close(f.done)
 }
@@ -79,9 +79,9 @@
 // Lookup is the table's result for an id. Flight is set for Begun and Running, Answer
 // for Kept.
 type Lookup struct {
-	State  State
-	Flight *Flight
-	Answer Answer
+	State    State
+	Flight   *Flight
+	Response Response
 }
 
 // Options of a Table.
@@ -92,18 +92,18 @@
 	// ValidIDs is how many of the newest ids of one client are valid; it is rounded up to a
 	// multiple of 4096. Each costs one bit.
 	ValidIDs int
-	// KeepBytes bounds the memory of cached responses; the client with the most bytes is
+	// CacheBytes bounds the memory of cached responses; the client with the most bytes is
 	// evicted from first.
-	KeepBytes int64
-	// KeepFor is how long a response is cached after it was last requested.
-	KeepFor time.Duration
+	CacheBytes int64
+	// CacheTTL is how long a response is cached after it was last requested.
+	CacheTTL time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultValidIDs  = 1 << 19
-	DefaultKeepBytes = 64 << 20
-	DefaultKeepFor   = 2 * time.Minute
+	DefaultValidIDs   = 1 << 19
+	DefaultCacheBytes = 64 << 20
+	DefaultCacheTTL   = 2 * time.Minute
 
 	// recordBytes is the memory that a cached response takes besides its body.
 	recordBytes = 512
@@ -132,7 +132,7 @@
 	key      key
 	body     [sha256.Size]byte
 	flight   *Flight // nil once the response is cached
-	answer   Answer
+	answer   Response
 	position cachePosition // while the response is cached
 }
 
@@ -143,11 +143,11 @@
 	if opts.ValidIDs <= 0 {
 		opts.ValidIDs = DefaultValidIDs
 	}
-	if opts.KeepBytes <= 0 {
-		opts.KeepBytes = DefaultKeepBytes
+	if opts.CacheBytes <= 0 {
+		opts.CacheBytes = DefaultCacheBytes
 	}
-	if opts.KeepFor <= 0 {
-		opts.KeepFor = DefaultKeepFor
+	if opts.CacheTTL <= 0 {
+		opts.CacheTTL = DefaultCacheTTL
 	}
 	t := &Table{
 		opts: opts,
@@ -156,7 +156,7 @@
 		windows: map[string]*window{},
 		records: map[key]*record{},
 	}
-	t.cache = newAnswerCache(opts.KeepBytes, opts.KeepFor, func(r *record) { delete(t.records, r.key) })
+	t.cache = newAnswerCache(opts.CacheBytes, opts.CacheTTL, func(r *record) { delete(t.records, r.key) })
 	return t
 }
 
@@ -207,7 +207,7 @@
 	f := &Flight{key: k, cancel: cancel, done: make(chan struct{})}
 	t.records[k] = &record{key: k, body: body, flight: f}
 	t.windows[client].setUsed(id.Sequence, true)
-	return Lookup{State: Begun, Flight: f}
+	return Lookup{State: Started, Flight: f}
 }
 
 // checkBody returns Conflict if the id was used for another body, and the lookup's
@@ -233,7 +233,7 @@
 
 // Cancel cancels a running submission. An unused id becomes used, with the given
 // response cached: a job that arrives under it later never runs.
-func (t *Table) Cancel(now time.Time, id ID, client string, unused Answer) Lookup {
+func (t *Table) Cancel(now time.Time, id ID, client string, unused Response) Lookup {
 	found := t.cancel(now, id, client, unused)
 	if found.State == Running {
 		found.Flight.cancel() // outside the lock: it runs the owner's code
@@ -241,7 +241,7 @@
 	return found
 }
 
-func (t *Table) cancel(now time.Time, id ID, client string, unused Answer) Lookup {
+func (t *Table) cancel(now time.Time, id ID, client string, unused Response) Lookup {
 	if !t.Verify(id, client) {
 		return Lookup{State: Unknown}
 	}
@@ -255,7 +255,7 @@
 		t.windows[client].setUsed(id.Sequence, true)
 		r.answer = unused
 		t.cache.put(now, r)
-		return Lookup{State: Kept, Answer: unused}
+		return Lookup{State: Cached, Response: unused}
 	case Running:
 		found.Flight.cancelled = true
 	}
@@ -263,7 +263,7 @@
 }
 
 // Finish completes a flight. With keep its response is cached for retries.
-func (t *Table) Finish(now time.Time, f *Flight, a Answer, keep bool) {
+func (t *Table) Finish(now time.Time, f *Flight, a Response, keep bool) {
 	t.mu.Lock()
 	r := t.records[f.key]
 	r.flight = nil
@@ -280,7 +280,7 @@
 // Abort ends a flight of which nothing ran, and makes its id unused again. It does
 // nothing and returns false if the submission was cancelled meanwhile: the id then stays
 // used, and the caller calls Finish.
-func (t *Table) Abort(f *Flight, a Answer) bool {
+func (t *Table) Abort(f *Flight, a Response) bool {
 	t.mu.Lock()
 	if f.cancelled {
 		t.mu.Unlock()
@@ -296,8 +296,8 @@
 	return true
 }
 
-// KeptBytes returns the memory of the cached responses.
-func (t *Table) KeptBytes() int64 {
+// CachedBytes returns the memory of the cached responses.
+func (t *Table) CachedBytes() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cache.bytes
@@ -327,5 +327,5 @@
 		return Lookup{State: Running, Flight: r.flight}
 	}
 	t.cache.touch(now, r)
-	return Lookup{State: Kept, Answer: r.answer}
+	return Lookup{State: Cached, Response: r.answer}
 }
--- a/entry/submission/table_test.go
+++ b/entry/submission/table_test.go
@@ -13,7 +13,7 @@
 )
 
 func newTable(incarnation uint64) *Table {
-	return New(Options{Entry: "zagreb-1.a_b", Incarnation: incarnation, Key: NewKey(), ValidIDs: 1, KeepBytes: 4 * recordBytes, KeepFor: time.Minute})
+	return New(Options{Entry: "zagreb-1.a_b", Incarnation: incarnation, Key: NewKey(), ValidIDs: 1, CacheBytes: 4 * recordBytes, CacheTTL: time.Minute})
 }
 
 // mintUnused mints n ids that nobody uses, as many callers would.
@@ -72,7 +72,7 @@
 	used   bool
 	// answers counts final responses: jobs that ran under the id.
 	answers int
-	last    Answer
+	last    Response
 }
 
 // TestTableAgainstOracle drives the table with repeats, concurrent requests, rejections,
@@ -101,9 +101,9 @@
 				assert.Assert(t, !o.used && !expired)
 			case Running:
 				assert.Assert(t, o.flight != nil && got.Flight == o.flight)
-			case Kept:
+			case Cached:
 				assert.Assert(t, o.used && o.flight == nil)
-				assert.DeepEqual(t, got.Answer, o.last)
+				assert.DeepEqual(t, got.Response, o.last)
 			case Evicted:
 				assert.Assert(t, o.used && o.flight == nil && !expired)
 			case Expired:
@@ -131,14 +131,14 @@
 				body := rapid.SampledFrom([]byte{1, 2}).Draw(t, "body")
 				got := table.Begin(now, id, o.client, sha256.Sum256([]byte{body}), func() {})
 				switch got.State {
-				case Begun:
+				case Started:
 					assert.Assert(t, !o.used, "an id ran twice")
 					o.used, o.flight, o.body = true, got.Flight, body
 				case Conflict:
 					assert.Assert(t, o.used && o.body != 0 && o.body != body)
 				default:
 					assert.Assert(t, got.State != Unused)
-					if got.State == Running || got.State == Kept {
+					if got.State == Running || got.State == Cached {
 						assert.Assert(t, o.body == 0 || o.body == body)
 					}
 					check(t, o, id, got)
@@ -151,9 +151,9 @@
 				}
 				o.answers++
 				size := rapid.SampledFrom([]int{0, recordBytes, 4 * recordBytes}).Draw(t, "size")
-				o.last = Answer{Status: 200 + o.answers, Body: make([]byte, size)}
+				o.last = Response{Status: 200 + o.answers, Body: make([]byte, size)}
 				table.Finish(now, o.flight, o.last, rapid.Bool().Draw(t, "keep"))
-				assert.DeepEqual(t, o.flight.Answer(), o.last)
+				assert.DeepEqual(t, o.flight.Response(), o.last)
 				assert.Equal(t, o.answers, 1)
 				o.flight = nil
 			},
@@ -163,16 +163,16 @@
 					t.Skip("does not run")
 				}
 				cancelled := o.flight.cancelled
-				assert.Equal(t, table.Abort(o.flight, Answer{Ran: task.RanNo}), !cancelled)
+				assert.Equal(t, table.Abort(o.flight, Response{Ran: task.RanNo}), !cancelled)
 				if !cancelled {
 					o.flight, o.used, o.body = nil, false, 0
 				}
 			},
 			"cancel": func(t *rapid.T) {
 				id, o := pick(t)
-				unused := Answer{Status: 409}
+				unused := Response{Status: 409}
 				got := table.Cancel(now, id, o.client, unused)
-				if !o.used && got.State == Kept {
+				if !o.used && got.State == Cached {
 					o.used, o.last = true, unused
 				}
 				check(t, o, id, got)
@@ -186,7 +186,7 @@
 				other := map[string]string{"shop": "other", "other": "shop"}[o.client]
 				for _, id := range []ID{id, foreign} {
 					assert.Equal(t, table.Find(now, id, other).State, Unknown)
-					assert.Equal(t, table.Cancel(now, id, other, Answer{}).State, Unknown)
+					assert.Equal(t, table.Cancel(now, id, other, Response{}).State, Unknown)
 					assert.Equal(t, table.Begin(now, id, other, [32]byte{}, nil).State, Unknown)
 				}
 			},
@@ -199,8 +199,8 @@
 						kept++
 					}
 				}
-				assert.Equal(t, table.KeptBytes(), held)
-				assert.Assert(t, held <= table.opts.KeepBytes)
+				assert.Equal(t, table.CachedBytes(), held)
+				assert.Assert(t, held <= table.opts.CacheBytes)
 				assert.Equal(t, table.cache.lru.Len(), kept)
 			},
 		})
@@ -215,14 +215,14 @@
 	ids := table.Mint("shop", 6)
 	for _, id := range ids {
 		f := table.Begin(now, id, "shop", [32]byte{1}, nil).Flight
-		table.Finish(now, f, Answer{Status: 200}, true)
+		table.Finish(now, f, Response{Status: 200}, true)
 	}
 	assert.Equal(t, table.Find(now, ids[0], "shop").State, Evicted)
-	assert.Equal(t, table.Find(now, ids[2], "shop").State, Kept)
+	assert.Equal(t, table.Find(now, ids[2], "shop").State, Cached)
 	now = now.Add(40 * time.Second)
-	assert.Equal(t, table.Find(now, ids[2], "shop").State, Kept)
+	assert.Equal(t, table.Find(now, ids[2], "shop").State, Cached)
 	now = now.Add(40 * time.Second)
-	assert.Equal(t, table.Find(now, ids[2], "shop").State, Kept)
+	assert.Equal(t, table.Find(now, ids[2], "shop").State, Cached)
 	assert.Equal(t, table.Find(now, ids[3], "shop").State, Evicted)
 	assert.Equal(t, table.Begin(now, ids[3], "shop", [32]byte{1}, nil).State, Evicted)
 }
@@ -235,7 +235,7 @@
 	finish := func(client string, size int) ID {
 		id := table.Mint(client, 1)[0]
 		f := table.Begin(now, id, client, [32]byte{1}, nil).Flight
-		table.Finish(now, f, Answer{Body: make([]byte, size)}, true)
+		table.Finish(now, f, Response{Body: make([]byte, size)}, true)
 		return id
 	}
 	small := finish("shop", 0)
@@ -243,8 +243,8 @@
 	for range 20 {
 		last = finish("other", recordBytes)
 	}
-	assert.Equal(t, table.Find(now, small, "shop").State, Kept)
-	assert.Equal(t, table.Find(now, last, "other").State, Kept)
+	assert.Equal(t, table.Find(now, small, "shop").State, Cached)
+	assert.Equal(t, table.Find(now, last, "other").State, Cached)
 }
 
 // TestAbortAfterExpiry: a job is rejected so late that its id has left the window, and a
@@ -258,8 +258,8 @@
 	table.mintUnused(old, table.chunks*chunkBits-1)
 	newer := table.Mint("shop", 1)[0]
 	assert.Equal(t, newer.Sequence-old.Sequence, uint64(table.chunks*chunkBits))
-	table.Finish(now, table.Begin(now, newer, "shop", [32]byte{1}, nil).Flight, Answer{}, false)
-	assert.Assert(t, table.Abort(rejected, Answer{}))
+	table.Finish(now, table.Begin(now, newer, "shop", [32]byte{1}, nil).Flight, Response{}, false)
+	assert.Assert(t, table.Abort(rejected, Response{}))
 	assert.Equal(t, table.Find(now, newer, "shop").State, Evicted)
 	assert.Equal(t, table.Find(now, old, "shop").State, Expired)
 }
--- a/entry/task/task.go
+++ b/entry/task/task.go
@@ -40,11 +40,11 @@
 type Call struct {
 	Assignment scheduler.Assignment
 	Submission string
-	Customer   string
+	Client     string
 	Service    string
 	Kind       string
 	Payload    []byte
-	Urgency    int
+	Priority   int
 	// Deadline is the time after which the answer is useless to the caller.
 	Deadline time.Time
 	// RunLimit is the longest run time that the contract allows.
--- a/eventlog/catalogue.go
+++ b/eventlog/catalogue.go
@@ -73,15 +73,15 @@
 	return doc[:headings[0][0]], sections
 }
 
-// Between returns a function that reports whether a number is in the range from first to
+// NumberRange returns a function that reports whether a number is in the range from first to
 // last, inclusive.
-func Between(first, last int) func(number int) bool {
+func NumberRange(first, last int) func(number int) bool {
 	return func(number int) bool { return number >= first && number <= last }
 }
 
-// ErrCatalogue means that a catalogue file does not match the registered events, or that
+// ErrCatalogueMismatch means that a catalogue file does not match the registered events, or that
 // an event lacks a text or has another program's number.
-var ErrCatalogue = errors.New("eventlog: catalogue mismatch")
+var ErrCatalogueMismatch = errors.New("eventlog: catalogue mismatch")
 
 // CheckFile checks the events of this program and a catalogue file: each event must have
 // a meaning, an action and a number that owned or shared accepts, and the file's sections
@@ -95,7 +95,7 @@
 	events := Catalogue()
 	for _, e := range events {
 		if !owned(e.Number) && !shared(e.Number) || e.Meaning == "" || e.Action == "" {
-			return fmt.Errorf("%w: event %d %s: its number is another program's, or its text is missing", ErrCatalogue, e.Number, e.Name)
+			return fmt.Errorf("%w: event %d %s: its number is another program's, or its text is missing", ErrCatalogueMismatch, e.Number, e.Name)
 		}
 	}
 	expected := Update(string(raw), events, owned)
@@ -105,5 +105,5 @@
 	if write {
 		return os.WriteFile(path, []byte(expected), 0o644)
 	}
-	return fmt.Errorf("%w: %s: run the test with -docs.update", ErrCatalogue, path)
+	return fmt.Errorf("%w: %s: run the test with -docs.update", ErrCatalogueMismatch, path)
 }
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -47,7 +47,7 @@
 		{Number: 19, Name: "test.gone", Meaning: "Gone.", Action: "None."},
 		{Number: 21, Name: "other.kept", Meaning: "Kept.", Action: "None."},
 	})
-	ownNumbers := eventlog.Between(10, 19)
+	ownNumbers := eventlog.NumberRange(10, 19)
 	updated := eventlog.Update(doc, eventlog.Catalogue(), ownNumbers)
 	expected := "# Events\n\n" + eventlog.Render([]eventlog.Event{first, second,
 		{Number: 21, Name: "other.kept", Meaning: "Kept.", Action: "None."}})
@@ -60,9 +60,9 @@
 func TestCheckFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "EVENTS.md")
 	assert.NilError(t, os.WriteFile(path, []byte("# Events\n\n"), 0o600))
-	ownNumbers, noNumbers := eventlog.Between(10, 19), eventlog.Between(0, 0)
-	assert.ErrorIs(t, eventlog.CheckFile(path, ownNumbers, noNumbers, false), eventlog.ErrCatalogue)
-	assert.ErrorIs(t, eventlog.CheckFile(path, eventlog.Between(12, 19), noNumbers, true), eventlog.ErrCatalogue)
+	ownNumbers, noNumbers := eventlog.NumberRange(10, 19), eventlog.NumberRange(0, 0)
+	assert.ErrorIs(t, eventlog.CheckFile(path, ownNumbers, noNumbers, false), eventlog.ErrCatalogueMismatch)
+	assert.ErrorIs(t, eventlog.CheckFile(path, eventlog.NumberRange(12, 19), noNumbers, true), eventlog.ErrCatalogueMismatch)
 	assert.NilError(t, eventlog.CheckFile(path, ownNumbers, noNumbers, true))
 	assert.NilError(t, eventlog.CheckFile(path, ownNumbers, noNumbers, false))
 }
--- a/guard/advertise/advertise.go
+++ b/guard/advertise/advertise.go
@@ -43,17 +43,17 @@
 	SendAfter(interval time.Duration, contended bool)
 	// Withhold cancels a scheduled send until some capacity is free.
 	Withhold()
-	// Unread reports whether the entry has not yet acknowledged the capacity that was sent
+	// Unacknowledged reports whether the entry has not yet acknowledged the capacity that was sent
 	// last.
-	Unread() bool
-	// SendOnceRead schedules capacity to be sent once the entry has acknowledged it.
-	SendOnceRead()
+	Unacknowledged() bool
+	// SendOnceAcknowledged schedules capacity to be sent once the entry has acknowledged it.
+	SendOnceAcknowledged()
 }
 
-// Capacity schedules the messages about a change of capacity: entries with pending tasks are
+// Schedule schedules the messages about a change of capacity: entries with pending tasks are
 // sent free capacity in turn, the others at idleInterval. free is true if another run of the
 // size that was requested last fits.
-func Capacity[S Session](now time.Time, c runs.Capacity, free bool, all []S) {
+func Schedule[S Session](now time.Time, c runs.Capacity, free bool, all []S) {
 	var pending []S
 	for _, s := range all {
 		if s.HasPending() {
@@ -73,9 +73,9 @@
 	// runs, and reading them would take all its CPU time. Limiting it to one unacknowledged
 	// message sends it no more than it reads.
 	pending = slices.DeleteFunc(pending, func(s S) bool {
-		unread := s.Unread()
+		unread := s.Unacknowledged()
 		if unread {
-			s.SendOnceRead()
+			s.SendOnceAcknowledged()
 		}
 		return unread
 	})
--- a/guard/advertise/advertise_test.go
+++ b/guard/advertise/advertise_test.go
@@ -29,16 +29,16 @@
 func (l *session) SendAt(at time.Time)               { l.at = at }
 func (l *session) SendAfter(d time.Duration, c bool) { l.interval, l.contended = d, c }
 func (l *session) Withhold()                         { l.withheld = true }
-func (l *session) Unread() bool                      { return l.unread }
-func (l *session) SendOnceRead()                     { l.sendOnceRead = true }
+func (l *session) Unacknowledged() bool              { return l.unread }
+func (l *session) SendOnceAcknowledged()             { l.sendOnceRead = true }
 
 var now = time.Unix(1000, 0)
 
 func capacityUsed(used int64) runs.Capacity {
 	return runs.Capacity{
-		Process: runs.Process{Total: work.Amounts{CPUMilli: 32_000}},
-		Open:    true,
-		Used:    work.Amounts{CPUMilli: used},
+		Process:       runs.Process{Total: work.Amounts{CPUMilli: 32_000}},
+		AcceptsStarts: true,
+		Used:          work.Amounts{CPUMilli: used},
 	}
 }
 
@@ -49,7 +49,7 @@
 	first := &session{pending: true, sent: now.Add(-time.Second)}
 	second := &session{pending: true, sent: now.Add(-time.Millisecond)}
 	other := &session{}
-	Capacity(now, capacityUsed(29_000), true, []*session{second, other, first})
+	Schedule(now, capacityUsed(29_000), true, []*session{second, other, first})
 	assert.Equal(t, first.at, now)
 	assert.Equal(t, second.at, now.Add(turnInterval))
 	assert.Assert(t, other.at.IsZero() && other.contended, "an entry without pending tasks is sent capacity at its interval, not along with reports")
@@ -61,11 +61,11 @@
 func TestCapacityFollowsPendingDemand(t *testing.T) {
 	large := &session{pending: true, demand: 8000, sent: now.Add(-10 * time.Millisecond)}
 	small := &session{pending: true, demand: 2000, sent: now.Add(-20 * time.Millisecond)}
-	Capacity(now, capacityUsed(29_000), true, []*session{small, large})
+	Schedule(now, capacityUsed(29_000), true, []*session{small, large})
 	assert.Equal(t, large.at, now)
 	assert.Equal(t, small.at, now.Add(turnInterval))
 	small.sent = now.Add(-50 * time.Millisecond)
-	Capacity(now, capacityUsed(29_000), true, []*session{small, large})
+	Schedule(now, capacityUsed(29_000), true, []*session{small, large})
 	assert.Equal(t, small.at, now, "the smaller demand gets its turn too")
 }
 
@@ -77,11 +77,11 @@
 func TestSlowEntryIsSentNoMoreThanItReads(t *testing.T) {
 	slow := &session{pending: true, demand: 90_000, sent: now.Add(-time.Second), unread: true}
 	prompt := &session{pending: true, demand: 1000, sent: now.Add(-time.Millisecond)}
-	Capacity(now, capacityUsed(29_000), true, []*session{slow, prompt})
+	Schedule(now, capacityUsed(29_000), true, []*session{slow, prompt})
 	assert.Assert(t, slow.sendOnceRead && slow.at.IsZero())
 	assert.Equal(t, prompt.at, now)
 	slow.changed = true
-	Capacity(now, capacityUsed(29_000), true, []*session{slow, prompt})
+	Schedule(now, capacityUsed(29_000), true, []*session{slow, prompt})
 	assert.Equal(t, slow.at, now, "a runner that stops accepting starts is reported without waiting for the entry")
 }
 
@@ -89,7 +89,7 @@
 // and cost them CPU time.
 func TestNoCapacityIsNotSent(t *testing.T) {
 	l := &session{pending: true}
-	Capacity(now, capacityUsed(32_000), false, []*session{l})
+	Schedule(now, capacityUsed(32_000), false, []*session{l})
 	assert.Assert(t, l.withheld && l.at.IsZero())
 }
 
@@ -97,7 +97,7 @@
 // told at once, including those with pending tasks.
 func TestRunnerStateIsSentAtOnce(t *testing.T) {
 	pending, idle := &session{pending: true, changed: true}, &session{changed: true}
-	Capacity(now, capacityUsed(0), false, []*session{pending, idle})
+	Schedule(now, capacityUsed(0), false, []*session{pending, idle})
 	assert.Equal(t, pending.at, now)
 	assert.Equal(t, idle.at, now)
 	assert.Assert(t, !pending.withheld)
@@ -109,7 +109,7 @@
 func TestEntryWithoutPendingTasksIsSentAtItsInterval(t *testing.T) {
 	for _, used := range []int64{0, 30_000} {
 		l := &session{}
-		Capacity(now, capacityUsed(used), true, []*session{l})
+		Schedule(now, capacityUsed(used), true, []*session{l})
 		assert.Equal(t, l.interval, idleInterval)
 	}
 }
--- a/guard/announce/announce.go
+++ b/guard/announce/announce.go
@@ -20,8 +20,8 @@
 	"almondstand.dev/wire/wirev1/wirev1connect"
 )
 
-// ErrNoEntry is returned if some entry did not confirm an announcement in time.
-var ErrNoEntry = errors.New("announce: an entry did not confirm the announcement")
+// ErrNotConfirmed is returned if some entry did not confirm an announcement in time.
+var ErrNotConfirmed = errors.New("announce: an entry did not confirm the announcement")
 
 const (
 	callTimeout = 2 * time.Second
@@ -39,15 +39,15 @@
 type Options struct {
 	// Balancers are the IP addresses and ports that lead to any of the entries.
 	Balancers []string
-	// Request returns the announcement of the current state, or nil if there is
+	// NewRequest returns the announcement of the current state, or nil if there is
 	// nothing to announce yet.
-	Request func() *wirev1.AnnounceRequest
-	Secret  string
-	Now     func() time.Time
-	Rand    *rand.Rand
-	Logger  *slog.Logger
-	Scope   tally.Scope
-	Control *telemetry.Control
+	NewRequest func() *wirev1.AnnounceRequest
+	Secret     string
+	Now        func() time.Time
+	Rand       *rand.Rand
+	Logger     *slog.Logger
+	Scope      tally.Scope
+	Control    *telemetry.ControlTraffic
 }
 
 // Announcer announces the guard to the entries periodically and after changes.
@@ -84,8 +84,8 @@
 	}
 }
 
-// Changed makes every announcement due immediately.
-func (a *Announcer) Changed() {
+// AnnounceNow makes every announcement due immediately.
+func (a *Announcer) AnnounceNow() {
 	a.mu.Lock()
 	a.roster.announceNow(a.opts.Now())
 	a.mu.Unlock()
@@ -126,7 +126,7 @@
 
 // due returns the targets to announce to now, and the time to wait afterwards.
 func (a *Announcer) due() ([]*target, time.Duration) {
-	if a.opts.Request() == nil {
+	if a.opts.NewRequest() == nil {
 		return nil, idleWait
 	}
 	a.mu.Lock()
@@ -153,9 +153,9 @@
 	}
 }
 
-// TellAll announces the current state to every known entry at once and waits for
+// AnnounceToAll announces the current state to every known entry at once and waits for
 // the responses, retrying until ctx ends. A guard that is leaving uses it.
-func (a *Announcer) TellAll(ctx context.Context) error {
+func (a *Announcer) AnnounceToAll(ctx context.Context) error {
 	a.mu.Lock()
 	known := a.roster.entries()
 	a.mu.Unlock()
@@ -170,7 +170,7 @@
 		}
 	}
 	if n < len(known) {
-		return ErrNoEntry
+		return ErrNotConfirmed
 	}
 	return nil
 }
@@ -223,7 +223,7 @@
 func (a *Announcer) call(ctx context.Context, t *target) (*wirev1.AnnounceResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	m := a.opts.Request()
+	m := a.opts.NewRequest()
 	if m == nil {
 		return nil, errors.New("nothing to announce")
 	}
--- a/guard/cmd/almondguard/command.go
+++ b/guard/cmd/almondguard/command.go
@@ -41,7 +41,7 @@
 		Short: "Run the guard until SIGTERM or SIGINT, then drain and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			hasCapacity, err := settings.Has(path, capacitySection)
+			hasCapacity, err := settings.HasField(path, capacitySection)
 			if err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 
 // checkSettings validates a settings file of either kind.
 func checkSettings(path string) error {
-	hasCapacity, err := settings.Has(path, capacitySection)
+	hasCapacity, err := settings.HasField(path, capacitySection)
 	if err != nil {
 		return err
 	}
--- a/guard/cmd/almondguard/docs_test.go
+++ b/guard/cmd/almondguard/docs_test.go
@@ -24,7 +24,7 @@
 // complete.
 func TestEventsCatalogue(t *testing.T) {
 	path := filepath.Join(docs, "EVENTS.md")
-	assert.NilError(t, eventlog.CheckFile(path, eventlog.Between(2000, 2999), eventlog.Between(4000, 4999), *update))
+	assert.NilError(t, eventlog.CheckFile(path, eventlog.NumberRange(2000, 2999), eventlog.NumberRange(4000, 4999), *update))
 }
 
 // Each field must appear in the reference once, with its default.
--- a/guard/config/config.go
+++ b/guard/config/config.go
@@ -13,8 +13,8 @@
 type Settings struct {
 	// ID identifies the guard and is unique among guards.
 	ID string `json:"id" validate:"required,max=128"`
-	// Zone is the data centre of this host.
-	Zone string `json:"zone" validate:"required,max=128"`
+	// DataCentre is the data centre of this host.
+	DataCentre string `json:"zone" validate:"required,max=128"`
 	// Service, if set, is the only service that a runner may announce.
 	Service string `json:"service" validate:"max=128"`
 	Listen  Listen `json:"listen"`
@@ -36,8 +36,8 @@
 	// CancelGrace is the time that a cancelled task has to end before its
 	// connection is closed and its slot is given to another task.
 	CancelGrace settings.Duration `json:"cancel_grace" validate:"required"`
-	// DrainLimit is the maximum duration of a graceful shutdown.
-	DrainLimit settings.Duration `json:"drain_limit" validate:"required"`
+	// DrainTimeout is the maximum duration of a graceful shutdown.
+	DrainTimeout settings.Duration `json:"drain_limit" validate:"required"`
 	// Linger is the time that a shutdown waits, once no task runs, for entries to
 	// acknowledge the last results. A response that was sent can still be lost
 	// with its connection; only the acknowledgement shows that it arrived.
@@ -92,7 +92,7 @@
 		SessionLease: settings.Duration(15 * time.Second),
 		RunLimit:     settings.Duration(time.Minute),
 		CancelGrace:  settings.Duration(2 * time.Second),
-		DrainLimit:   settings.Duration(90 * time.Second),
+		DrainTimeout: settings.Duration(90 * time.Second),
 		Linger:       settings.Duration(10 * time.Second),
 		Limits: Limits{
 			PayloadBytes: 4 << 20,
@@ -115,28 +115,28 @@
 
 // Check implements settings.Checker.
 func (s *Settings) Check() settings.Errors {
-	out := settings.CheckPorts(
+	out := settings.CheckPortConflicts(
 		settings.Listener{Path: "listen.internal", Address: s.Listen.Internal},
 		settings.Listener{Path: "listen.local", Address: s.Listen.Local},
 	)
 	if !s.Listen.Local.Addr().IsLoopback() {
 		// The local interface requires no secret: whoever can reach it can
 		// register any address as this guard's runner.
-		out = append(out, settings.Error{Path: "listen.local", Read: s.Listen.Local.String(), Allowed: "a loopback address such as 127.0.0.1:7102"})
+		out = append(out, settings.Error{Path: "listen.local", Found: s.Listen.Local.String(), Allowed: "a loopback address such as 127.0.0.1:7102"})
 	}
 	if !s.Advertise.IsValid() && s.Listen.Internal.Addr().IsUnspecified() {
 		out = append(out, settings.Error{Path: "advertise", Allowed: "the IP and port that entries reach, when listen.internal names no single address"})
 	}
 	if strings.ContainsAny(s.ID, "#/ ") {
-		out = append(out, settings.Error{Path: "id", Read: s.ID, Allowed: "a name without '#', '/' and spaces"})
+		out = append(out, settings.Error{Path: "id", Found: s.ID, Allowed: "a name without '#', '/' and spaces"})
 	}
 	if s.Limits.RequestBytes < s.Limits.PayloadBytes+1<<20 {
-		out = append(out, settings.Error{Path: "limits.request_bytes", Read: "less than one payload", Allowed: "limits.payload_bytes and 1 MiB at least"})
+		out = append(out, settings.Error{Path: "limits.request_bytes", Found: "less than one payload", Allowed: "limits.payload_bytes and 1 MiB at least"})
 	}
 	out = append(out, checkRange("session_lease", s.SessionLease, minLease, maxLease)...)
 	out = append(out, checkRange("run_limit", s.RunLimit, time.Millisecond, maxDuration)...)
 	out = append(out, checkRange("cancel_grace", s.CancelGrace, time.Millisecond, time.Minute)...)
-	out = append(out, checkRange("drain_limit", s.DrainLimit, time.Millisecond, maxDuration)...)
+	out = append(out, checkRange("drain_limit", s.DrainTimeout, time.Millisecond, maxDuration)...)
 	out = append(out, checkRange("linger", s.Linger, 0, time.Minute)...)
 	return out
 }
@@ -145,14 +145,14 @@
 	if d.Std() >= minimum && d.Std() <= maximum {
 		return nil
 	}
-	return settings.Errors{{Path: path, Read: d.Std().String(), Allowed: "from " + minimum.String() + " to " + maximum.String()}}
+	return settings.Errors{{Path: path, Found: d.Std().String(), Allowed: "from " + minimum.String() + " to " + maximum.String()}}
 }
 
 // Example returns settings that can be used unchanged on a single host.
 func Example() Settings {
 	s := Default()
 	s.ID = "guard-1"
-	s.Zone = "zagreb"
+	s.DataCentre = "zagreb"
 	s.Service = "teardown"
 	s.Listen.Internal = address("127.0.0.1:7101")
 	s.Listen.Local = address("127.0.0.1:7102")
--- a/guard/host/adopt.go
+++ b/guard/host/adopt.go
@@ -12,20 +12,20 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// Heard handles a runner's report about itself. It returns false if the report is malformed.
-func (h *Host) Heard(r runner.Report) bool {
+// HandleReport handles a runner's report about itself. It returns false if the report is malformed.
+func (h *Host) HandleReport(r runner.Report) bool {
 	h.mu.Lock()
 	if p := h.process; p != nil && p.ID == r.Instance {
-		if p.Born > 0 && r.Born == 0 {
+		if p.StartedMilli > 0 && r.StartedMilli == 0 {
 			h.mu.Unlock()
-			h.Malformed(r.Instance, errNoStart)
+			h.HandleMalformedReport(r.Instance, errNoStart)
 			return false
 		}
 		if p.Incarnation == r.Incarnation() {
 			if r.Seq > p.lastReport {
 				p.lastReport = r.Seq
-				h.table.Serves(r.Service)
-				h.table.Describe(r.Capacity, r.Labels, r.Draining)
+				h.table.SetService(r.Service)
+				h.table.SetCapacity(r.Capacity, r.Labels, r.Draining)
 				p.syncClock(r.Clock, h.monotonic())
 			}
 			h.mu.Unlock()
@@ -45,7 +45,7 @@
 // addCandidate records a process that is not the current one and starts its confirmation. h.mu
 // is held.
 func (h *Host) addCandidate(r runner.Report) {
-	if c := h.candidate; c == nil || c.Instance != r.Instance || r.Born > c.Born || r.Born == c.Born && r.Seq > c.Seq {
+	if c := h.candidate; c == nil || c.Instance != r.Instance || r.StartedMilli > c.StartedMilli || r.StartedMilli == c.StartedMilli && r.Seq > c.Seq {
 		h.candidate = &r
 	}
 	if !h.adopting {
@@ -56,31 +56,31 @@
 
 // handleRestart adds the process that answered in place of the current one, under the same id,
 // as a candidate. Its capacity is known once its first report arrives. h.mu is held.
-func (h *Host) handleRestart(answer work.Account) {
+func (h *Host) handleRestart(answer work.Listing) {
 	old := h.table.Process()
 	h.addCandidate(runner.Report{
-		Instance: old.ID,
-		Born:     answer.Born,
-		Service:  old.Service,
-		Address:  old.Address,
-		Clock:    answer.Clock,
+		Instance:     old.ID,
+		StartedMilli: answer.StartedMilli,
+		Service:      old.Service,
+		Address:      old.Address,
+		Clock:        answer.Clock,
 	})
 }
 
-// Left handles a runner's notice that it has shut down as planned.
-func (h *Host) Left(instance string) bool {
+// HandleShutdown handles a runner's notice that it has shut down as planned.
+func (h *Host) HandleShutdown(instance string) bool {
 	h.mu.Lock()
 	p := h.process
 	known := p != nil && p.ID == instance
-	if c := h.candidate; c != nil && c.Instance == instance && c.Born == 0 {
+	if c := h.candidate; c != nil && c.Instance == instance && c.StartedMilli == 0 {
 		h.candidate = nil
 	}
-	if known && p.Born > 0 {
+	if known && p.StartedMilli > 0 {
 		// The notice may be about an older process under the same id.
 		h.calls.Go(func() { h.confirmLeft(p) })
 	}
 	h.mu.Unlock()
-	if known && p.Born == 0 {
+	if known && p.StartedMilli == 0 {
 		h.removeProcess(p)
 	}
 	return true
@@ -90,7 +90,7 @@
 func (h *Host) confirmLeft(p *process) {
 	for range adoptTries {
 		_, err := h.firstPoll(p.api)
-		if errors.Is(err, runner.ErrNobody) {
+		if errors.Is(err, runner.ErrConnectionRefused) {
 			h.removeProcess(p)
 			return
 		}
@@ -108,7 +108,7 @@
 		h.mu.Unlock()
 		return
 	}
-	reports := h.table.Lose(uptime.Now())
+	reports := h.table.RemoveProcess(uptime.Now())
 	h.process = nil
 	h.mu.Unlock()
 	runnerLeft.Log(h.ctx, h.logger, slog.String("runner", p.String()))
@@ -177,7 +177,7 @@
 	h.mu.Lock()
 	f := h.fence
 	h.mu.Unlock()
-	if f.id != c.Instance || c.Born == 0 {
+	if f.id != c.Instance || c.StartedMilli == 0 {
 		return nil
 	}
 	api := h.opt.Dial(runner.Target{Address: c.Address, Incarnation: c.Incarnation(), Token: f.token})
@@ -210,7 +210,7 @@
 }
 
 // install makes a confirmed process the current one.
-func (h *Host) install(c runner.Report, p *process, token int64, account work.Account) {
+func (h *Host) install(c runner.Report, p *process, token int64, account work.Listing) {
 	h.mu.Lock()
 	if h.candidate != nil && h.candidate.Incarnation() == c.Incarnation() {
 		// A newer report may have arrived in the meantime.
@@ -225,14 +225,14 @@
 	h.process = p
 	reports := h.table.Adopt(now, runs.Process{Incarnation: c.Incarnation(), Service: c.Service, Address: c.Address, Token: token}, listedRuns(account)...)
 	if c.Seq > 0 {
-		h.table.Describe(c.Capacity, c.Labels, c.Draining)
+		h.table.SetCapacity(c.Capacity, c.Labels, c.Draining)
 	}
-	reports = append(reports, h.table.Read(now, p.requestedAt, account)...)
+	reports = append(reports, h.table.ApplyListing(now, p.requestedAt, account)...)
 	h.mu.Unlock()
 	if old != nil {
 		old.api.Close()
 	}
-	runnerAdopted.Log(h.ctx, h.logger, slog.String("runner", c.Instance), slog.Int64("born_ms", c.Born), slog.String("service", c.Service),
+	runnerAdopted.Log(h.ctx, h.logger, slog.String("runner", c.Instance), slog.Int64("born_ms", c.StartedMilli), slog.String("service", c.Service),
 		slog.Int64("token", token), slog.Int64("cpu_milli", c.Capacity.CPUMilli), slog.Int("left_running", len(account.Running)))
 	notify(h.poll)
 	notify(h.sweep)
@@ -240,8 +240,8 @@
 }
 
 // listedRuns returns the names of all runs in a run listing, running or ended.
-func listedRuns(v work.Account) []work.RunName {
-	names := append([]work.RunName(nil), v.Running...)
+func listedRuns(v work.Listing) []work.RunnerRunID {
+	names := append([]work.RunnerRunID(nil), v.Running...)
 	for _, e := range v.Ends {
 		names = append(names, e.Run)
 	}
@@ -250,7 +250,7 @@
 
 // firstPoll requests a process's run listing without extending its lease or acknowledging any
 // ended run.
-func (h *Host) firstPoll(api Runner) (work.Account, error) {
+func (h *Host) firstPoll(api Runner) (work.Listing, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, startTimeout)
 	defer cancel()
 	return api.Poll(ctx, 0, 0, 0)
--- a/guard/host/host.go
+++ b/guard/host/host.go
@@ -72,9 +72,9 @@
 
 // Runner is the client of one runner process; see platform/runner.
 type Runner interface {
-	Start(ctx context.Context, run work.RunName, spec string, until time.Duration) (time.Duration, error)
-	Stop(ctx context.Context, run work.RunName) (time.Duration, error)
-	Poll(ctx context.Context, until time.Duration, seen int64, wait time.Duration) (work.Account, error)
+	Start(ctx context.Context, run work.RunnerRunID, spec string, until time.Duration) (time.Duration, error)
+	Stop(ctx context.Context, run work.RunnerRunID) (time.Duration, error)
+	Poll(ctx context.Context, until time.Duration, seen int64, wait time.Duration) (work.Listing, error)
 	// Close closes the connections that no call uses.
 	Close()
 }
@@ -168,7 +168,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	capacity := h.table.Capacity()
-	capacity.Cleared = capacity.Cleared || h.monotonic() > h.priorLeasesExpired()
+	capacity.Reconciled = capacity.Reconciled || h.monotonic() > h.priorLeasesExpired()
 	return capacity
 }
 
@@ -179,11 +179,11 @@
 	return time.Duration(float64(h.opt.MaxLease)/minClockRate) + leaseEndMargin
 }
 
-// HasFree reports whether another run of the size that was requested last fits.
-func (h *Host) HasFree() bool {
+// HasCapacity reports whether another run of the size that was requested last fits.
+func (h *Host) HasCapacity() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.HasFree()
+	return h.table.HasCapacity()
 }
 
 // Idle reports whether no runs are at the runner.
@@ -193,23 +193,23 @@
 	return h.table.Idle()
 }
 
-// Leave makes the host reject all starts from now on.
-func (h *Host) Leave() {
+// ShutDown makes the host reject all starts from now on.
+func (h *Host) ShutDown() {
 	h.mu.Lock()
-	h.table.Leave()
+	h.table.ShutDown()
 	h.mu.Unlock()
 	h.sink.CapacityChanged()
 }
 
-// Alive records that an entry was alive at the given uptime.
-func (h *Host) Alive(o runs.Owner, at time.Duration) {
+// EntryAlive records that an entry was alive at the given uptime.
+func (h *Host) EntryAlive(o runs.Owner, at time.Duration) {
 	h.mu.Lock()
-	h.table.Alive(o, at)
+	h.table.EntryAlive(o, at)
 	h.mu.Unlock()
 }
 
-// Resume reconciles the open runs of an entry that has reconnected with those at the runner.
-func (h *Host) Resume(o runs.Owner, open []work.RunID) []runs.Report {
+// Reconcile reconciles the open runs of an entry that has reconnected with those at the runner.
+func (h *Host) Reconcile(o runs.Owner, open []work.RunID) []runs.Report {
 	h.mu.Lock()
 	reports := h.table.Resume(uptime.Now(), o, open)
 	h.mu.Unlock()
@@ -217,12 +217,12 @@
 	return reports
 }
 
-// Order executes an entry's orders and cancellations. sent is the earliest uptime at which the
+// Submit executes an entry's orders and cancellations. sent is the earliest uptime at which the
 // entry can have sent them.
-func (h *Host) Order(sent time.Duration, o runs.Owner, orders []runs.Order, cancels []work.RunID) {
+func (h *Host) Submit(sent time.Duration, o runs.Owner, orders []runs.Order, cancels []work.RunID) {
 	now := uptime.Now()
 	h.mu.Lock()
-	h.table.Alive(o, sent)
+	h.table.EntryAlive(o, sent)
 	var reports []runs.Report
 	for _, id := range cancels {
 		if report, over := h.table.Cancel(now, o, id); over {
@@ -230,7 +230,7 @@
 		}
 	}
 	for _, order := range orders {
-		start, report := h.table.Ask(now, sent, o, order)
+		start, report := h.table.Admit(now, sent, o, order)
 		if report != nil {
 			h.recordRefusal(*report, now-sent)
 			reports = append(reports, *report)
@@ -263,7 +263,7 @@
 // lease returns the time on the process's clock up to which its lease may be extended now.
 // h.mu is held.
 func (h *Host) lease(p *process, now time.Duration) time.Duration {
-	return p.lease(h.table.HoldUntil(now)-now, h.monotonic())
+	return p.lease(h.table.LeaseUntil(now)-now, h.monotonic())
 }
 
 // sendStart sends a start. h.mu is held.
@@ -293,17 +293,17 @@
 		}
 		runStarted.Log(h.ctx, h.logger, slog.String("job", s.Run.Task.Job), slog.Int("index", s.Run.Task.Index),
 			slog.Int("attempt", s.Run.Attempt), slog.Int("run", s.Name.Number))
-	case errors.Is(err, runner.ErrOldRun) && answer.hedged:
+	case errors.Is(err, runner.ErrStaleRun) && answer.hedged:
 		// The run may have been started by the first copy and have ended: in that case its end
 		// is in the runner's run listing.
-		h.table.Doubtful(now, s.Name)
+		h.table.StartUnanswered(now, s.Name)
 	case known && answer.definite:
-		if errors.Is(err, runner.ErrOldRun) {
-			h.table.Old(now, s.Run.Task)
+		if errors.Is(err, runner.ErrStaleRun) {
+			h.table.SkipRunNumbers(now, s.Run.Task)
 		}
-		reports = h.table.Declined(now, s.Name, why)
+		reports = h.table.StartRejected(now, s.Name, why)
 	default:
-		h.table.Doubtful(now, s.Name)
+		h.table.StartUnanswered(now, s.Name)
 	}
 	h.mu.Unlock()
 	h.opt.Metrics.start(err)
@@ -320,14 +320,14 @@
 // runner may have executed it, or may still do so.
 func startRefusal(err error) (why runs.Refusal, definite bool) {
 	switch {
-	case errors.Is(err, runner.ErrUnreachable), errors.Is(err, runner.ErrUnwell), errors.Is(err, runner.ErrRefused):
-		return runs.Unwell, true
-	case errors.Is(err, runner.ErrFull), errors.Is(err, runner.ErrOldRun):
-		return runs.Full, true
-	case errors.Is(err, runner.ErrExpired):
-		return runs.Late, true
+	case errors.Is(err, runner.ErrUnreachable), errors.Is(err, runner.ErrUnhealthy), errors.Is(err, runner.ErrRejected):
+		return runs.RunnerFailed, true
+	case errors.Is(err, runner.ErrInsufficientCapacity), errors.Is(err, runner.ErrStaleRun):
+		return runs.InsufficientCapacity, true
+	case errors.Is(err, runner.ErrLeaseExpired):
+		return runs.StaleOrder, true
 	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrReplaced):
-		return runs.Closed, true
+		return runs.NotAccepting, true
 	default:
 		return runs.NoRefusal, false
 	}
@@ -337,7 +337,7 @@
 func (h *Host) recordCrash(reports []runs.Report) {
 	for _, r := range reports {
 		if r.State == runs.Crashed && r.Crash.Newest {
-			runnerCrashed.Log(h.ctx, h.logger, slog.Int("runs", r.Crash.Others+1), slog.String("newest", r.Run.Task.Job))
+			runnerCrashed.Log(h.ctx, h.logger, slog.Int("runs", r.Crash.OtherCount+1), slog.String("newest", r.Run.Task.Job))
 			h.opt.Metrics.crashes.Inc(1)
 		}
 	}
--- a/guard/host/host_test.go
+++ b/guard/host/host_test.go
@@ -26,9 +26,9 @@
 	dropCalls map[string]int
 	calls     map[string]int
 	refuse    error
-	running   map[work.RunName]bool
+	running   map[work.RunnerRunID]bool
 	ends      []work.End
-	stopped   map[work.RunName]bool
+	stopped   map[work.RunnerRunID]bool
 	ended     chan struct{}
 }
 
@@ -37,8 +37,8 @@
 		startedAt: time.Now().Add(-time.Hour),
 		dropCalls: map[string]int{},
 		calls:     map[string]int{},
-		running:   map[work.RunName]bool{},
-		stopped:   map[work.RunName]bool{},
+		running:   map[work.RunnerRunID]bool{},
+		stopped:   map[work.RunnerRunID]bool{},
 		ended:     make(chan struct{}, 100),
 	}
 }
@@ -57,10 +57,10 @@
 
 func (f *fakeRunner) clock() time.Duration { return time.Since(f.startedAt) }
 
-func (f *fakeRunner) Start(ctx context.Context, run work.RunName, _ string, _ time.Duration) (time.Duration, error) {
+func (f *fakeRunner) Start(ctx context.Context, run work.RunnerRunID, _ string, _ time.Duration) (time.Duration, error) {
 	if f.dropped("start") {
 		<-ctx.Done()
-		return 0, runner.ErrUnanswered
+		return 0, runner.ErrOutcomeUnknown
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,46 +71,46 @@
 	return f.clock(), nil
 }
 
-func (f *fakeRunner) Stop(ctx context.Context, run work.RunName) (time.Duration, error) {
+func (f *fakeRunner) Stop(ctx context.Context, run work.RunnerRunID) (time.Duration, error) {
 	if f.dropped("stop") {
 		<-ctx.Done()
-		return 0, runner.ErrUnanswered
+		return 0, runner.ErrOutcomeUnknown
 	}
 	f.mu.Lock()
 	f.stopped[run] = true
 	f.mu.Unlock()
-	f.end(run, work.Broken)
+	f.end(run, work.Interrupted)
 	return f.clock(), nil
 }
 
 // end ends a run if it is running.
-func (f *fakeRunner) end(run work.RunName, how work.How) {
+func (f *fakeRunner) end(run work.RunnerRunID, how work.EndState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.running[run] {
 		return
 	}
 	delete(f.running, run)
-	f.ends = append(f.ends, work.End{Seq: int64(len(f.ends) + 1), Run: run, How: how})
+	f.ends = append(f.ends, work.End{Seq: int64(len(f.ends) + 1), Run: run, State: how})
 	f.ended <- struct{}{}
 }
 
-func (f *fakeRunner) Poll(ctx context.Context, _ time.Duration, seen int64, wait time.Duration) (work.Account, error) {
+func (f *fakeRunner) Poll(ctx context.Context, _ time.Duration, seen int64, wait time.Duration) (work.Listing, error) {
 	if f.dropped("poll") {
 		<-ctx.Done()
-		return work.Account{}, runner.ErrUnanswered
+		return work.Listing{}, runner.ErrOutcomeUnknown
 	}
 	if f.unseen(seen) == nil {
 		select {
 		case <-ctx.Done():
-			return work.Account{}, runner.ErrUnanswered
+			return work.Listing{}, runner.ErrOutcomeUnknown
 		case <-f.ended:
 		case <-time.After(wait):
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a := work.Account{Clock: f.clock(), Ends: f.endsAfter(seen)}
+	a := work.Listing{Clock: f.clock(), Ends: f.endsAfter(seen)}
 	for n := range f.running {
 		a.Running = append(a.Running, n)
 	}
@@ -203,8 +203,8 @@
 		if !ready {
 			return poll.Continue("not running")
 		}
-		h.Heard(runner.Report{Instance: "i", Service: "s", Seq: 1, Clock: f.clock(), Capacity: work.Amounts{CPUMilli: 32000}})
-		if !h.Capacity().Open {
+		h.HandleReport(runner.Report{Instance: "i", Service: "s", Seq: 1, Clock: f.clock(), Capacity: work.Amounts{CPUMilli: 32000}})
+		if !h.Capacity().AcceptsStarts {
 			return poll.Continue("no free capacity yet")
 		}
 		return poll.Success()
@@ -213,11 +213,11 @@
 }
 
 // order orders a run and returns its name at the runner.
-func order(h *Host) work.RunName {
+func order(h *Host) work.RunnerRunID {
 	task := work.TaskID{Job: "0123456789abcdef"}
 	now := uptime.Now()
-	h.Order(now, owner, []runs.Order{{Run: work.RunID{Task: task, Attempt: 1}, Need: work.Amounts{CPUMilli: 1000}, Life: 5 * time.Second}}, nil)
-	return work.RunName{Task: task, Number: 1}
+	h.Submit(now, owner, []runs.Order{{Run: work.RunID{Task: task, Attempt: 1}, Need: work.Amounts{CPUMilli: 1000}, TimeLeft: 5 * time.Second}}, nil)
+	return work.RunnerRunID{Task: task, Number: 1}
 }
 
 // keepAlive records the entry as alive until the test ends.
@@ -234,7 +234,7 @@
 			case <-done:
 				return
 			case <-tick.C:
-				h.Alive(owner, uptime.Now())
+				h.EntryAlive(owner, uptime.Now())
 			}
 		}
 	}()
@@ -265,11 +265,11 @@
 	keepAlive(t, h)
 	f.set(func() {
 		f.dropCalls["start"] = 1
-		f.refuse = runner.ErrFull
+		f.refuse = runner.ErrInsufficientCapacity
 	})
 	run := order(h)
 	report, _ := sink.waitFor(t, runs.NotStarted)
-	assert.Equal(t, report.Refusal, runs.Unwell)
+	assert.Equal(t, report.Refusal, runs.RunnerFailed)
 	f.set(func() {
 		assert.Assert(t, f.stopped[run], "reported as not started while the start may still be executed")
 	})
@@ -285,7 +285,7 @@
 	f.set(func() {
 		f.dropCalls["start"] = 1
 		f.dropCalls["poll"] = 1
-		f.refuse = runner.ErrOldRun
+		f.refuse = runner.ErrStaleRun
 	})
 	run := order(h)
 	f.set(func() { f.running[run] = true })
@@ -359,7 +359,7 @@
 	_, _ = sink.waitFor(t, runs.Running)
 	f.set(func() { f.dropCalls["stop"] = 1 })
 	start := time.Now()
-	h.Order(uptime.Now(), owner, nil, []work.RunID{{Task: run.Task, Attempt: 1}})
+	h.Submit(uptime.Now(), owner, nil, []work.RunID{{Task: run.Task, Attempt: 1}})
 	_, at := sink.waitFor(t, runs.Stopped)
 	assert.Assert(t, at.Sub(start) < stopTimeout, "delivered after %s", at.Sub(start))
 }
@@ -369,6 +369,6 @@
 func TestPollWithoutARunner(t *testing.T) {
 	f := newFakeRunner()
 	h, _ := startHost(t, f)
-	h.Left("i")
+	h.HandleShutdown("i")
 	assert.Equal(t, h.pollOnce(t.Context()), time.Duration(0))
 }
--- a/guard/host/loops.go
+++ b/guard/host/loops.go
@@ -27,12 +27,12 @@
 		now := uptime.Now()
 		h.mu.Lock()
 		h.sendStops(now)
-		expired := h.table.Expire(now)
+		expired := h.table.ExpireUnresolved(now)
 		if now-prunedAt > pruneInterval {
-			h.table.Forget(now)
+			h.table.Prune(now)
 			prunedAt = now
 		}
-		wait := min(h.table.Next()-now, pruneInterval)
+		wait := min(h.table.NextStop()-now, pruneInterval)
 		h.mu.Unlock()
 		if len(expired) > 0 {
 			h.deliver(expired)
@@ -70,7 +70,7 @@
 	case h.process != p:
 		// The run is over, or it is at the next process, which has received no stop.
 	case err == nil:
-		h.table.Barred(uptime.Now(), s.Name)
+		h.table.StopAcknowledged(uptime.Now(), s.Name)
 	default:
 		h.table.StopFailed(s.Name)
 	}
@@ -107,7 +107,7 @@
 func (h *Host) needsPoll() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.process != nil && (!h.table.Idle() || !h.table.Checked() || h.table.Seen() > h.process.ackedEnd)
+	return h.process != nil && (!h.table.Idle() || !h.table.ListingRead() || h.table.LastEndSeq() > h.process.ackedEnd)
 }
 
 // pollRound sends a poll and waits for its answer until the hedge delay has passed; an
@@ -155,11 +155,11 @@
 		h.mu.Unlock()
 		return 0
 	}
-	remaining, hasRuns := p.leasedUntil-h.monotonic(), h.table.Holds()
+	remaining, hasRuns := p.leasedUntil-h.monotonic(), h.table.HasRuns()
 	until := h.lease(p, asked)
-	seen := h.table.Seen()
+	seen := h.table.LastEndSeq()
 	wait := pollWait
-	if p.unresponsive || h.table.Idle() || seen > p.ackedEnd && !h.table.Open() {
+	if p.unresponsive || h.table.Idle() || seen > p.ackedEnd && !h.table.AcceptsStarts() {
 		wait = 0
 	}
 	if h.table.Idle() {
@@ -184,7 +184,7 @@
 	var reports []runs.Report
 	pause = retryDelay
 	p.unresponsive = err != nil
-	if errors.Is(err, runner.ErrUnanswered) {
+	if errors.Is(err, runner.ErrOutcomeUnknown) {
 		h.lastPollLost = now
 	}
 	switch {
@@ -195,14 +195,14 @@
 		p.readAt, p.listingClock = now, account.Clock
 		p.ackedEnd = max(p.ackedEnd, seen)
 		h.recordPollTime(now - asked)
-		reports = h.table.Read(now, asked, account)
+		reports = h.table.ApplyListing(now, asked, account)
 	case errors.Is(err, runner.ErrRestarted):
 		h.handleRestart(account)
 	case errors.Is(err, runner.ErrReplaced):
-		reports = h.table.Replace(now)
+		reports = h.table.ReplaceProcess(now)
 		h.process = nil
 	case h.monotonic() > p.leasedUntil+leaseEndMargin:
-		reports = h.table.Lapse(now, errors.Is(err, runner.ErrNobody))
+		reports = h.table.LeaseExpired(now, errors.Is(err, runner.ErrConnectionRefused))
 		pause = expiredPollInterval
 	}
 	h.sendStops(now)
@@ -214,9 +214,9 @@
 	return pause
 }
 
-// Malformed counts a malformed report. Log lines are rate-limited, because a faulty program
+// HandleMalformedReport counts a malformed report. Log lines are rate-limited, because a faulty program
 // may send many.
-func (h *Host) Malformed(instance string, err error) {
+func (h *Host) HandleMalformedReport(instance string, err error) {
 	h.mu.Lock()
 	now := uptime.Now()
 	shouldLog := h.malformedLoggedAt == 0 || now-h.malformedLoggedAt >= malformedLogInterval
--- a/guard/host/metrics.go
+++ b/guard/host/metrics.go
@@ -37,7 +37,7 @@
 		crashes:     s.Counter("runner_crashes_total"),
 		refusals:    map[runs.Refusal]tally.Counter{},
 	}
-	for _, why := range []runs.Refusal{runs.Full, runs.Late, runs.Closed, runs.Unwell, runs.Unknown} {
+	for _, why := range []runs.Refusal{runs.InsufficientCapacity, runs.StaleOrder, runs.NotAccepting, runs.RunnerFailed, runs.UnknownRun} {
 		m.refusals[why] = s.Tagged(map[string]string{"reason": why.String()}).Counter("orders_refused_total")
 	}
 	return m
--- a/guard/host/orders.go
+++ b/guard/host/orders.go
@@ -44,7 +44,7 @@
 func (h *Host) send(timeout, delay time.Duration, call func(context.Context) (time.Duration, error)) reply {
 	answers := make(chan reply, maxSends)
 	inFlight, sent, unanswered := 0, 0, false
-	last := reply{err: runner.ErrUnanswered}
+	last := reply{err: runner.ErrOutcomeUnknown}
 	for {
 		if sent < maxSends && h.ctx.Err() == nil {
 			sent++
@@ -70,7 +70,7 @@
 			return answer
 		}
 		last = answer
-		if errors.Is(answer.err, runner.ErrUnanswered) {
+		if errors.Is(answer.err, runner.ErrOutcomeUnknown) {
 			unanswered = true
 			continue
 		}
--- a/guard/host/process.go
+++ b/guard/host/process.go
@@ -72,7 +72,7 @@
 // outdated reports whether a run listing whose poll was in flight together with that of the
 // last one read describes an earlier moment of the runner's clock. It may list a run whose end
 // has been read already, which would then count as an orphan.
-func (p *process) outdated(asked time.Duration, v work.Account, err error) bool {
+func (p *process) outdated(asked time.Duration, v work.Listing, err error) bool {
 	return err == nil && asked < p.readAt && v.Clock < p.listingClock
 }
 
@@ -87,8 +87,8 @@
 // with the process, but its start time does not; if the start time was set back, the token
 // used before ensures a higher one.
 func (f fence) next(i work.Incarnation, clock time.Duration) int64 {
-	token := i.Born + clock.Milliseconds()
-	if f.id == i.ID && i.Born > 0 {
+	token := i.StartedMilli + clock.Milliseconds()
+	if f.id == i.ID && i.StartedMilli > 0 {
 		token = max(token, f.token+1)
 	}
 	return token
--- a/guard/host/restart_test.go
+++ b/guard/host/restart_test.go
@@ -53,12 +53,12 @@
 		defer h.mu.Unlock()
 		return h.ctx != nil
 	})
-	r.Service, r.Zone, r.CPU, r.Judge = "s", "a", 32000, worker.NewJudge()
-	r.Control = strings.TrimPrefix(server.URL, "http://")
+	r.Service, r.DataCentre, r.CPU, r.Checker = "s", "a", 32000, worker.NewChecker()
+	r.ControlAddress = strings.TrimPrefix(server.URL, "http://")
 	assert.NilError(t, r.Listen("127.0.0.1"))
 	go r.Run(ctx)
 	keepAlive(t, h)
-	x.until("the guard accepts starts", func() bool { return h.Capacity().Open })
+	x.until("the guard accepts starts", func() bool { return h.Capacity().AcceptsStarts })
 	return x
 }
 
@@ -75,7 +75,7 @@
 // order orders a run of a task and returns its id.
 func (x *restartFixture) order(index, attempt int, spec string) work.RunID {
 	id := work.RunID{Task: work.TaskID{Job: "0123456789abcdef", Index: index}, Attempt: attempt}
-	x.host.Order(uptime.Now(), owner, []runs.Order{{Run: id, Spec: spec, Need: work.Amounts{CPUMilli: 1000}, Life: 5 * time.Second}}, nil)
+	x.host.Submit(uptime.Now(), owner, []runs.Order{{Run: id, Spec: spec, Need: work.Amounts{CPUMilli: 1000}, TimeLeft: 5 * time.Second}}, nil)
 	return id
 }
 
@@ -126,7 +126,7 @@
 	x := newRestartFixture(t, &worker.Runner{})
 	x.runner.SetFault(worker.Fault{LateShare: 1, LateStarts: true})
 	id := x.order(0, 1, `{"ms":5000,"cpu":1000}`)
-	x.until("the run begins", func() bool { return x.runner.Judge.Starts() == 1 })
+	x.until("the run begins", func() bool { return x.runner.Checker.Starts() == 1 })
 	x.runner.Kill()
 	x.runner.SetFault(worker.Fault{})
 	time.Sleep(startTimeout)
@@ -143,9 +143,9 @@
 	}
 	x.restart()
 	assert.Equal(t, x.run("10"), runs.Done)
-	x.runner.Leave()
+	x.runner.Drain()
 	x.runner.Report(t.Context())
-	assert.Assert(t, !x.host.Capacity().Open, "open after a report that the runner is draining")
+	assert.Assert(t, !x.host.Capacity().AcceptsStarts, "open after a report that the runner is draining")
 }
 
 // Guards against a task that finished on a restarted runner being taken for stopped and run
@@ -158,9 +158,9 @@
 	x.restart()
 	assert.Equal(t, x.run("5"), runs.Done)
 	id := x.order(99, 1, `{"ms":100,"cpu":1000}`)
-	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
+	x.until("the run begins", func() bool { return x.runner.Checker.Running() == 1 })
 	// The run ends while no poll is waiting for it.
-	x.runner.SetFault(worker.Fault{Mute: true})
+	x.runner.SetFault(worker.Fault{Unresponsive: true})
 	time.Sleep(150 * time.Millisecond)
 	x.runner.SetFault(worker.Fault{})
 	assert.Equal(t, x.finalReport(id).State, runs.Done)
@@ -183,20 +183,20 @@
 	x.runner.Report(t.Context())
 	assert.Equal(t, x.finalReport(id).State, runs.Crashed)
 	time.Sleep(late)
-	assert.Equal(t, x.runner.Judge.Starts(), 0)
+	assert.Equal(t, x.runner.Checker.Starts(), 0)
 }
 
 // Guards against a delayed report of the process before a restart taking the process after it
 // out of use.
 func TestLateReportOfOlderProcessChangesNothing(t *testing.T) {
 	x := newRestartFixture(t, &worker.Runner{})
-	x.runner.Leave()
-	late := x.runner.Held(t.Context())
+	x.runner.Drain()
+	late := x.runner.DelayedReport(t.Context())
 	x.restart()
 	assert.Equal(t, x.run("10"), runs.Done)
 	late()
 	time.Sleep(startTimeout)
-	assert.Assert(t, x.host.Capacity().Open)
+	assert.Assert(t, x.host.Capacity().AcceptsStarts)
 	assert.Equal(t, x.run("10"), runs.Done)
 }
 
@@ -204,14 +204,14 @@
 // draining.
 func TestLateReportOfOlderProcessOpensNothing(t *testing.T) {
 	x := newRestartFixture(t, &worker.Runner{})
-	late := x.runner.Held(t.Context())
+	late := x.runner.DelayedReport(t.Context())
 	x.restart()
 	assert.Equal(t, x.run("10"), runs.Done)
-	x.runner.Leave()
+	x.runner.Drain()
 	x.runner.Report(t.Context())
 	late()
 	time.Sleep(startTimeout)
-	assert.Assert(t, !x.host.Capacity().Open)
+	assert.Assert(t, !x.host.Capacity().AcceptsStarts)
 }
 
 // Guards against a delayed shutdown notice of the process before a restart ending the runs of
@@ -221,7 +221,7 @@
 	x.restart()
 	assert.Equal(t, x.run("10"), runs.Done)
 	id := x.order(99, 1, `{"ms":1000,"cpu":1000}`)
-	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
+	x.until("the run begins", func() bool { return x.runner.Checker.Running() == 1 })
 	x.runner.Deregister(t.Context(), x.runner.Instance())
 	assert.Equal(t, x.finalReport(id).State, runs.Done)
 }
@@ -232,7 +232,7 @@
 	time.Sleep(300 * time.Millisecond)
 	x.restart()
 	assert.Equal(t, x.run("200"), runs.Done)
-	assert.Assert(t, x.runner.LongestLease() <= runs.DefaultHold+50*time.Millisecond, "%v", x.runner.LongestLease())
+	assert.Assert(t, x.runner.LongestLease() <= runs.DefaultLeaseExtension+50*time.Millisecond, "%v", x.runner.LongestLease())
 }
 
 // Guards against a task that crashes its runner never becoming a suspect because the runner
@@ -240,7 +240,7 @@
 func TestCrashIsReportedAfterRestartUnderTheSameID(t *testing.T) {
 	x := newRestartFixture(t, &worker.Runner{})
 	id := x.order(0, 1, `{"ms":5000,"cpu":1000}`)
-	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
+	x.until("the run begins", func() bool { return x.runner.Checker.Running() == 1 })
 	time.Sleep(startTimeout)
 	x.runner.Restart()
 	x.runner.Report(t.Context())
@@ -251,11 +251,11 @@
 
 // Guards against a runner that does not report its start time receiving no work.
 func TestRunnerWithoutStartTimeIsServed(t *testing.T) {
-	x := newRestartFixture(t, &worker.Runner{Unborn: true})
+	x := newRestartFixture(t, &worker.Runner{OmitStartTime: true})
 	assert.Equal(t, x.run("10"), runs.Done)
 	id := x.order(99, 1, `{"ms":5000,"cpu":1000}`)
-	x.until("the run begins", func() bool { return x.runner.Judge.Running() == 1 })
-	x.runner.Reborn()
+	x.until("the run begins", func() bool { return x.runner.Checker.Running() == 1 })
+	x.runner.RestartWithNewID()
 	x.runner.Report(t.Context())
 	assert.Equal(t, x.finalReport(id).State, runs.Crashed)
 	assert.Equal(t, x.run("10"), runs.Done)
--- a/guard/ledger/ledger.go
+++ b/guard/ledger/ledger.go
@@ -214,14 +214,14 @@
 	return true
 }
 
-// Refuse ends a waiting task as never started; it returns false if the task is not waiting.
-func (l *Ledger) Refuse(t *Task, reason wirev1.RefusalReason) bool {
+// Reject ends a waiting task as never started; it returns false if the task is not waiting.
+func (l *Ledger) Reject(t *Task, reason wirev1.RefusalReason) bool {
 	return t.session.refuse(t, wirev1.TaskState_TASK_STATE_WAITING, reason)
 }
 
-// Disown ends a running task as never started, because the runner itself rejected it or
+// MarkNotStarted ends a running task as never started, because the runner itself rejected it or
 // nothing of the call reached the runner. It returns false if the task is not running.
-func (l *Ledger) Disown(t *Task, reason wirev1.RefusalReason) bool {
+func (l *Ledger) MarkNotStarted(t *Task, reason wirev1.RefusalReason) bool {
 	return t.session.refuse(t, wirev1.TaskState_TASK_STATE_RUNNING, reason)
 }
 
@@ -251,18 +251,18 @@
 	Sessions    int
 	Records     int
 	ResultBytes int64
-	// Unsettled counts finished tasks whose result no entry has acknowledged.
-	Unsettled int
+	// UnacknowledgedResults counts finished tasks whose result no entry has acknowledged.
+	UnacknowledgedResults int
 }
 
 // Stats returns the counts.
 func (l *Ledger) Stats() Stats {
 	bytes, results := l.resultCache.size()
 	return Stats{
-		Sessions:    len(*l.sessions.Load()),
-		Records:     int(l.records.Load()),
-		ResultBytes: bytes,
-		Unsettled:   results,
+		Sessions:              len(*l.sessions.Load()),
+		Records:               int(l.records.Load()),
+		ResultBytes:           bytes,
+		UnacknowledgedResults: results,
 	}
 }
 
--- a/guard/ledger/ledger_test.go
+++ b/guard/ledger/ledger_test.go
@@ -239,10 +239,10 @@
 			assert.Assert(t, o.now.Sub(o.lastSeen[k.session]) <= lease, "%v began after the lease", k)
 			assert.Assert(t, k.seq >= o.watermark[k.session], "%v began below the watermark", k)
 		},
-		"refuse": func(t *rapid.T) { o.ledger.Refuse(o.tasks[o.drawTask(t)], cancelled) },
+		"refuse": func(t *rapid.T) { o.ledger.Reject(o.tasks[o.drawTask(t)], cancelled) },
 		"disown": func(t *rapid.T) {
 			k := o.drawTask(t)
-			if o.ledger.Disown(o.tasks[k], cancelled) {
+			if o.ledger.MarkNotStarted(o.tasks[k], cancelled) {
 				o.markedNotStarted[k] = true
 			}
 		},
--- a/guard/local/local.go
+++ b/guard/local/local.go
@@ -113,7 +113,7 @@
 		Address:     netip.AddrPortFrom(m.Address.Addr().Unmap(), m.Address.Port()),
 		Slots:       m.Slots,
 		Connections: m.Connections,
-		Zone:        m.Zone,
+		DataCentre:  m.Zone,
 		TTL:         m.TTL.Std(),
 		Leaving:     m.Leaving,
 	}
@@ -124,7 +124,7 @@
 	switch {
 	case a.Service == "" || len(a.Service) > maxName:
 		return errors.New("service: a name of 1 to 128 bytes")
-	case len(a.Zone) > maxName:
+	case len(a.DataCentre) > maxName:
 		return errors.New("zone: a name of up to 128 bytes")
 	case !a.Address.IsValid() || a.Address.Port() == 0:
 		return errors.New("address: the IP and port that the runner listens on")
--- a/guard/node/node.go
+++ b/guard/node/node.go
@@ -32,9 +32,9 @@
 // ErrListen is returned if an address of the settings can't be listened on.
 var ErrListen = errors.New("guard: can't listen")
 
-// ErrCut is returned if the drain limit passed before every task's result was
+// ErrDrainTimeout is returned if the drain limit passed before every task's result was
 // returned.
-var ErrCut = errors.New("guard: shutdown cut short")
+var ErrDrainTimeout = errors.New("guard: shutdown cut short")
 
 const (
 	// sweepInterval is the interval at which expired leases and TTLs are removed.
@@ -129,7 +129,7 @@
 func (n *Node) assemble() {
 	s := n.settings
 	scope := n.opts.Metrics.Scope
-	control := telemetry.NewControl(scope)
+	control := telemetry.NewControlTraffic(scope)
 	n.process = telemetry.NewProcess(scope)
 	n.ledger = ledger.New(ledger.Options{
 		Incarnation:       n.incarnation,
@@ -142,37 +142,37 @@
 		NewSessionID:      n.newSessionID,
 	})
 	n.registry = registration.New(registration.Options{
-		Service:   s.Service,
-		Zone:      s.Zone,
-		NewClient: n.newClient,
-		OnChange:  n.runnerChanged,
+		Service:    s.Service,
+		DataCentre: s.DataCentre,
+		NewClient:  n.newClient,
+		OnChange:   n.runnerChanged,
 	})
 	n.server = server.New(server.Options{
-		GuardID:     s.ID,
-		Incarnation: n.incarnation,
-		Zone:        s.Zone,
-		Lease:       s.SessionLease.Std(),
-		Ledger:      n.ledger,
-		QueueLen:    s.Queue,
-		Runners:     n.registry,
-		MaxRunLimit: s.RunLimit.Std(),
-		MaxPayload:  s.Limits.PayloadBytes,
-		MaxRequests: s.Limits.RequestBytes,
-		Secret:      s.Secret,
-		Now:         n.opts.Now,
-		Logger:      n.opts.Logger,
-		Scope:       scope,
-		Control:     control,
+		GuardID:         s.ID,
+		Incarnation:     n.incarnation,
+		DataCentre:      s.DataCentre,
+		Lease:           s.SessionLease.Std(),
+		Ledger:          n.ledger,
+		QueueLen:        s.Queue,
+		Runners:         n.registry,
+		MaxRunLimit:     s.RunLimit.Std(),
+		MaxPayloadBytes: s.Limits.PayloadBytes,
+		MaxRequestBytes: s.Limits.RequestBytes,
+		Secret:          s.Secret,
+		Now:             n.opts.Now,
+		Logger:          n.opts.Logger,
+		Scope:           scope,
+		Control:         control,
 	})
 	n.announcer = announce.New(announce.Options{
-		Balancers: addresses(s.Balancers),
-		Request:   n.announcement,
-		Secret:    s.Secret,
-		Now:       n.opts.Now,
-		Rand:      rand.New(rand.NewPCG(n.incarnation, rand.Uint64())),
-		Logger:    n.opts.Logger,
-		Scope:     scope,
-		Control:   control,
+		Balancers:  addresses(s.Balancers),
+		NewRequest: n.announcement,
+		Secret:     s.Secret,
+		Now:        n.opts.Now,
+		Rand:       rand.New(rand.NewPCG(n.incarnation, rand.Uint64())),
+		Logger:     n.opts.Logger,
+		Scope:      scope,
+		Control:    control,
 	})
 }
 
@@ -187,14 +187,14 @@
 	return runner.New(runner.Options{
 		Address:     address,
 		Connections: connections,
-		MaxAnswer:   n.settings.Limits.AnswerBytes,
+		MaxResponse: n.settings.Limits.AnswerBytes,
 		CancelGrace: n.settings.CancelGrace.Std(),
 	})
 }
 
 func (n *Node) runnerChanged(r *registration.Runner) {
 	n.server.SetRunner(r.State())
-	n.announcer.Changed()
+	n.announcer.AnnounceNow()
 	ctx := context.Background()
 	if r == nil {
 		eventRunnerGone.Log(ctx, n.opts.Logger)
@@ -216,16 +216,16 @@
 	return &wirev1.AnnounceRequest{
 		GuardId:          n.settings.ID,
 		GuardIncarnation: n.incarnation,
-		Address:          n.Advertised(),
-		Zone:             n.settings.Zone,
+		Address:          n.AdvertisedAddr(),
+		Zone:             n.settings.DataCentre,
 		Service:          service,
 		Load:             load,
 		Leaving:          load.GetLeaving(),
 	}
 }
 
-// Advertised returns the address that entries are given.
-func (n *Node) Advertised() string {
+// AdvertisedAddr returns the address that entries are given.
+func (n *Node) AdvertisedAddr() string {
 	if n.settings.Advertise.IsValid() {
 		return n.settings.Advertise.String()
 	}
@@ -272,14 +272,14 @@
 func (n *Node) drainAfter(ctx context.Context) error {
 	<-ctx.Done()
 	n.ready.Set(false)
-	limit, cancel := context.WithTimeout(context.Background(), n.settings.DrainLimit.Std())
+	limit, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout.Std())
 	defer cancel()
 	eventDraining.Log(limit, n.opts.Logger)
-	n.server.Leave()
+	n.server.StopAccepting()
 	n.notifyLeaving(limit)
 	if err := n.server.Drain(limit, n.settings.Linger.Std()); err != nil {
 		eventDrainLimitPassed.Log(context.Background(), n.opts.Logger)
-		return eris.Wrap(ErrCut, err.Error())
+		return eris.Wrap(ErrDrainTimeout, err.Error())
 	}
 	return nil
 }
@@ -291,7 +291,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaveNoticeTimeout)
 	defer cancel()
-	if err := n.announcer.TellAll(ctx); err != nil {
+	if err := n.announcer.AnnounceToAll(ctx); err != nil {
 		eventLeaveNotConfirmed.Log(ctx, n.opts.Logger, slog.String("cause", err.Error()))
 	}
 }
@@ -308,8 +308,8 @@
 		}
 		now := n.opts.Now()
 		n.ledger.Expire(now)
-		n.registry.Expire(now)
-		n.server.Observe()
+		n.registry.RemoveExpired(now)
+		n.server.UpdateGauges()
 	}
 }
 
--- a/guard/node/node_test.go
+++ b/guard/node/node_test.go
@@ -93,7 +93,7 @@
 func startGuard(t *testing.T, balancer string, linger time.Duration) *guard {
 	s := config.Default()
 	s.ID = "g1"
-	s.Zone = "zagreb"
+	s.DataCentre = "zagreb"
 	s.Listen.Internal = addr("127.0.0.1:0")
 	s.Listen.Local = addr("127.0.0.1:0")
 	s.Balancers = []settings.Address{addr(balancer)}
--- a/guard/registration/registration.go
+++ b/guard/registration/registration.go
@@ -21,8 +21,8 @@
 	// ErrService is returned if the runner serves another service than the
 	// guard's settings require.
 	ErrService = errors.New("the guard's settings name another service")
-	// ErrZone is returned if the runner is in another data centre than the guard.
-	ErrZone = errors.New("the guard's settings name another zone")
+	// ErrDataCentre is returned if the runner is in another data centre than the guard.
+	ErrDataCentre = errors.New("the guard's settings name another zone")
 )
 
 // Announcement is a runner's description of itself.
@@ -31,10 +31,10 @@
 	Address     netip.AddrPort
 	Slots       int
 	Connections int
-	// Zone is the runner's data centre; it may be empty.
-	Zone    string
-	TTL     time.Duration
-	Leaving bool
+	// DataCentre is the runner's data centre; it may be empty.
+	DataCentre string
+	TTL        time.Duration
+	Leaving    bool
 }
 
 // Runner is a registered runner. It is immutable.
@@ -52,17 +52,17 @@
 		return slots.Runner{}
 	}
 	return slots.Runner{
-		Present: true,
-		Leaving: r.Leaving,
-		Slots:   min(r.Slots, r.Connections),
+		Present:  true,
+		Draining: r.Leaving,
+		Slots:    min(r.Slots, r.Connections),
 	}
 }
 
 // Options configure a Registry.
 type Options struct {
 	// Service, if set, is the only service that a runner may announce.
-	Service string
-	Zone    string
+	Service    string
+	DataCentre string
 	// NewClient returns the client for a runner.
 	NewClient func(address string, connections int) *runner.Client
 	// OnChange is called after every change of the runner's state or service, one
@@ -108,8 +108,8 @@
 	if g.opts.Service != "" && a.Service != g.opts.Service {
 		return ErrService
 	}
-	if a.Zone != "" && a.Zone != g.opts.Zone {
-		return ErrZone
+	if a.DataCentre != "" && a.DataCentre != g.opts.DataCentre {
+		return ErrDataCentre
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,10 +127,10 @@
 	return nil
 }
 
-// Lost records that nothing listens at a runner's address. The runner is
+// MarkUnreachable records that nothing listens at a runner's address. The runner is
 // unregistered until its next announcement, so that further starts don't each
 // have to try a connection.
-func (g *Registry) Lost(r *Runner) {
+func (g *Registry) MarkUnreachable(r *Runner) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	current := g.current.Load()
@@ -140,8 +140,8 @@
 	g.replace(nil)
 }
 
-// Expire unregisters a runner whose TTL has passed.
-func (g *Registry) Expire(now time.Time) {
+// RemoveExpired unregisters a runner whose TTL has passed.
+func (g *Registry) RemoveExpired(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.current.Load()
--- a/guard/runner/call.go
+++ b/guard/runner/call.go
@@ -79,18 +79,18 @@
 	sent := k.conn != nil && k.conn.closeOwned(k)
 	switch {
 	case !sent && k.cause == Cancelled:
-		return Outcome{Verdict: Withdrawn, Message: "cancelled before it was sent"}
+		return Outcome{Verdict: CancelledBeforeSend, Message: "cancelled before it was sent"}
 	case !sent && k.cause == RunLimit:
-		return Outcome{Verdict: Busy, Message: "no connection was free within the run limit"}
+		return Outcome{Verdict: NoConnection, Message: "no connection was free within the run limit"}
 	case !sent && k.conn != nil:
 		k.conn = nil
 		return Outcome{Verdict: notSent, Message: err.Error()}
 	case !sent:
-		return Outcome{Verdict: Absent, Message: err.Error()}
+		return Outcome{Verdict: Unreachable, Message: err.Error()}
 	case k.cause != notStopped:
 		return Outcome{Verdict: k.cause, Message: stopMessage(k.cause)}
 	default:
-		return Outcome{Verdict: Lost, Message: err.Error()}
+		return Outcome{Verdict: ConnectionLost, Message: err.Error()}
 	}
 }
 
--- a/guard/runner/conn_test.go
+++ b/guard/runner/conn_test.go
@@ -54,7 +54,7 @@
 	out := k.failedOutcome(errors.New("broken"))
 	close(blocking.release)
 	<-written
-	assert.Equal(t, out.Verdict, Lost)
+	assert.Equal(t, out.Verdict, ConnectionLost)
 }
 
 // A stop arrives when the transport has passed the connection on to the next
@@ -104,9 +104,9 @@
 	client := New(Options{
 		Address:     s.Listener.Addr().String(),
 		Connections: connections,
-		MaxAnswer:   1 << 10,
+		MaxResponse: 1 << 10,
 		CancelGrace: time.Minute,
-		Idle:        time.Minute,
+		IdleTimeout: time.Minute,
 	})
 	defer client.Close()
 	opened := make(chan *conn, connections)
@@ -147,7 +147,7 @@
 func TestBrokenConnectionsAreNotAbsence(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
-	client := New(Options{Address: s.Listener.Addr().String(), Connections: 1, MaxAnswer: 1 << 10, CancelGrace: time.Minute})
+	client := New(Options{Address: s.Listener.Addr().String(), Connections: 1, MaxResponse: 1 << 10, CancelGrace: time.Minute})
 	defer client.Close()
 	client.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := dial(ctx, network, address)
@@ -157,5 +157,5 @@
 		return raw, err
 	}
 	out := client.Run(t.Context(), Request{Task: "s/0", Payload: []byte("in"), Digest: make([]byte, sha256.Size), RunLimit: time.Minute})
-	assert.Equal(t, out.Verdict, Busy)
+	assert.Equal(t, out.Verdict, NoConnection)
 }
--- a/guard/runner/runner.go
+++ b/guard/runner/runner.go
@@ -21,9 +21,9 @@
 
 // Headers of the requests and responses between a guard and a runner.
 const (
-	HeaderTask     = "Almond-Task"
-	HeaderKind     = "Almond-Kind"
-	HeaderCustomer = "Almond-Customer"
+	HeaderTask   = "Almond-Task"
+	HeaderKind   = "Almond-Kind"
+	HeaderClient = "Almond-Customer"
 	// HeaderRunLimit is the maximum run time, in milliseconds.
 	HeaderRunLimit = "Almond-Run-Limit-Ms"
 	// HeaderRan with the value "no" marks a 503 or 429 response as a rejection:
@@ -59,15 +59,15 @@
 const (
 	// Completed: the runner sent a complete response.
 	Completed Verdict = iota
-	// Refused: the runner reported that it did not start the task.
-	Refused
-	// Absent: no connection to the runner could be opened; no byte was sent.
-	Absent
-	// Withdrawn: the call was cancelled before any byte of it was sent.
-	Withdrawn
-	// Busy: every connection broke before the call was written to it, or none
+	// Rejected: the runner reported that it did not start the task.
+	Rejected
+	// Unreachable: no connection to the runner could be opened; no byte was sent.
+	Unreachable
+	// CancelledBeforeSend: the call was cancelled before any byte of it was sent.
+	CancelledBeforeSend
+	// NoConnection: every connection broke before the call was written to it, or none
 	// became free within the run limit; no byte was sent.
-	Busy
+	NoConnection
 	// Failed: the runner responded with an error; the task ran.
 	Failed
 	// Truncated: the response was incomplete or too long, or its digest did not
@@ -77,8 +77,8 @@
 	RunLimit
 	// Cancelled: the call was cancelled through its context.
 	Cancelled
-	// Lost: the connection broke without a response; the task may have run.
-	Lost
+	// ConnectionLost: the connection broke without a response; the task may have run.
+	ConnectionLost
 	// notSent: the connection turned out to be broken before a byte was written
 	// to it.
 	notSent
@@ -93,10 +93,10 @@
 // Request describes one call.
 type Request struct {
 	// Task is "<submission>/<index>".
-	Task     string
-	Kind     string
-	Customer string
-	Payload  []byte
+	Task    string
+	Kind    string
+	Client  string
+	Payload []byte
 	// Digest is the SHA-256 of the payload.
 	Digest []byte
 	// RunLimit is the maximum run time.
@@ -120,15 +120,15 @@
 	Address string
 	// Connections is the maximum number of open connections.
 	Connections int
-	// MaxAnswer is the maximum size of a response, in bytes.
-	MaxAnswer int64
+	// MaxResponse is the maximum size of a response, in bytes.
+	MaxResponse int64
 	// CancelGrace is the time that a stopped call has to end before its
 	// connection is closed.
 	CancelGrace time.Duration
-	// Idle is the time for which an unused connection is kept; 0 means 2 s.
+	// IdleTimeout is the time for which an unused connection is kept; 0 means 2 s.
 	// Servers commonly close idle connections after 5 s or more. A call that
 	// coincides with such a close is lost, so the client closes first.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 }
@@ -142,8 +142,8 @@
 
 // New returns a client, which opens connections on demand.
 func New(opts Options) *Client {
-	if opts.Idle == 0 {
-		opts.Idle = defaultIdleTimeout
+	if opts.IdleTimeout == 0 {
+		opts.IdleTimeout = defaultIdleTimeout
 	}
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -155,7 +155,7 @@
 			DialContext:            dial,
 			MaxConnsPerHost:        opts.Connections,
 			MaxIdleConnsPerHost:    opts.Connections,
-			IdleConnTimeout:        opts.Idle,
+			IdleConnTimeout:        opts.IdleTimeout,
 			MaxResponseHeaderBytes: maxHeaderBytes,
 			// A response that the transport decompresses loses its
 			// Content-Length.
@@ -189,7 +189,7 @@
 		// Every attempt got a connection, so the runner is listening. If it were
 		// reported as absent, no entry would send it work until it registers
 		// again.
-		out.Verdict = Busy
+		out.Verdict = NoConnection
 	}
 	out.Elapsed = c.opts.Now().Sub(start)
 	return out
@@ -204,7 +204,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if isRejected(resp) {
-		return Outcome{Verdict: Refused, Message: message(resp)}
+		return Outcome{Verdict: Rejected, Message: message(resp)}
 	}
 	if v, stopped := k.stopped(); stopped {
 		return Outcome{Verdict: v, Message: stopMessage(v)}
@@ -251,7 +251,7 @@
 		headerContentType: {contentType},
 		HeaderTask:        {r.Task},
 		HeaderKind:        {r.Kind},
-		HeaderCustomer:    {r.Customer},
+		HeaderClient:      {r.Client},
 		HeaderRunLimit:    {strconv.FormatInt(r.RunLimit.Milliseconds(), 10)},
 		HeaderDigest:      {FormatDigest(r.Digest)},
 	}
@@ -264,7 +264,7 @@
 
 // readResponse reads the response body and verifies that it is complete.
 func (c *Client) readResponse(resp *http.Response) (payload, digest []byte, err error) {
-	if resp.ContentLength > c.opts.MaxAnswer {
+	if resp.ContentLength > c.opts.MaxResponse {
 		return nil, nil, errResponseTooLong
 	}
 	declared, hasDigest := declaredDigest(resp.Header)
@@ -272,7 +272,7 @@
 	if resp.ContentLength < 0 && !chunked && !hasDigest {
 		return nil, nil, errUnknownLength
 	}
-	payload, err = readAll(resp.Body, resp.ContentLength, c.opts.MaxAnswer)
+	payload, err = readAll(resp.Body, resp.ContentLength, c.opts.MaxResponse)
 	if err != nil {
 		return nil, nil, fmt.Errorf("answer cut short: %w", err)
 	}
--- a/guard/runner/runner_test.go
+++ b/guard/runner/runner_test.go
@@ -27,14 +27,14 @@
 	return runner.New(runner.Options{
 		Address:     address,
 		Connections: connections,
-		MaxAnswer:   1 << 16,
+		MaxResponse: 1 << 16,
 		CancelGrace: noTimeout,
 	})
 }
 
 func request(task, payload string) runner.Request {
 	sum := sha256.Sum256([]byte(payload))
-	return runner.Request{Task: task, Kind: "lookup", Customer: "c", Payload: []byte(payload), Digest: sum[:], RunLimit: noTimeout}
+	return runner.Request{Task: task, Kind: "lookup", Client: "c", Payload: []byte(payload), Digest: sum[:], RunLimit: noTimeout}
 }
 
 // raw sends the given bytes as the response and closes the connection.
@@ -83,13 +83,13 @@
 		{"no length but digest", raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Digest: " + digest("ok") + "\r\n\r\nok"), runner.Completed},
 		{"too long", raw("HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + strings.Repeat("x", 99999)), runner.Truncated},
 		{"chunks too long", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1869f\r\n" + strings.Repeat("x", 99999) + "\r\n0\r\n\r\n"), runner.Truncated},
-		{"no slot", status(http.StatusServiceUnavailable, "no"), runner.Refused},
-		{"too many", status(http.StatusTooManyRequests, "no"), runner.Refused},
+		{"no slot", status(http.StatusServiceUnavailable, "no"), runner.Rejected},
+		{"too many", status(http.StatusTooManyRequests, "no"), runner.Rejected},
 		{"unavailable", status(http.StatusServiceUnavailable, ""), runner.Failed},
 		{"failed", status(http.StatusInternalServerError, "no"), runner.Failed},
 		{"no content", status(http.StatusNoContent, ""), runner.Failed},
-		{"nothing", raw(""), runner.Lost},
-		{"half a head", raw("HTTP/1.1 200"), runner.Lost},
+		{"nothing", raw(""), runner.ConnectionLost},
+		{"half a head", raw("HTTP/1.1 200"), runner.ConnectionLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 	address := l.Addr().String()
 	assert.NilError(t, l.Close())
 	out := newClient(address, 1).Run(t.Context(), request("s/0", "in"))
-	assert.Equal(t, out.Verdict, runner.Absent)
+	assert.Equal(t, out.Verdict, runner.Unreachable)
 }
 
 // All connections to the runner are in use until the run limit of a further call
@@ -135,7 +135,7 @@
 	<-entered
 	short := request("s/1", "in")
 	short.RunLimit = 20 * time.Millisecond
-	assert.Equal(t, client.Run(t.Context(), short).Verdict, runner.Busy)
+	assert.Equal(t, client.Run(t.Context(), short).Verdict, runner.NoConnection)
 	close(release)
 	assert.Equal(t, (<-first).Verdict, runner.Completed)
 }
@@ -272,8 +272,8 @@
 	defer c.mu.Unlock()
 	assert.Assert(t, c.arrivals <= 1, "arrived %d times", c.arrivals)
 	switch out.Verdict {
-	case runner.Lost:
-	case runner.Absent:
+	case runner.ConnectionLost:
+	case runner.Unreachable:
 		assert.Equal(t, c.arrivals, 0, "reported as not run, but bytes arrived")
 	case runner.Completed:
 		// The connection broke before the call, which was sent over a new one.
@@ -323,7 +323,7 @@
 	}))
 	defer s.Close()
 	defer close(stop)
-	client := runner.New(runner.Options{Address: s.Listener.Addr().String(), Connections: 2, MaxAnswer: 1, CancelGrace: time.Millisecond})
+	client := runner.New(runner.Options{Address: s.Listener.Addr().String(), Connections: 2, MaxResponse: 1, CancelGrace: time.Millisecond})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-started
--- a/guard/runs/crash.go
+++ b/guard/runs/crash.go
@@ -15,20 +15,20 @@
 type Crash struct {
 	// Runner is the process that crashed.
 	Runner work.Incarnation
-	// Others counts the other runs that the process had, including starts it had not answered.
-	Others int
+	// OtherCount counts the other runs that the process had, including starts it had not answered.
+	OtherCount int
 	// Newest is true for the run that started last: most tasks that crash their runner do so
 	// soon after their start.
 	Newest bool
-	// Beside names the tasks of up to maxOtherTasks of the other runs.
-	Beside []work.TaskID
+	// OtherTasks names the tasks of up to maxOtherTasks of the other runs.
+	OtherTasks []work.TaskID
 }
 
-// Replace records that another process runs in the place of the current one and executes no
+// ReplaceProcess records that another process runs in the place of the current one and executes no
 // start that was sent to the current one. The current process has crashed unless it was
 // draining. Runs that a previous guard process started and that ended with their runner are
 // not reported here, because this table does not hold them.
-func (t *Table) Replace(now time.Duration) []Report {
+func (t *Table) ReplaceProcess(now time.Duration) []Report {
 	var reports []Report
 	if t.runner != nil && !t.runner.draining {
 		reports = t.reportCrashes(now, func(*run) bool { return false })
@@ -57,7 +57,7 @@
 			continue
 		}
 		r.crashReported = true
-		crash := &Crash{Runner: t.runner.Incarnation, Others: len(active) - 1, Newest: i == len(active)-1, Beside: otherTasks(active, r)}
+		crash := &Crash{Runner: t.runner.Incarnation, OtherCount: len(active) - 1, Newest: i == len(active)-1, OtherTasks: otherTasks(active, r)}
 		reports = append(reports, t.reportCrash(now, r, crash))
 	}
 	return reports
@@ -68,7 +68,7 @@
 		r.endReported = true
 		t.endedOrder = append(t.endedOrder, r.id)
 	}
-	report := Report{Owner: r.owner, Run: r.id, State: Crashed, Began: r.startedAt, Over: now, Crash: c}
+	report := Report{Owner: r.owner, Run: r.id, State: Crashed, StartedAt: r.startedAt, EndedAt: now, Crash: c}
 	t.endedRuns[r.id] = endedRun{report, now}
 	return report
 }
--- a/guard/runs/crash_test.go
+++ b/guard/runs/crash_test.go
@@ -19,10 +19,10 @@
 	_, _ = table.Started(testStart+6*ms, other.Name)
 	mustStart(t, table, testStart+9*ms, entryA, order("unanswered", 0))
 	got := map[string]Report{}
-	for _, r := range table.Lapse(testStart+700*ms, true) {
+	for _, r := range table.LeaseExpired(testStart+700*ms, true) {
 		assert.Equal(t, r.State, Crashed)
-		assert.Equal(t, r.Crash.Others, 2)
-		assert.Equal(t, len(r.Crash.Beside), 2)
+		assert.Equal(t, r.Crash.OtherCount, 2)
+		assert.Equal(t, len(r.Crash.OtherTasks), 2)
 		got[r.Run.Task.Job] = r
 	}
 	assert.Equal(t, len(got), 3)
@@ -37,14 +37,14 @@
 func TestSilenceAndPlannedEndsAreNoCrash(t *testing.T) {
 	table := newTable(1)
 	mustStart(t, table, testStart, entryA, order("j", 0))
-	assert.Equal(t, table.Lapse(testStart+700*ms, false)[0].State, Stopped)
+	assert.Equal(t, table.LeaseExpired(testStart+700*ms, false)[0].State, Stopped)
 	table = newTable(1)
 	mustStart(t, table, testStart, entryA, order("j", 0))
-	table.Describe(need, nil, true)
+	table.SetCapacity(need, nil, true)
 	assert.Equal(t, table.Adopt(testStart+700*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})[0].State, Stopped)
 	table = newTable(1)
 	mustStart(t, table, testStart, entryA, order("j", 0))
-	assert.Equal(t, table.Lose(testStart + 700*ms)[0].State, Stopped)
+	assert.Equal(t, table.RemoveProcess(testStart + 700*ms)[0].State, Stopped)
 }
 
 // Guards against a missed crash: a host fails together with its runner, nothing answers until
@@ -54,7 +54,7 @@
 func TestCrashAfterLeaseExpiryIsReportedLater(t *testing.T) {
 	table := newTable(1)
 	mustStart(t, table, testStart, entryA, order("j", 0))
-	assert.Equal(t, table.Lapse(testStart+700*ms, false)[0].State, Stopped)
+	assert.Equal(t, table.LeaseExpired(testStart+700*ms, false)[0].State, Stopped)
 	got := table.Adopt(testStart+3000*ms, Process{Incarnation: work.Incarnation{ID: "i2"}})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Crashed)
@@ -68,7 +68,7 @@
 	table := newTable(1)
 	x := order("j", 0)
 	mustStart(t, table, testStart, entryA, x)
-	table.Replace(testStart + 100*ms)
+	table.ReplaceProcess(testStart + 100*ms)
 	got := table.Resume(testStart+200*ms, entryA, []work.RunID{x.Run})
 	assert.Equal(t, got[0].State, Crashed)
 	assert.Assert(t, got[0].Crash != nil && got[0].Crash.Newest)
--- a/guard/runs/process.go
+++ b/guard/runs/process.go
@@ -19,7 +19,7 @@
 	checked bool
 	// orphans are runs at the runner that this table does not hold; the value is true while a
 	// stop of the run is in flight.
-	orphans map[work.RunName]bool
+	orphans map[work.RunnerRunID]bool
 	// lastEndSeq is the highest sequence number of an ended run that has been read.
 	lastEndSeq int64
 }
@@ -35,20 +35,20 @@
 // Adopt makes p the current runner process. It has been fenced with a token above that of the
 // previous process. All runs of the previous process are over, except those that the new one
 // lists: their starts reached it before the fencing token did.
-func (t *Table) Adopt(now time.Duration, p Process, listed ...work.RunName) []Report {
+func (t *Table) Adopt(now time.Duration, p Process, listed ...work.RunnerRunID) []Report {
 	listedRuns := t.detach(listed)
-	reports := t.Replace(now)
+	reports := t.ReplaceProcess(now)
 	for _, r := range listedRuns {
 		t.reattach(r)
 	}
-	t.runner = &processState{Process: p, orphans: map[work.RunName]bool{}}
+	t.runner = &processState{Process: p, orphans: map[work.RunnerRunID]bool{}}
 	return reports
 }
 
 // detach removes the named runs from the table and returns them. A run that was already
 // reported as over stays: its task may have been started elsewhere, so the run counts as an
 // orphan at the next process.
-func (t *Table) detach(names []work.RunName) []*run {
+func (t *Table) detach(names []work.RunnerRunID) []*run {
 	var detached []*run
 	for _, n := range names {
 		if r := t.find(n); r != nil && !r.endReported {
@@ -69,9 +69,9 @@
 	t.used = t.used.Add(r.need)
 }
 
-// Lose removes the runner process without a successor. Its runs are over, except for
+// RemoveProcess removes the runner process without a successor. Its runs are over, except for
 // unanswered starts if the runner may restart under the same id.
-func (t *Table) Lose(now time.Duration) []Report {
+func (t *Table) RemoveProcess(now time.Duration) []Report {
 	var reports []Report
 	for _, r := range t.runs {
 		if !t.markUnresolved(r) {
@@ -86,12 +86,12 @@
 // still execute the run's start, and remembers it in the run. Processes that do not report
 // their start time have an id of their own each, so for them it returns false.
 func (t *Table) markUnresolved(r *run) bool {
-	r.unresolved = r.unresolved || t.runner != nil && t.runner.Born > 0 && !r.started
+	r.unresolved = r.unresolved || t.runner != nil && t.runner.StartedMilli > 0 && !r.started
 	return r.unresolved
 }
 
-// Describe records the capacity, labels and drain state that the current process reports.
-func (t *Table) Describe(total work.Amounts, labels []string, draining bool) {
+// SetCapacity records the capacity, labels and drain state that the current process reports.
+func (t *Table) SetCapacity(total work.Amounts, labels []string, draining bool) {
 	if t.runner == nil {
 		return
 	}
@@ -103,16 +103,16 @@
 	t.runner.draining = t.runner.draining || draining
 }
 
-// Serves records the service that the current process reports.
-func (t *Table) Serves(service string) {
+// SetService records the service that the current process reports.
+func (t *Table) SetService(service string) {
 	if t.runner != nil {
 		t.runner.Service = service
 	}
 }
 
-// Expire reports on unresolved starts whose callers no longer wait: their tasks are not
+// ExpireUnresolved reports on unresolved starts whose callers no longer wait: their tasks are not
 // started again after that.
-func (t *Table) Expire(now time.Duration) []Report {
+func (t *Table) ExpireUnresolved(now time.Duration) []Report {
 	var reports []Report
 	for _, r := range t.runs {
 		if !r.unresolved || now < r.deadline {
@@ -122,7 +122,7 @@
 			reports = append(reports, t.end(now, r, Stopped)...)
 			continue
 		}
-		reports = append(reports, t.report(now, r, Stopped, Unwell)...)
+		reports = append(reports, t.report(now, r, Stopped, RunnerFailed)...)
 	}
 	return reports
 }
--- a/guard/runs/restart_test.go
+++ b/guard/runs/restart_test.go
@@ -10,37 +10,37 @@
 )
 
 var (
-	firstProcess  = Process{Incarnation: work.Incarnation{ID: "i", Born: 1000}}
-	secondProcess = Process{Incarnation: work.Incarnation{ID: "i", Born: 2000}}
+	firstProcess  = Process{Incarnation: work.Incarnation{ID: "i", StartedMilli: 1000}}
+	secondProcess = Process{Incarnation: work.Incarnation{ID: "i", StartedMilli: 2000}}
 )
 
 // newTableWithStartTime returns a table whose runner process reports its start time.
 func newTableWithStartTime() *Table {
 	table := New(Options{})
 	adopt(table, testStart, firstProcess)
-	table.Alive(entryA, testStart)
+	table.EntryAlive(entryA, testStart)
 	return table
 }
 
-func adopt(table *Table, now time.Duration, p Process, listed ...work.RunName) []Report {
+func adopt(table *Table, now time.Duration, p Process, listed ...work.RunnerRunID) []Report {
 	reports := table.Adopt(now, p, listed...)
-	table.Describe(work.Amounts{CPUMilli: 8000, MemoryMB: 512}, nil, false)
-	return append(reports, table.Read(now, now, work.Account{Running: listed})...)
+	table.SetCapacity(work.Amounts{CPUMilli: 8000, MemoryMB: 512}, nil, false)
+	return append(reports, table.ApplyListing(now, now, work.Listing{Running: listed})...)
 }
 
 // Guards against a task being started elsewhere while its unanswered start may still be
 // executed by the next process under its runner's id.
 func TestUnresolvedStartIsKeptUntilTheNextProcessIsFenced(t *testing.T) {
 	for _, endRunner := range []func(table *Table) []Report{
-		func(table *Table) []Report { return table.Lapse(testStart+700*ms, true) },
-		func(table *Table) []Report { return table.Lapse(testStart+700*ms, false) },
-		func(table *Table) []Report { return table.Lose(testStart + 700*ms) },
+		func(table *Table) []Report { return table.LeaseExpired(testStart+700*ms, true) },
+		func(table *Table) []Report { return table.LeaseExpired(testStart+700*ms, false) },
+		func(table *Table) []Report { return table.RemoveProcess(testStart + 700*ms) },
 	} {
 		table := newTableWithStartTime()
 		unanswered := mustStart(t, table, testStart, entryA, order("j", 0))
 		running := mustStart(t, table, testStart, entryA, order("j", 1))
 		table.Started(testStart+ms, running.Name)
-		table.Doubtful(testStart+150*ms, unanswered.Name)
+		table.StartUnanswered(testStart+150*ms, unanswered.Name)
 		got := endRunner(table)
 		assert.Equal(t, len(got), 1, "%v", got)
 		assert.Equal(t, got[0].Run, running.Run)
@@ -60,12 +60,12 @@
 func TestRunListedByTheNextProcessContinues(t *testing.T) {
 	table := newTableWithStartTime()
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
-	table.Doubtful(testStart+150*ms, s.Name)
+	table.StartUnanswered(testStart+150*ms, s.Name)
 	got := adopt(table, testStart+900*ms, secondProcess, s.Name)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Running)
 	assert.Equal(t, table.Capacity().Used, need)
-	done := table.Read(testStart+1000*ms, testStart+950*ms, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name, How: work.Done}}})
+	done := table.ApplyListing(testStart+1000*ms, testStart+950*ms, work.Listing{Ends: []work.End{{Seq: 1, Run: s.Name, State: work.Done}}})
 	assert.Equal(t, done[0].State, Done)
 }
 
@@ -74,10 +74,10 @@
 	table := newTableWithStartTime()
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
 	table.Started(testStart+ms, s.Name)
-	assert.Equal(t, len(table.Lapse(testStart+700*ms, true)), 1)
+	assert.Equal(t, len(table.LeaseExpired(testStart+700*ms, true)), 1)
 	assert.Equal(t, len(adopt(table, testStart+900*ms, secondProcess, s.Name)), 0)
 	assert.DeepEqual(t, table.Stops(testStart+900*ms), []Stop{{s.Name}})
-	assert.Assert(t, !table.Open())
+	assert.Assert(t, !table.AcceptsStarts())
 }
 
 // Guards against an unresolved start that is never reported on because its runner does not
@@ -85,10 +85,10 @@
 func TestUnresolvedStartExpiresWithItsCaller(t *testing.T) {
 	table := newTableWithStartTime()
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
-	table.Doubtful(testStart+150*ms, s.Name)
-	table.Lose(testStart + 700*ms)
-	assert.Equal(t, len(table.Expire(testStart+1499*ms)), 0)
-	got := table.Expire(testStart + 1500*ms)
+	table.StartUnanswered(testStart+150*ms, s.Name)
+	table.RemoveProcess(testStart + 700*ms)
+	assert.Equal(t, len(table.ExpireUnresolved(testStart+1499*ms)), 0)
+	got := table.ExpireUnresolved(testStart + 1500*ms)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Stopped)
 	assert.Assert(t, table.Idle())
@@ -98,8 +98,8 @@
 func TestProcessIsOpenOnceItHasReported(t *testing.T) {
 	table := newTableWithStartTime()
 	table.Adopt(testStart, secondProcess)
-	table.Read(testStart, testStart, work.Account{})
-	assert.Assert(t, !table.Open())
-	table.Describe(need, nil, false)
-	assert.Assert(t, table.Open())
+	table.ApplyListing(testStart, testStart, work.Listing{})
+	assert.Assert(t, !table.AcceptsStarts())
+	table.SetCapacity(need, nil, false)
+	assert.Assert(t, table.AcceptsStarts())
 }
--- a/guard/runs/resume.go
+++ b/guard/runs/resume.go
@@ -24,13 +24,13 @@
 		r, found := t.runs[id.Task]
 		switch {
 		case found && r.owner == owner && r.id == id && r.started:
-			reports = append(reports, Report{Owner: owner, Run: id, State: Running, Began: r.startedAt})
+			reports = append(reports, Report{Owner: owner, Run: id, State: Running, StartedAt: r.startedAt})
 		case found && r.owner == owner && r.id == id:
 			// Its start is in flight; the report follows.
 		default:
 			f, kept := t.endedRuns[id]
 			if !kept || f.report.Owner != owner {
-				f.report = Report{Owner: owner, Run: id, State: NotStarted, Refusal: Unknown}
+				f.report = Report{Owner: owner, Run: id, State: NotStarted, Refusal: UnknownRun}
 			}
 			reports = append(reports, f.report)
 		}
--- a/guard/runs/runs.go
+++ b/guard/runs/runs.go
@@ -11,24 +11,24 @@
 
 // Options of a Table. The zero value of a field takes its default.
 type Options struct {
-	// Silence is how long an entry may send nothing before its runs are stopped.
-	Silence time.Duration
-	// EndBound is the time after the last message of an entry by which its runs are over even
+	// EntryTimeout is how long an entry may send nothing before its runs are stopped.
+	EntryTimeout time.Duration
+	// EndTimeout is the time after the last message of an entry by which its runs are over even
 	// if the runner answers no stop: the lease is not extended beyond it.
-	EndBound time.Duration
-	// Hold is the duration by which a lease is extended.
-	Hold time.Duration
-	// Stale is the age above which an order is rejected.
-	Stale time.Duration
+	EndTimeout time.Duration
+	// LeaseExtension is the duration by which a lease is extended.
+	LeaseExtension time.Duration
+	// MaxOrderAge is the age above which an order is rejected.
+	MaxOrderAge time.Duration
 }
 
 // Defaults of Options. A caller whose connection broke submits its job again after 1.3 s (the
 // platform's resend_ms); the runs that the first entry started must be over by then.
 const (
-	DefaultSilence  = 520 * time.Millisecond
-	DefaultEndBound = 1150 * time.Millisecond
-	DefaultHold     = 600 * time.Millisecond
-	DefaultStale    = 350 * time.Millisecond
+	DefaultEntryTimeout   = 520 * time.Millisecond
+	DefaultEndTimeout     = 1150 * time.Millisecond
+	DefaultLeaseExtension = 600 * time.Millisecond
+	DefaultMaxOrderAge    = 350 * time.Millisecond
 )
 
 // endedRetention is how long the final report of a run is kept for an entry that reconnects
@@ -39,7 +39,7 @@
 type run struct {
 	id    work.RunID
 	owner Owner
-	name  work.RunName
+	name  work.RunnerRunID
 	need  work.Amounts
 	spec  string
 	// deadline is the uptime at which the caller stops waiting.
@@ -101,17 +101,17 @@
 
 // New returns an empty table.
 func New(o Options) *Table {
-	if o.Silence == 0 {
-		o.Silence = DefaultSilence
+	if o.EntryTimeout == 0 {
+		o.EntryTimeout = DefaultEntryTimeout
 	}
-	if o.EndBound == 0 {
-		o.EndBound = DefaultEndBound
+	if o.EndTimeout == 0 {
+		o.EndTimeout = DefaultEndTimeout
 	}
-	if o.Hold == 0 {
-		o.Hold = DefaultHold
+	if o.LeaseExtension == 0 {
+		o.LeaseExtension = DefaultLeaseExtension
 	}
-	if o.Stale == 0 {
-		o.Stale = DefaultStale
+	if o.MaxOrderAge == 0 {
+		o.MaxOrderAge = DefaultMaxOrderAge
 	}
 	return &Table{
 		opt:         o,
@@ -122,11 +122,13 @@
 	}
 }
 
-// Leave makes the table reject all starts from now on, because the guard shuts down.
-func (t *Table) Leave() { t.shuttingDown = true }
+// ShutDown makes the table reject all starts from now on, because the guard shuts down.
+func (t *Table) ShutDown() { t.shuttingDown = true }
 
-// Open reports whether starts are accepted.
-func (t *Table) Open() bool { return !t.shuttingDown && t.runner != nil && t.runner.acceptsStarts() }
+// AcceptsStarts reports whether starts are accepted.
+func (t *Table) AcceptsStarts() bool {
+	return !t.shuttingDown && t.runner != nil && t.runner.acceptsStarts()
+}
 
 func (k *processState) acceptsStarts() bool {
 	return k.described && k.checked && !k.draining && len(k.orphans) == 0
@@ -137,12 +139,12 @@
 	if t.runner == nil {
 		return Capacity{}
 	}
-	return Capacity{Process: t.runner.Process, Open: t.Open(), Cleared: t.runner.checked && len(t.runner.orphans) == 0, Used: t.used}
+	return Capacity{Process: t.runner.Process, AcceptsStarts: t.AcceptsStarts(), Reconciled: t.runner.checked && len(t.runner.orphans) == 0, Used: t.used}
 }
 
-// HasFree reports whether another run of the size that was requested last fits.
-func (t *Table) HasFree() bool {
-	return t.Open() && t.lastNeed.Fits(t.runner.Total.Sub(t.used))
+// HasCapacity reports whether another run of the size that was requested last fits.
+func (t *Table) HasCapacity() bool {
+	return t.AcceptsStarts() && t.lastNeed.Fits(t.runner.Total.Sub(t.used))
 }
 
 // Idle reports whether no runs, including orphans, are at the runner.
@@ -156,32 +158,32 @@
 	return len(t.runner.orphans)
 }
 
-// Holds reports whether the table contains runs.
-func (t *Table) Holds() bool { return len(t.runs) > 0 }
+// HasRuns reports whether the table contains runs.
+func (t *Table) HasRuns() bool { return len(t.runs) > 0 }
 
-// Checked reports whether a run listing of the current process has been read.
-func (t *Table) Checked() bool { return t.runner != nil && t.runner.checked }
+// ListingRead reports whether a run listing of the current process has been read.
+func (t *Table) ListingRead() bool { return t.runner != nil && t.runner.checked }
 
-// Seen returns the highest sequence number of an ended run that has been read from the current
+// LastEndSeq returns the highest sequence number of an ended run that has been read from the current
 // process.
-func (t *Table) Seen() int64 {
+func (t *Table) LastEndSeq() int64 {
 	if t.runner == nil {
 		return 0
 	}
 	return t.runner.lastEndSeq
 }
 
-// Alive records that the owner was alive at the given uptime.
-func (t *Table) Alive(o Owner, at time.Duration) {
+// EntryAlive records that the owner was alive at the given uptime.
+func (t *Table) EntryAlive(o Owner, at time.Duration) {
 	if at > t.lastHeard[o] {
 		t.lastHeard[o] = at
 	}
 }
 
-// Ask decides on one ordered run: it returns either a start to send to the runner or a report
+// Admit decides on one ordered run: it returns either a start to send to the runner or a report
 // that rejects the order. sent is the earliest uptime at which the owner can have sent the
 // order.
-func (t *Table) Ask(now, sent time.Duration, owner Owner, o Order) (*Start, *Report) {
+func (t *Table) Admit(now, sent time.Duration, owner Owner, o Order) (*Start, *Report) {
 	if why := t.refuse(now, sent, owner, o); why != NoRefusal {
 		return nil, &Report{Owner: owner, Run: o.Run, State: NotStarted, Refusal: why}
 	}
@@ -194,10 +196,10 @@
 	r := &run{
 		id:        o.Run,
 		owner:     owner,
-		name:      work.RunName{Task: o.Run.Task, Number: n},
+		name:      work.RunnerRunID{Task: o.Run.Task, Number: n},
 		need:      o.Need,
 		spec:      o.Spec,
-		deadline:  sent + o.Life,
+		deadline:  sent + o.TimeLeft,
 		orderedAt: now,
 	}
 	t.lastNumbers[o.Run.Task] = taskNumber{n, now}
@@ -207,11 +209,11 @@
 }
 
 func (t *Table) refuse(now, sent time.Duration, owner Owner, o Order) Refusal {
-	if now-sent > t.opt.Stale || o.Life <= now-sent {
-		return Late
+	if now-sent > t.opt.MaxOrderAge || o.TimeLeft <= now-sent {
+		return StaleOrder
 	}
-	if !t.Open() {
-		return Closed
+	if !t.AcceptsStarts() {
+		return NotAccepting
 	}
 	if other, found := t.runs[o.Run.Task]; found {
 		// The caller has submitted its job again to another entry, so no caller waits for the
@@ -219,24 +221,24 @@
 		if other.owner != owner {
 			t.stop(now, other)
 		}
-		return Closed
+		return NotAccepting
 	}
 	t.lastNeed = o.Need
 	if !o.Need.Fits(t.runner.Total.Sub(t.used)) {
-		return Full
+		return InsufficientCapacity
 	}
 	return NoRefusal
 }
 
 // ValidUntil records the time on the runner's clock up to which a start is valid.
-func (t *Table) ValidUntil(name work.RunName, until time.Duration) {
+func (t *Table) ValidUntil(name work.RunnerRunID, until time.Duration) {
 	if r := t.find(name); r != nil {
 		r.startValidUntil = max(r.startValidUntil, until)
 	}
 }
 
 // Started records that the runner has started the run.
-func (t *Table) Started(now time.Duration, name work.RunName) (Report, bool) {
+func (t *Table) Started(now time.Duration, name work.RunnerRunID) (Report, bool) {
 	r := t.find(name)
 	if r == nil {
 		return Report{}, false
@@ -251,11 +253,11 @@
 // markRunning records that the run is running and returns the report on it.
 func (r *run) markRunning(now time.Duration) Report {
 	r.started, r.startedAt, r.unresolved = true, now, false
-	return Report{Owner: r.owner, Run: r.id, State: Running, Began: now}
+	return Report{Owner: r.owner, Run: r.id, State: Running, StartedAt: now}
 }
 
-// Declined records that the runner has not started the run and will not start it.
-func (t *Table) Declined(now time.Duration, name work.RunName, why Refusal) []Report {
+// StartRejected records that the runner has not started the run and will not start it.
+func (t *Table) StartRejected(now time.Duration, name work.RunnerRunID, why Refusal) []Report {
 	r := t.find(name)
 	if r == nil || r.started {
 		return nil
@@ -263,10 +265,10 @@
 	return t.endWithReason(now, r, NotStarted, why)
 }
 
-// Doubtful records that a start was not answered. The runner may execute it later, so the run
+// StartUnanswered records that a start was not answered. The runner may execute it later, so the run
 // keeps its reserved resources until an acknowledged stop or the end of its lease rules that
 // out.
-func (t *Table) Doubtful(now time.Duration, name work.RunName) {
+func (t *Table) StartUnanswered(now time.Duration, name work.RunnerRunID) {
 	r := t.find(name)
 	if r == nil || r.started {
 		return
@@ -274,8 +276,8 @@
 	t.stop(now, r)
 }
 
-// Barred records that the runner acknowledged a stop at the given uptime.
-func (t *Table) Barred(now time.Duration, name work.RunName) {
+// StopAcknowledged records that the runner acknowledged a stop at the given uptime.
+func (t *Table) StopAcknowledged(now time.Duration, name work.RunnerRunID) {
 	r := t.find(name)
 	if r == nil {
 		return
@@ -286,7 +288,7 @@
 }
 
 // StopFailed records that a stop was not acknowledged; Stops returns it again.
-func (t *Table) StopFailed(name work.RunName) {
+func (t *Table) StopFailed(name work.RunnerRunID) {
 	if r := t.find(name); r != nil {
 		r.stopSent = false
 	}
@@ -308,10 +310,10 @@
 	if f, kept := t.endedRuns[id]; kept && f.report.Owner == owner {
 		return f.report, true
 	}
-	return Report{Owner: owner, Run: id, State: NotStarted, Refusal: Unknown}, true
+	return Report{Owner: owner, Run: id, State: NotStarted, Refusal: UnknownRun}, true
 }
 
-func (t *Table) find(name work.RunName) *run {
+func (t *Table) find(name work.RunnerRunID) *run {
 	r, ok := t.runs[name.Task]
 	if !ok || r.name != name {
 		return nil
@@ -325,20 +327,20 @@
 	}
 }
 
-// Lapse reports the end of all runs to their owners after the lease of an unresponsive runner
+// LeaseExpired reports the end of all runs to their owners after the lease of an unresponsive runner
 // has expired. The runs keep their reserved resources until a run listing of the runner shows
 // that they are over. An unanswered start may have been executed before the runner became
 // unresponsive, so none is reported as not started; one that a process under the same id may
 // still execute is reported on later. processEnded is true if the runner's process has ended; a
 // process that is only unresponsive may continue and has not crashed.
-func (t *Table) Lapse(now time.Duration, processEnded bool) []Report {
+func (t *Table) LeaseExpired(now time.Duration, processEnded bool) []Report {
 	if processEnded && t.runner != nil && !t.runner.draining {
 		return t.reportCrashes(now, t.markUnresolved)
 	}
 	var reports []Report
 	for _, r := range t.runs {
 		if !t.markUnresolved(r) {
-			reports = append(reports, t.report(now, r, Stopped, Unwell)...)
+			reports = append(reports, t.report(now, r, Stopped, RunnerFailed)...)
 		}
 	}
 	return reports
@@ -346,7 +348,7 @@
 
 // end ends a run and releases its resources.
 func (t *Table) end(now time.Duration, r *run, s State) []Report {
-	return t.endWithReason(now, r, s, Unwell)
+	return t.endWithReason(now, r, s, RunnerFailed)
 }
 
 func (t *Table) endWithReason(now time.Duration, r *run, s State, why Refusal) []Report {
@@ -361,7 +363,7 @@
 		return nil
 	}
 	r.endReported = true
-	report := Report{Owner: r.owner, Run: r.id, State: s, Began: r.startedAt, Over: now}
+	report := Report{Owner: r.owner, Run: r.id, State: s, StartedAt: r.startedAt, EndedAt: now}
 	if s == NotStarted {
 		report.Refusal = why
 	}
