--- a/guard/runs/runs_test.go
+++ b/guard/runs/runs_test.go
@@ -24,27 +24,27 @@
 func newTable(n int64) *Table {
 	table := New(Options{})
 	table.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}, Service: "s", Token: 5})
-	table.Describe(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false)
-	table.Read(testStart, testStart, work.Account{})
-	table.Alive(entryA, testStart)
-	table.Alive(entryB, testStart)
+	table.SetCapacity(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false)
+	table.ApplyListing(testStart, testStart, work.Listing{})
+	table.EntryAlive(entryA, testStart)
+	table.EntryAlive(entryB, testStart)
 	return table
 }
 
 func order(job string, index int) Order {
-	return Order{Run: work.RunID{Task: work.TaskID{Job: job, Index: index}, Attempt: 1}, Need: need, Life: 1500 * ms}
+	return Order{Run: work.RunID{Task: work.TaskID{Job: job, Index: index}, Attempt: 1}, Need: need, TimeLeft: 1500 * ms}
 }
 
 func mustStart(t *testing.T, table *Table, at time.Duration, o Owner, x Order) *Start {
 	t.Helper()
-	s, r := table.Ask(at, at, o, x)
+	s, r := table.Admit(at, at, o, x)
 	assert.Assert(t, r == nil, "%v", r)
 	return s
 }
 
 func refusal(t *testing.T, table *Table, now, sent time.Duration, o Owner, x Order) Refusal {
 	t.Helper()
-	_, r := table.Ask(now, sent, o, x)
+	_, r := table.Admit(now, sent, o, x)
 	assert.Assert(t, r != nil)
 	assert.Equal(t, r.State, NotStarted)
 	return r.Refusal
@@ -56,14 +56,14 @@
 func TestResourcesStayReservedUntilRunIsOver(t *testing.T) {
 	table := newTable(1)
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
-	table.Doubtful(testStart+150*ms, s.Name)
-	assert.Equal(t, refusal(t, table, testStart+160*ms, testStart+160*ms, entryA, order("k", 0)), Full)
+	table.StartUnanswered(testStart+150*ms, s.Name)
+	assert.Equal(t, refusal(t, table, testStart+160*ms, testStart+160*ms, entryA, order("k", 0)), InsufficientCapacity)
 	assert.Equal(t, len(table.Stops(testStart+160*ms)), 1)
 	// A listing requested before the stop was acknowledged is not conclusive.
-	table.Barred(testStart+170*ms, s.Name)
-	assert.Equal(t, len(table.Read(testStart+180*ms, testStart+165*ms, work.Account{})), 0)
-	assert.Equal(t, refusal(t, table, testStart+180*ms, testStart+180*ms, entryA, order("k", 0)), Full)
-	got := table.Read(testStart+190*ms, testStart+185*ms, work.Account{})
+	table.StopAcknowledged(testStart+170*ms, s.Name)
+	assert.Equal(t, len(table.ApplyListing(testStart+180*ms, testStart+165*ms, work.Listing{})), 0)
+	assert.Equal(t, refusal(t, table, testStart+180*ms, testStart+180*ms, entryA, order("k", 0)), InsufficientCapacity)
+	got := table.ApplyListing(testStart+190*ms, testStart+185*ms, work.Listing{})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, NotStarted)
 	mustStart(t, table, testStart+200*ms, entryA, order("k", 0))
@@ -76,10 +76,10 @@
 	table := newTable(1)
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
 	table.ValidUntil(s.Name, 600*ms)
-	table.Doubtful(testStart+150*ms, s.Name)
+	table.StartUnanswered(testStart+150*ms, s.Name)
 	table.StopFailed(s.Name)
-	assert.Equal(t, len(table.Read(testStart+500*ms, testStart+499*ms, work.Account{Clock: 550 * ms})), 0)
-	got := table.Read(testStart+800*ms, testStart+799*ms, work.Account{Clock: 700 * ms})
+	assert.Equal(t, len(table.ApplyListing(testStart+500*ms, testStart+499*ms, work.Listing{Clock: 550 * ms})), 0)
+	got := table.ApplyListing(testStart+800*ms, testStart+799*ms, work.Listing{Clock: 700 * ms})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, NotStarted)
 }
@@ -91,25 +91,25 @@
 	table := newTable(2)
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
 	_, _ = table.Started(testStart+ms, s.Name)
-	table.Alive(entryB, testStart+2*time.Second)
-	assert.Equal(t, len(table.Stops(testStart+DefaultSilence-ms)), 0)
-	assert.Equal(t, len(table.Stops(testStart+DefaultSilence)), 1)
+	table.EntryAlive(entryB, testStart+2*time.Second)
+	assert.Equal(t, len(table.Stops(testStart+DefaultEntryTimeout-ms)), 0)
+	assert.Equal(t, len(table.Stops(testStart+DefaultEntryTimeout)), 1)
 	for at := testStart; at < testStart+1300*ms; at += 10 * ms {
-		until := table.HoldUntil(at)
-		assert.Assert(t, until <= testStart+DefaultEndBound, "at %v the lease goes to %v", at-testStart, until-testStart)
+		until := table.LeaseUntil(at)
+		assert.Assert(t, until <= testStart+DefaultEndTimeout, "at %v the lease goes to %v", at-testStart, until-testStart)
 	}
-	table.Barred(testStart+600*ms, s.Name)
-	assert.Assert(t, table.HoldUntil(testStart+600*ms) > testStart+DefaultEndBound, "a run with an acknowledged stop limits the lease no more")
+	table.StopAcknowledged(testStart+600*ms, s.Name)
+	assert.Assert(t, table.LeaseUntil(testStart+600*ms) > testStart+DefaultEndTimeout, "a run with an acknowledged stop limits the lease no more")
 }
 
 // Guards against starting an order that was delayed in the network until after its caller went
 // to another entry.
 func TestLateOrderIsRefused(t *testing.T) {
 	table := newTable(2)
-	assert.Equal(t, refusal(t, table, testStart+DefaultStale+ms, testStart, entryA, order("j", 0)), Late)
+	assert.Equal(t, refusal(t, table, testStart+DefaultMaxOrderAge+ms, testStart, entryA, order("j", 0)), StaleOrder)
 	short := order("j", 0)
-	short.Life = 20 * ms
-	assert.Equal(t, refusal(t, table, testStart+30*ms, testStart, entryA, short), Late)
+	short.TimeLeft = 20 * ms
+	assert.Equal(t, refusal(t, table, testStart+30*ms, testStart, entryA, short), StaleOrder)
 }
 
 // The same job arrives through another entry while one of its runs is running here: the older
@@ -118,9 +118,9 @@
 	table := newTable(4)
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
 	_, _ = table.Started(testStart+ms, s.Name)
-	assert.Equal(t, refusal(t, table, testStart+5*ms, testStart+5*ms, entryB, order("j", 0)), Closed)
+	assert.Equal(t, refusal(t, table, testStart+5*ms, testStart+5*ms, entryB, order("j", 0)), NotAccepting)
 	assert.DeepEqual(t, table.Stops(testStart+6*ms), []Stop{{s.Name}})
-	table.Read(testStart+60*ms, testStart+50*ms, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name, How: work.Broken}}})
+	table.ApplyListing(testStart+60*ms, testStart+50*ms, work.Listing{Ends: []work.End{{Seq: 1, Run: s.Name, State: work.Interrupted}}})
 	again := mustStart(t, table, testStart+70*ms, entryB, order("j", 0))
 	assert.Assert(t, again.Name.Number > s.Name.Number, "a runner rejects the number of a run that has ended there")
 }
@@ -130,15 +130,15 @@
 func TestOrphansKeepTheRunnerClosed(t *testing.T) {
 	table := New(Options{})
 	table.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}})
-	table.Describe(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
-	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), Closed)
-	orphan := work.RunName{Task: work.TaskID{Job: "old"}, Number: 1}
-	table.Read(testStart, testStart, work.Account{Running: []work.RunName{orphan}})
-	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), Closed)
-	assert.Assert(t, !table.Capacity().Cleared)
+	table.SetCapacity(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
+	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), NotAccepting)
+	orphan := work.RunnerRunID{Task: work.TaskID{Job: "old"}, Number: 1}
+	table.ApplyListing(testStart, testStart, work.Listing{Running: []work.RunnerRunID{orphan}})
+	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), NotAccepting)
+	assert.Assert(t, !table.Capacity().Reconciled)
 	assert.DeepEqual(t, table.Stops(testStart), []Stop{{orphan}})
-	table.Read(testStart+50*ms, testStart+40*ms, work.Account{Ends: []work.End{{Seq: 1, Run: orphan, How: work.Broken}}})
-	assert.Assert(t, table.Capacity().Cleared)
+	table.ApplyListing(testStart+50*ms, testStart+40*ms, work.Listing{Ends: []work.End{{Seq: 1, Run: orphan, State: work.Interrupted}}})
+	assert.Assert(t, table.Capacity().Reconciled)
 	mustStart(t, table, testStart+60*ms, entryA, order("j", 0))
 }
 
@@ -147,14 +147,14 @@
 func TestLeaseOfOrphansIsNotExtended(t *testing.T) {
 	table := New(Options{})
 	table.Adopt(testStart, Process{Incarnation: work.Incarnation{ID: "i1"}})
-	table.Describe(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
-	orphan := work.RunName{Task: work.TaskID{Job: "old"}, Number: 1}
-	table.Read(testStart, testStart, work.Account{Running: []work.RunName{orphan}})
+	table.SetCapacity(work.Amounts{CPUMilli: 4000, MemoryMB: 256}, nil, false)
+	orphan := work.RunnerRunID{Task: work.TaskID{Job: "old"}, Number: 1}
+	table.ApplyListing(testStart, testStart, work.Listing{Running: []work.RunnerRunID{orphan}})
 	for n := range 20 {
 		at := testStart + time.Duration(n)*30*ms
 		assert.DeepEqual(t, table.Stops(at), []Stop{{orphan}})
 		table.StopFailed(orphan)
-		assert.Assert(t, table.HoldUntil(at) <= at)
+		assert.Assert(t, table.LeaseUntil(at) <= at)
 	}
 }
 
@@ -168,9 +168,9 @@
 		s := mustStart(t, table, testStart, entryA, o)
 		_, _ = table.Started(testStart+ms, s.Name)
 	}
-	table.Read(testStart+50*ms, testStart+40*ms, work.Account{
-		Running: []work.RunName{{Task: open.Run.Task, Number: 1}, {Task: forgotten.Run.Task, Number: 1}},
-		Ends:    []work.End{{Seq: 1, Run: work.RunName{Task: ended.Run.Task, Number: 1}, How: work.Done}},
+	table.ApplyListing(testStart+50*ms, testStart+40*ms, work.Listing{
+		Running: []work.RunnerRunID{{Task: open.Run.Task, Number: 1}, {Task: forgotten.Run.Task, Number: 1}},
+		Ends:    []work.End{{Seq: 1, Run: work.RunnerRunID{Task: ended.Run.Task, Number: 1}, State: work.Done}},
 	})
 	lost := order("j", 3)
 	got := table.Resume(testStart+60*ms, entryA, []work.RunID{open.Run, ended.Run, lost.Run})
@@ -192,14 +192,14 @@
 	table := newTable(1)
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
 	_, _ = table.Started(testStart+ms, s.Name)
-	got := table.Lapse(testStart+time.Second, false)
+	got := table.LeaseExpired(testStart+time.Second, false)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Stopped)
-	assert.Equal(t, len(table.Lapse(testStart+time.Second, false)), 0, "reported once")
+	assert.Equal(t, len(table.LeaseExpired(testStart+time.Second, false)), 0, "reported once")
 	assert.Equal(t, len(table.Stops(testStart+2*time.Second)), 0, "a lapsed run needs no stop")
-	table.Alive(entryA, testStart+time.Second)
-	assert.Equal(t, refusal(t, table, testStart+time.Second, testStart+time.Second, entryA, order("k", 0)), Full)
-	assert.Equal(t, len(table.Read(testStart+2*time.Second, testStart+2*time.Second, work.Account{Ends: []work.End{{Seq: 1, Run: s.Name}}})), 0)
+	table.EntryAlive(entryA, testStart+time.Second)
+	assert.Equal(t, refusal(t, table, testStart+time.Second, testStart+time.Second, entryA, order("k", 0)), InsufficientCapacity)
+	assert.Equal(t, len(table.ApplyListing(testStart+2*time.Second, testStart+2*time.Second, work.Listing{Ends: []work.End{{Seq: 1, Run: s.Name}}})), 0)
 }
 
 // Guards against a caller being told "not run" about a task that started: a runner starts a
@@ -208,8 +208,8 @@
 func TestUnansweredStartIsStoppedWhenLeaseExpires(t *testing.T) {
 	table := newTable(1)
 	s := mustStart(t, table, testStart, entryA, order("j", 0))
-	table.Doubtful(testStart+150*ms, s.Name)
-	got := table.Lapse(testStart+time.Second, false)
+	table.StartUnanswered(testStart+150*ms, s.Name)
+	got := table.LeaseExpired(testStart+time.Second, false)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, Stopped)
 }
@@ -218,12 +218,12 @@
 // guard that shuts down accepts none.
 func TestDrainingStays(t *testing.T) {
 	table := newTable(1)
-	table.Describe(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, true)
-	table.Describe(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, false)
-	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), Closed)
+	table.SetCapacity(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, true)
+	table.SetCapacity(work.Amounts{CPUMilli: 1000, MemoryMB: 64}, nil, false)
+	assert.Equal(t, refusal(t, table, testStart, testStart, entryA, order("j", 0)), NotAccepting)
 	c := newTable(1)
-	c.Leave()
-	assert.Equal(t, refusal(t, c, testStart, testStart, entryA, order("j", 0)), Closed)
+	c.ShutDown()
+	assert.Equal(t, refusal(t, c, testStart, testStart, entryA, order("j", 0)), NotAccepting)
 }
 
 // Guards against a task running twice. Two polls are in flight and wait at the runner. The
@@ -233,12 +233,12 @@
 func TestListingOfAnEarlierMomentEndsNoRun(t *testing.T) {
 	table := newTable(1)
 	s := mustStart(t, table, testStart+10*ms, entryA, order("j", 0))
-	reports := table.Read(testStart+30*ms, testStart+5*ms, work.Account{Running: []work.RunName{s.Name}})
+	reports := table.ApplyListing(testStart+30*ms, testStart+5*ms, work.Listing{Running: []work.RunnerRunID{s.Name}})
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].State, Running)
-	assert.Equal(t, reports[0].Began, testStart+10*ms, "not before its order: the entry derives run times from it")
-	assert.Equal(t, len(table.Read(testStart+31*ms, testStart+15*ms, work.Account{})), 0)
-	over := table.Read(testStart+50*ms, testStart+32*ms, work.Account{})
+	assert.Equal(t, reports[0].StartedAt, testStart+10*ms, "not before its order: the entry derives run times from it")
+	assert.Equal(t, len(table.ApplyListing(testStart+31*ms, testStart+15*ms, work.Listing{})), 0)
+	over := table.ApplyListing(testStart+50*ms, testStart+32*ms, work.Listing{})
 	assert.Equal(t, len(over), 1, "a listing requested after the run was seen is conclusive")
 	assert.Equal(t, over[0].State, Stopped)
 }
@@ -253,18 +253,18 @@
 	for i := range 3 {
 		started = append(started, mustStart(t, table, testStart, entryA, order("j", i)))
 	}
-	shrink := func(n int64) { table.Describe(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false) }
+	shrink := func(n int64) { table.SetCapacity(work.Amounts{CPUMilli: 1000 * n, MemoryMB: 64 * n}, nil, false) }
 	shrink(2)
-	assert.Assert(t, !table.HasFree())
-	assert.Equal(t, refusal(t, table, testStart+ms, testStart, entryB, order("k", 0)), Full)
+	assert.Assert(t, !table.HasCapacity())
+	assert.Equal(t, refusal(t, table, testStart+ms, testStart, entryB, order("k", 0)), InsufficientCapacity)
 	shrink(0)
-	assert.Equal(t, refusal(t, table, testStart+2*ms, testStart, entryB, order("k", 0)), Full)
+	assert.Equal(t, refusal(t, table, testStart+2*ms, testStart, entryB, order("k", 0)), InsufficientCapacity)
 	shrink(2)
-	name := func(s *Start) work.RunName { return s.Name }
-	table.Read(testStart+10*ms, testStart+9*ms, work.Account{Running: []work.RunName{name(started[1]), name(started[2])}, Ends: []work.End{{Seq: 1, Run: name(started[0]), How: work.Done}}})
-	assert.Equal(t, refusal(t, table, testStart+11*ms, testStart+10*ms, entryB, order("k", 0)), Full)
+	name := func(s *Start) work.RunnerRunID { return s.Name }
+	table.ApplyListing(testStart+10*ms, testStart+9*ms, work.Listing{Running: []work.RunnerRunID{name(started[1]), name(started[2])}, Ends: []work.End{{Seq: 1, Run: name(started[0]), State: work.Done}}})
+	assert.Equal(t, refusal(t, table, testStart+11*ms, testStart+10*ms, entryB, order("k", 0)), InsufficientCapacity)
 	table.Cancel(testStart+12*ms, entryA, order("j", 1).Run)
-	assert.Equal(t, refusal(t, table, testStart+13*ms, testStart+12*ms, entryB, order("k", 0)), Full, "a run being stopped still counts")
-	table.Read(testStart+70*ms, testStart+69*ms, work.Account{Running: []work.RunName{name(started[2])}, Ends: []work.End{{Seq: 2, Run: name(started[1]), How: work.Broken}}})
+	assert.Equal(t, refusal(t, table, testStart+13*ms, testStart+12*ms, entryB, order("k", 0)), InsufficientCapacity, "a run being stopped still counts")
+	table.ApplyListing(testStart+70*ms, testStart+69*ms, work.Listing{Running: []work.RunnerRunID{name(started[2])}, Ends: []work.End{{Seq: 2, Run: name(started[1]), State: work.Interrupted}}})
 	mustStart(t, table, testStart+71*ms, entryB, order("k", 0))
 }
--- a/guard/runs/sweep.go
+++ b/guard/runs/sweep.go
@@ -11,10 +11,10 @@
 // and the clock's granularity of a millisecond.
 const clockMargin = 50 * time.Millisecond
 
-// Read applies a run listing of the runner that was requested at the uptime asked, and returns
+// ApplyListing applies a run listing of the runner that was requested at the uptime asked, and returns
 // reports on the runs whose state changed. Listings must be read one at a time in the order of
 // their requests; the moments at which the runner took them may be in another order.
-func (t *Table) Read(now, asked time.Duration, v work.Account) []Report {
+func (t *Table) ApplyListing(now, asked time.Duration, v work.Listing) []Report {
 	if t.runner == nil {
 		return nil
 	}
@@ -23,10 +23,10 @@
 		t.runner.lastEndSeq = max(t.runner.lastEndSeq, e.Seq)
 		delete(t.runner.orphans, e.Run)
 		if r := t.find(e.Run); r != nil {
-			reports = append(reports, t.end(now, r, stateOf(e.How))...)
+			reports = append(reports, t.end(now, r, stateOf(e.State))...)
 		}
 	}
-	present := make(map[work.RunName]bool, len(v.Running))
+	present := make(map[work.RunnerRunID]bool, len(v.Running))
 	for _, n := range v.Running {
 		present[n] = true
 		if report, changed := t.markPresent(now, asked, n); changed {
@@ -55,7 +55,7 @@
 	return reports
 }
 
-func stateOf(h work.How) State {
+func stateOf(h work.EndState) State {
 	switch h {
 	case work.Done:
 		return Done
@@ -67,7 +67,7 @@
 }
 
 // markPresent records that the runner lists a run.
-func (t *Table) markPresent(now, asked time.Duration, n work.RunName) (Report, bool) {
+func (t *Table) markPresent(now, asked time.Duration, n work.RunnerRunID) (Report, bool) {
 	r := t.find(n)
 	if r == nil {
 		// A previous guard process started it, and its table is lost. How many resources the
@@ -131,13 +131,13 @@
 // stopTime returns the uptime at which a run is to be stopped: when its caller stops waiting,
 // or when its entry has been silent for too long.
 func (t *Table) stopTime(r *run) time.Duration {
-	return min(r.deadline, t.lastHeard[r.owner]+t.opt.Silence)
+	return min(r.deadline, t.lastHeard[r.owner]+t.opt.EntryTimeout)
 }
 
 // endDeadline returns the uptime by which a run must be over, whether or not its stop is
 // acknowledged.
 func (t *Table) endDeadline(r *run) time.Duration {
-	grace := t.opt.EndBound - t.opt.Silence
+	grace := t.opt.EndTimeout - t.opt.EntryTimeout
 	bound := t.stopTime(r) + grace
 	if r.stoppingSince > 0 {
 		bound = min(bound, r.stoppingSince+grace)
@@ -145,15 +145,15 @@
 	return bound
 }
 
-// HoldUntil returns the uptime to which the runner's lease may be extended now. The lease
+// LeaseUntil returns the uptime to which the runner's lease may be extended now. The lease
 // covers the whole runner: while the stop of a run is due and not acknowledged, the lease
 // expires for all runs at that run's end deadline. If only orphans run, the lease is left to
 // expire, which ends them even if their stops go unanswered.
-func (t *Table) HoldUntil(now time.Duration) time.Duration {
+func (t *Table) LeaseUntil(now time.Duration) time.Duration {
 	if len(t.runs) == 0 && t.orphans() > 0 {
 		return now
 	}
-	until := now + t.opt.Hold
+	until := now + t.opt.LeaseExtension
 	for _, r := range t.runs {
 		if !r.stopAcked {
 			until = min(until, t.endDeadline(r))
@@ -162,9 +162,9 @@
 	return until
 }
 
-// Next returns the earliest uptime at which another run is to be stopped, or the largest value
+// NextStop returns the earliest uptime at which another run is to be stopped, or the largest value
 // if there is none.
-func (t *Table) Next() time.Duration {
+func (t *Table) NextStop() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, r := range t.runs {
 		if r.stoppingSince == 0 {
@@ -174,8 +174,8 @@
 	return next
 }
 
-// Forget removes records past their retention time.
-func (t *Table) Forget(now time.Duration) {
+// Prune removes records past their retention time.
+func (t *Table) Prune(now time.Duration) {
 	n := 0
 	for _, id := range t.endedOrder {
 		if f, ok := t.endedRuns[id]; ok && now-f.at < endedRetention {
@@ -206,9 +206,9 @@
 	return false
 }
 
-// Old raises the number that the task's next run uses, after the runner rejected a start
+// SkipRunNumbers raises the number that the task's next run uses, after the runner rejected a start
 // because it knew a higher one.
-func (t *Table) Old(now time.Duration, task work.TaskID) {
+func (t *Table) SkipRunNumbers(now time.Duration, task work.TaskID) {
 	n := t.lastNumbers[task]
 	t.lastNumbers[task] = taskNumber{n.number + runNumberSkip, now}
 }
--- a/guard/runs/types.go
+++ b/guard/runs/types.go
@@ -34,16 +34,16 @@
 // Refusals.
 const (
 	NoRefusal Refusal = iota
-	// Full means that the runner's free capacity does not suffice.
-	Full
-	// Late means that the order was in transit for too long, or its caller no longer waits.
-	Late
-	// Closed means that no starts are accepted.
-	Closed
-	// Unwell means that the runner rejected the start or did not answer.
-	Unwell
-	// Unknown means that there is no such run.
-	Unknown
+	// InsufficientCapacity means that the runner's free capacity does not suffice.
+	InsufficientCapacity
+	// StaleOrder means that the order was in transit for too long, or its caller no longer waits.
+	StaleOrder
+	// NotAccepting means that no starts are accepted.
+	NotAccepting
+	// RunnerFailed means that the runner rejected the start or did not answer.
+	RunnerFailed
+	// UnknownRun means that there is no such run.
+	UnknownRun
 )
 
 // Report tells an owner the state of a run.
@@ -52,25 +52,25 @@
 	Run     work.RunID
 	State   State
 	Refusal Refusal
-	// Began is the uptime at which the run was known to have started; zero if it is not known
+	// StartedAt is the uptime at which the run was known to have started; zero if it is not known
 	// to have started.
-	Began time.Duration
-	// Over is the uptime at which it was known to be over; zero while it runs.
-	Over time.Duration
+	StartedAt time.Duration
+	// EndedAt is the uptime at which it was known to be over; zero while it runs.
+	EndedAt time.Duration
 	// Crash is set with the state Crashed.
 	Crash *Crash
 }
 
-// Ran returns how long the run has lasted at the uptime now, zero if it is not known to have
+// RunTime returns how long the run has lasted at the uptime now, zero if it is not known to have
 // started.
-func (r Report) Ran(now time.Duration) time.Duration {
+func (r Report) RunTime(now time.Duration) time.Duration {
 	switch {
-	case r.Began == 0:
+	case r.StartedAt == 0:
 		return 0
-	case r.Over > 0:
-		return r.Over - r.Began
+	case r.EndedAt > 0:
+		return r.EndedAt - r.StartedAt
 	default:
-		return now - r.Began
+		return now - r.StartedAt
 	}
 }
 
@@ -79,8 +79,8 @@
 	Run  work.RunID
 	Spec string
 	Need work.Amounts
-	// Life is the time left until the job's caller stops waiting.
-	Life time.Duration
+	// TimeLeft is the time left until the job's caller stops waiting.
+	TimeLeft time.Duration
 }
 
 // Process identifies and describes one process of the runner.
@@ -98,38 +98,38 @@
 // Capacity is the runner's capacity and its usage.
 type Capacity struct {
 	Process
-	// Open is true while starts are accepted.
-	Open bool
-	// Cleared is true once nothing that a previous guard process ordered runs or can still
+	// AcceptsStarts is true while starts are accepted.
+	AcceptsStarts bool
+	// Reconciled is true once nothing that a previous guard process ordered runs or can still
 	// start.
-	Cleared bool
-	Used    work.Amounts
+	Reconciled bool
+	Used       work.Amounts
 }
 
 // Start is a start to be sent to the runner.
 type Start struct {
 	Run  work.RunID
-	Name work.RunName
+	Name work.RunnerRunID
 	Spec string
 }
 
 // Stop is a stop to be sent to the runner.
 type Stop struct {
-	Name work.RunName
+	Name work.RunnerRunID
 }
 
 // String names the refusal for logs and metrics.
 func (r Refusal) String() string {
 	switch r {
-	case Full:
+	case InsufficientCapacity:
 		return "full"
-	case Late:
+	case StaleOrder:
 		return "stale"
-	case Closed:
+	case NotAccepting:
 		return "closed"
-	case Unwell:
+	case RunnerFailed:
 		return "unwell"
-	case Unknown:
+	case UnknownRun:
 		return "unknown"
 	default:
 		return "none"
--- a/guard/server/handler.go
+++ b/guard/server/handler.go
@@ -36,7 +36,7 @@
 // Handler returns the HTTP handler of GuardService.
 func (s *Server) Handler() http.Handler {
 	path, service := wirev1connect.NewGuardServiceHandler(s,
-		connect.WithReadMaxBytes(int(s.opts.MaxPayload)+messageOverhead),
+		connect.WithReadMaxBytes(int(s.opts.MaxPayloadBytes)+messageOverhead),
 		// Connect compresses every response by default, which costs CPU time
 		// without any benefit on a local network.
 		connect.WithCompression(gzip, nil, nil),
@@ -69,8 +69,8 @@
 // a request over the limit before the ledger sees it: the caller resolves the
 // start like any other that got no reply.
 func (s *Server) limitRequestBytes(next http.Handler) http.Handler {
-	available := semaphore.NewWeighted(s.opts.MaxRequests)
-	maxSize := s.opts.MaxPayload + messageOverhead
+	available := semaphore.NewWeighted(s.opts.MaxRequestBytes)
+	maxSize := s.opts.MaxPayloadBytes + messageOverhead
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size := maxSize
 		if r.ContentLength >= 0 {
--- a/guard/server/job.go
+++ b/guard/server/job.go
@@ -37,7 +37,7 @@
 	}
 	return &ticket{
 		Owner:     m.GetSession(),
-		Urgency:   m.GetUrgency(),
+		Priority:  m.GetUrgency(),
 		TasksLeft: m.GetTasksLeft(),
 		Value: &job{
 			spec:     m.GetTask(),
@@ -64,16 +64,16 @@
 	j.budgetTimer.Store(time.AfterFunc(j.deadline.Sub(j.arrived), func() {
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_BUDGET_SPENT)
 	}))
-	switch s.table.Offer(k) {
+	switch s.table.Enqueue(k) {
 	case slots.Granted:
 		go s.runSlot(k)
 	case slots.Queued:
 		s.removeIfEnded(k)
 	case slots.Full:
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_QUEUE_FULL)
-	case slots.Leaving:
+	case slots.Draining:
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
-	case slots.Absent:
+	case slots.NoRunner:
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
 	}
 }
@@ -98,7 +98,7 @@
 // refuse ends a job that has not started to run. It has no effect on a job that
 // has.
 func (s *Server) refuse(k *ticket, reason wirev1.RefusalReason) {
-	if s.opts.Ledger.Refuse(k.Value.task, reason) {
+	if s.opts.Ledger.Reject(k.Value.task, reason) {
 		s.metrics.countRefusal(reason)
 	}
 	s.removeIfEnded(k)
@@ -171,7 +171,7 @@
 	return runner.Request{
 		Task:     j.spec.GetSubmission() + "/" + strconv.FormatUint(uint64(j.spec.GetIndex()), 10),
 		Kind:     j.spec.GetKind(),
-		Customer: j.spec.GetCustomer(),
+		Client:   j.spec.GetCustomer(),
 		Payload:  j.spec.GetPayload(),
 		Digest:   j.spec.GetDigest(),
 		RunLimit: j.runLimit,
@@ -181,12 +181,12 @@
 // recordEnd records the outcome of a call in the ledger.
 func (s *Server) recordEnd(j *job, r *registration.Runner, out runner.Outcome, wait time.Duration) {
 	switch out.Verdict {
-	case runner.Refused, runner.Busy:
+	case runner.Rejected, runner.NoConnection:
 		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_REFUSED)
-	case runner.Absent:
+	case runner.Unreachable:
 		s.runnerUnreachable(r, out.Message)
 		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_RUNNER_ABSENT)
-	case runner.Withdrawn:
+	case runner.CancelledBeforeSend:
 		s.reportNotStarted(j, wirev1.RefusalReason_REFUSAL_REASON_CANCELLED)
 	default:
 		s.metrics.countEnd(out.Verdict)
@@ -195,7 +195,7 @@
 }
 
 func (s *Server) reportNotStarted(j *job, reason wirev1.RefusalReason) {
-	if s.opts.Ledger.Disown(j.task, reason) {
+	if s.opts.Ledger.MarkNotStarted(j.task, reason) {
 		s.metrics.countRefusal(reason)
 	}
 }
--- a/guard/server/metrics.go
+++ b/guard/server/metrics.go
@@ -27,12 +27,12 @@
 }
 
 var verdictNames = map[runner.Verdict]string{
-	runner.Completed: "completed",
-	runner.Failed:    "failed",
-	runner.Truncated: "truncated",
-	runner.RunLimit:  "run_limit",
-	runner.Cancelled: "cancelled",
-	runner.Lost:      "runner_lost",
+	runner.Completed:      "completed",
+	runner.Failed:         "failed",
+	runner.Truncated:      "truncated",
+	runner.RunLimit:       "run_limit",
+	runner.Cancelled:      "cancelled",
+	runner.ConnectionLost: "runner_lost",
 }
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -68,8 +68,8 @@
 
 func (m *metrics) countEnd(v runner.Verdict) { m.ends[v].Inc(1) }
 
-// Observe updates the gauges.
-func (s *Server) Observe() {
+// UpdateGauges updates the gauges.
+func (s *Server) UpdateGauges() {
 	load := s.table.Load("")
 	s.metrics.running.Update(float64(load.Running))
 	s.metrics.waiting.Update(float64(load.Waiting))
@@ -77,6 +77,6 @@
 	stats := s.opts.Ledger.Stats()
 	s.metrics.sessions.Update(float64(stats.Sessions))
 	s.metrics.records.Update(float64(stats.Records))
-	s.metrics.unackedResults.Update(float64(stats.Unsettled))
+	s.metrics.unackedResults.Update(float64(stats.UnacknowledgedResults))
 	s.metrics.unackedBytes.Update(float64(stats.ResultBytes))
 }
--- a/guard/server/outcomes.go
+++ b/guard/server/outcomes.go
@@ -60,7 +60,7 @@
 		// A call that began before a failure says nothing about a runner that
 		// broke afterwards, even if the call succeeds.
 		o.failures = slices.DeleteFunc(o.failures, func(old callRecord) bool { return old.call < f.call })
-	case runner.Failed, runner.Truncated, runner.Lost:
+	case runner.Failed, runner.Truncated, runner.ConnectionLost:
 		o.failed++
 		o.addFailure(f)
 	}
--- a/guard/server/outcomes_test.go
+++ b/guard/server/outcomes_test.go
@@ -15,7 +15,7 @@
 	var o callStats
 	old := callRecord{submission: "c", client: "x", call: o.begin()}
 	o.end(callRecord{submission: "a", client: "x", call: o.begin()}, runner.Failed)
-	o.end(callRecord{submission: "b", client: "y", call: o.begin()}, runner.Lost)
+	o.end(callRecord{submission: "b", client: "y", call: o.begin()}, runner.ConnectionLost)
 	o.end(old, runner.Completed)
 	assert.Equal(t, o.snapshot(), callSnapshot{completed: 1, failed: 2, consecutiveFailures: 2})
 	o.end(callRecord{submission: "d", client: "x", call: o.begin()}, runner.Completed)
--- a/guard/server/server.go
+++ b/guard/server/server.go
@@ -29,37 +29,37 @@
 // unacknowledged results.
 const drainPollInterval = 5 * time.Millisecond
 
-// Runners provides the runner that is currently registered.
-type Runners interface {
+// RunnerSource provides the runner that is currently registered.
+type RunnerSource interface {
 	// Current returns the registered runner, or nil if there is none.
 	Current(now time.Time) *registration.Runner
-	// Lost records that nothing listens at the runner's address.
-	Lost(*registration.Runner)
+	// MarkUnreachable records that nothing listens at the runner's address.
+	MarkUnreachable(*registration.Runner)
 }
 
 // Options configure a Server.
 type Options struct {
 	GuardID     string
 	Incarnation uint64
-	Zone        string
+	DataCentre  string
 	// Lease is the duration of a session's lease; entries receive it with Hello.
 	Lease  time.Duration
 	Ledger *ledger.Ledger
 	// QueueLen is the maximum number of tasks that wait for a slot.
 	QueueLen int
-	Runners  Runners
+	Runners  RunnerSource
 	// MaxRunLimit caps the run limit of every task.
 	MaxRunLimit time.Duration
-	// MaxPayload is the maximum payload of one task, MaxRequests the maximum
+	// MaxPayloadBytes is the maximum payload of one task, MaxRequestBytes the maximum
 	// total size of the requests in progress; both are in bytes.
-	MaxPayload  int64
-	MaxRequests int64
+	MaxPayloadBytes int64
+	MaxRequestBytes int64
 	// Secret, if set, must be presented by every caller.
 	Secret  string
 	Now     func() time.Time
 	Logger  *slog.Logger
 	Scope   tally.Scope
-	Control *telemetry.Control
+	Control *telemetry.ControlTraffic
 }
 
 // Server implements GuardService.
@@ -100,8 +100,8 @@
 	}
 }
 
-// Leave refuses all further starts and the queued ones. Running tasks continue.
-func (s *Server) Leave() {
+// StopAccepting refuses all further starts and the queued ones. Running tasks continue.
+func (s *Server) StopAccepting() {
 	for _, k := range s.table.Close() {
 		s.refuse(k, wirev1.RefusalReason_REFUSAL_REASON_LEAVING)
 	}
@@ -121,7 +121,7 @@
 	}
 	lingerCtx, cancel := context.WithTimeout(ctx, linger)
 	defer cancel()
-	acknowledged := func() bool { return s.opts.Ledger.Stats().Unsettled == 0 }
+	acknowledged := func() bool { return s.opts.Ledger.Stats().UnacknowledgedResults == 0 }
 	// Reaching the end of the linger time is not an error: an entry may never
 	// come back.
 	_ = pollUntil(lingerCtx, acknowledged)
@@ -151,8 +151,8 @@
 		Slots:         uint32(l.Slots),
 		OthersOpen:    uint32(l.Others),
 		OwnOpen:       uint32(l.Own),
-		Leaving:       l.Leaving,
-		RunnerPresent: l.Present,
+		Leaving:       l.Draining,
+		RunnerPresent: l.RunnerPresent,
 		Completed:     calls.completed,
 		Failed:        calls.failed,
 		FailedInRow:   uint32(calls.consecutiveFailures),
@@ -175,7 +175,7 @@
 		GuardId:          s.opts.GuardID,
 		GuardIncarnation: s.opts.Incarnation,
 		Service:          s.service(now),
-		Zone:             s.opts.Zone,
+		Zone:             s.opts.DataCentre,
 		LeaseMs:          uint32(s.opts.Lease.Milliseconds()),
 		Load:             s.Load(id),
 	}), nil
@@ -318,7 +318,7 @@
 }
 
 func (s *Server) runnerUnreachable(r *registration.Runner, cause string) {
-	s.opts.Runners.Lost(r)
+	s.opts.Runners.MarkUnreachable(r)
 	eventRunnerUnreachable.Log(context.Background(), s.opts.Logger,
 		slog.String("address", r.Address.String()), slog.String("cause", cause))
 }
--- a/guard/server/server_test.go
+++ b/guard/server/server_test.go
@@ -135,18 +135,18 @@
 	h := &harness{t: t, runner: newFakeRunner(t)}
 	var sessionsCreated atomic.Int32
 	opts := server.Options{
-		GuardID:     "g1",
-		Incarnation: incarnation,
-		Zone:        "zagreb",
-		Lease:       lease,
-		QueueLen:    queueLen,
-		MaxRunLimit: time.Minute,
-		MaxPayload:  maxPayload,
-		MaxRequests: 1 << 22,
-		Now:         h.now,
-		Logger:      slog.New(slog.DiscardHandler),
-		Scope:       tally.NoopScope,
-		Control:     telemetry.NewControl(tally.NoopScope),
+		GuardID:         "g1",
+		Incarnation:     incarnation,
+		DataCentre:      "zagreb",
+		Lease:           lease,
+		QueueLen:        queueLen,
+		MaxRunLimit:     time.Minute,
+		MaxPayloadBytes: maxPayload,
+		MaxRequestBytes: 1 << 22,
+		Now:             h.now,
+		Logger:          slog.New(slog.DiscardHandler),
+		Scope:           tally.NoopScope,
+		Control:         telemetry.NewControlTraffic(tally.NoopScope),
 		Ledger: ledger.New(ledger.Options{
 			Incarnation: incarnation, Lease: lease, MaxSessions: 100, MaxEntrySessions: 100,
 			MaxRecords: 10000, MaxSessionRecords: 1000, MaxResultBytes: 1 << 20,
@@ -154,9 +154,9 @@
 		}),
 	}
 	h.registry = registration.New(registration.Options{
-		Zone: "zagreb",
+		DataCentre: "zagreb",
 		NewClient: func(address string, connections int) *runner.Client {
-			return runner.New(runner.Options{Address: address, Connections: connections, MaxAnswer: maxPayload, CancelGrace: time.Minute})
+			return runner.New(runner.Options{Address: address, Connections: connections, MaxResponse: maxPayload, CancelGrace: time.Minute})
 		},
 		OnChange: func(r *registration.Runner) { h.server.SetRunner(r.State()) },
 	})
@@ -489,10 +489,10 @@
 	entered, release chan struct{}
 }
 
-func (r *blockingRegistry) Lost(gone *registration.Runner) {
+func (r *blockingRegistry) MarkUnreachable(gone *registration.Runner) {
 	close(r.entered)
 	<-r.release
-	r.Registry.Lost(gone)
+	r.Registry.MarkUnreachable(gone)
 }
 
 // The last task has released its slot, but its end is not yet recorded in the
@@ -567,7 +567,7 @@
 // Payloads over the limit, and requests over the memory limit, must be rejected
 // before they reach the ledger; the entry then resolves them as never started.
 func TestRequestsAreBounded(t *testing.T) {
-	h := newHarness(t, 1, func(o *server.Options) { o.MaxRequests = 150_000 })
+	h := newHarness(t, 1, func(o *server.Options) { o.MaxRequestBytes = 150_000 })
 	session := h.hello("e1", 1)
 	big := request(session, 1, "big", echo)
 	big.Task.Payload = make([]byte, 3*maxPayload)
--- a/guard/side/settings.go
+++ b/guard/side/settings.go
@@ -18,9 +18,9 @@
 type Settings struct {
 	// ID identifies the guard and is unique among guards.
 	ID string `json:"id" validate:"required,max=128"`
-	// Zone is the data centre of this host.
-	Zone   string `json:"zone" validate:"required,max=128"`
-	Listen Listen `json:"listen"`
+	// DataCentre is the data centre of this host.
+	DataCentre string `json:"zone" validate:"required,max=128"`
+	Listen     Listen `json:"listen"`
 	// Seeds are the addresses of hosts that run entries; only their IPs are used.
 	// They may be out of date.
 	Seeds []settings.Address `json:"seeds" validate:"max=64"`
@@ -44,13 +44,13 @@
 
 // Bounds holds the time bounds set by the platform.
 type Bounds struct {
-	// Resend is the time after which a caller whose connection broke submits its
+	// ResubmitDelay is the time after which a caller whose connection broke submits its
 	// job again; by then the runs of the job must have ended.
-	Resend settings.Duration `json:"resend"`
+	ResubmitDelay settings.Duration `json:"resend"`
 	// MaxLease is the longest lease that a runner grants.
 	MaxLease settings.Duration `json:"max_lease"`
-	// Grace is the platform's grace period: the time between SIGTERM and SIGKILL.
-	Grace settings.Duration `json:"grace"`
+	// GracePeriod is the platform's grace period: the time between SIGTERM and SIGKILL.
+	GracePeriod settings.Duration `json:"grace"`
 }
 
 // Log configures logging.
@@ -62,9 +62,9 @@
 func Default() File {
 	return File{Capacity: Settings{
 		Bounds: Bounds{
-			Resend:   settings.Duration(1300 * time.Millisecond),
-			MaxLease: settings.Duration(time.Second),
-			Grace:    settings.Duration(6 * time.Second),
+			ResubmitDelay: settings.Duration(1300 * time.Millisecond),
+			MaxLease:      settings.Duration(time.Second),
+			GracePeriod:   settings.Duration(6 * time.Second),
 		},
 		Log: Log{Level: "info"},
 	}}
@@ -94,12 +94,12 @@
 		value   settings.Duration
 		minimum time.Duration
 	}{
-		{"capacity.bounds.resend", s.Bounds.Resend, minResend},
+		{"capacity.bounds.resend", s.Bounds.ResubmitDelay, minResend},
 		{"capacity.bounds.max_lease", s.Bounds.MaxLease, minLease},
-		{"capacity.bounds.grace", s.Bounds.Grace, minGrace},
+		{"capacity.bounds.grace", s.Bounds.GracePeriod, minGrace},
 	} {
 		if c.value.Std() < c.minimum {
-			out = append(out, settings.Error{Path: c.path, Read: c.value.Std().String(), Allowed: c.minimum.String() + " and more"})
+			out = append(out, settings.Error{Path: c.path, Found: c.value.Std().String(), Allowed: c.minimum.String() + " and more"})
 		}
 	}
 	return out
--- a/guard/side/side.go
+++ b/guard/side/side.go
@@ -60,12 +60,12 @@
 func New(s Settings, o Options) *Guard {
 	g := &Guard{opts: o}
 	g.settings.Store(&s)
-	resend := s.Bounds.Resend.Std()
+	resend := s.Bounds.ResubmitDelay.Std()
 	g.host = host.New(host.Options{
 		Runs: runs.Options{
-			Silence:  fraction(resend, entryTimeoutShare),
-			EndBound: fraction(resend, endBoundShare),
-			Hold:     fraction(s.Bounds.MaxLease.Std(), leaseShare),
+			EntryTimeout:   fraction(resend, entryTimeoutShare),
+			EndTimeout:     fraction(resend, endBoundShare),
+			LeaseExtension: fraction(s.Bounds.MaxLease.Std(), leaseShare),
 		},
 		MaxLease: s.Bounds.MaxLease.Std(),
 		Dial:     func(t runner.Target) host.Runner { return runner.New(t) },
@@ -75,7 +75,7 @@
 	g.uplink = uplink.New(uplink.Options{
 		Guard:       s.ID,
 		Incarnation: uint64(time.Now().UnixNano()),
-		Zone:        s.Zone,
+		DataCentre:  s.DataCentre,
 		Seeds:       func() []string { return g.settings.Load().entries() },
 		Entries:     storeEntries(s, o),
 		Logger:      o.Logger,
@@ -158,8 +158,8 @@
 		return nil
 	}
 	eventDraining.Log(runCtx, g.opts.Logger)
-	g.host.Leave()
-	limit := time.After(g.settings.Load().Bounds.Grace.Std() - drainReserve)
+	g.host.ShutDown()
+	limit := time.After(g.settings.Load().Bounds.GracePeriod.Std() - drainReserve)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for !g.host.Idle() {
--- a/guard/slots/slots.go
+++ b/guard/slots/slots.go
@@ -7,22 +7,22 @@
 	"sync"
 )
 
-// Verdict is the result of offering a ticket.
-type Verdict int
+// Admission is the result of offering a ticket.
+type Admission int
 
 // Verdicts of Offer.
 const (
 	// Granted means that the ticket holds a slot until Release.
-	Granted Verdict = iota
+	Granted Admission = iota
 	// Queued means that the ticket waits until a later Release or SetRunner grants it.
 	Queued
 	// Full means that no slot is free and the queue is full.
 	Full
-	// Leaving means that no new tasks are started because the guard or its runner is shutting
+	// Draining means that no new tasks are started because the guard or its runner is shutting
 	// down.
-	Leaving
-	// Absent means that no runner is known.
-	Absent
+	Draining
+	// NoRunner means that no runner is known.
+	NoRunner
 )
 
 // Ticket is one task's request for a slot.
@@ -30,10 +30,10 @@
 	Value T
 	// Owner is the session; Load counts its own tickets and those of others.
 	Owner string
-	// Urgency and TasksLeft determine the queue order: higher urgency first, then fewer tasks
-	// left, then the oldest. A ticket that MaxOvertaken younger ones have been granted before
+	// Priority and TasksLeft determine the queue order: higher urgency first, then fewer tasks
+	// left, then the oldest. A ticket that MaxBypassed younger ones have been granted before
 	// goes first.
-	Urgency   uint32
+	Priority  uint32
 	TasksLeft uint32
 
 	position position
@@ -43,12 +43,12 @@
 	bypassed int
 }
 
-// MaxOvertaken is the number of younger tickets that may be granted before a waiting one, to
+// MaxBypassed is the number of younger tickets that may be granted before a waiting one, to
 // prevent starvation. With the priority order alone, a job of two tasks never got a slot while
 // more entries than there are slots each kept a job of one task waiting: its session had its
 // place in the queue, but its jobs exceeded their response time. With the limit, a ticket
 // waits at most for that many grants and for those of the tickets that were queued before it.
-const MaxOvertaken = 8
+const MaxBypassed = 8
 
 type position int
 
@@ -66,10 +66,10 @@
 	Running int
 	Waiting int
 	// Own counts the open tickets of the requested owner, Others the rest.
-	Own     int
-	Others  int
-	Leaving bool
-	Present bool
+	Own           int
+	Others        int
+	Draining      bool
+	RunnerPresent bool
 }
 
 // Table manages the slots and the queue of one guard. It is safe for concurrent use.
@@ -93,15 +93,15 @@
 	return &Table[T]{queueLen: queueLen, open: map[string]int{}}
 }
 
-// Offer requests a slot.
-func (t *Table[T]) Offer(k *Ticket[T]) Verdict {
+// Enqueue requests a slot.
+func (t *Table[T]) Enqueue(k *Ticket[T]) Admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.draining():
-		return Leaving
+		return Draining
 	case !t.present:
-		return Absent
+		return NoRunner
 	case t.running < t.slots:
 		t.admit(k, inSlot)
 		return Granted
@@ -141,9 +141,9 @@
 
 // Runner is the state of the runner that the table depends on.
 type Runner struct {
-	Present bool
-	Leaving bool
-	Slots   int
+	Present  bool
+	Draining bool
+	Slots    int
 }
 
 // SetRunner sets the runner's state. It returns the tickets that are granted as a result, and
@@ -151,13 +151,13 @@
 func (t *Table[T]) SetRunner(r Runner) (granted, removed []*Ticket[T]) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	same := t.present == r.Present && t.runnerDraining == r.Leaving && t.slots == r.Slots
+	same := t.present == r.Present && t.runnerDraining == r.Draining && t.slots == r.Slots
 	if same {
 		return nil, nil
 	}
 	t.version++
 	t.present = r.Present
-	t.runnerDraining = r.Leaving
+	t.runnerDraining = r.Draining
 	t.slots = r.Slots
 	if !t.present || t.draining() {
 		return nil, t.clear()
@@ -187,14 +187,14 @@
 	defer t.mu.Unlock()
 	own := t.open[owner]
 	return Load{
-		Version: t.version,
-		Slots:   t.slots,
-		Running: t.running,
-		Waiting: len(t.queue),
-		Own:     own,
-		Others:  t.running + len(t.queue) - own,
-		Leaving: t.draining(),
-		Present: t.present,
+		Version:       t.version,
+		Slots:         t.slots,
+		Running:       t.running,
+		Waiting:       len(t.queue),
+		Own:           own,
+		Others:        t.running + len(t.queue) - own,
+		Draining:      t.draining(),
+		RunnerPresent: t.present,
 	}
 }
 
@@ -222,18 +222,18 @@
 
 // before defines the queue order; equal tickets keep their order of arrival.
 func before[T any](a, b *Ticket[T]) bool {
-	if a.Urgency != b.Urgency {
-		return a.Urgency > b.Urgency
+	if a.Priority != b.Priority {
+		return a.Priority > b.Priority
 	}
 	return a.TasksLeft < b.TasksLeft
 }
 
 // nextIndex returns the queue index of the ticket to grant next: the oldest of those bypassed
-// MaxOvertaken times, otherwise the head.
+// MaxBypassed times, otherwise the head.
 func (t *Table[T]) nextIndex() int {
 	first := -1
 	for i, k := range t.queue {
-		if k.bypassed >= MaxOvertaken && (first < 0 || k.arrival < t.queue[first].arrival) {
+		if k.bypassed >= MaxBypassed && (first < 0 || k.arrival < t.queue[first].arrival) {
 			first = i
 		}
 	}
--- a/guard/slots/slots_test.go
+++ b/guard/slots/slots_test.go
@@ -43,7 +43,7 @@
 	bypassed map[int]int
 }
 
-func (o *oracle) starving(k *ticket) bool { return o.bypassed[k.Value] >= slots.MaxOvertaken }
+func (o *oracle) starving(k *ticket) bool { return o.bypassed[k.Value] >= slots.MaxBypassed }
 
 // head returns the ticket that must be granted next.
 func (o *oracle) head() *ticket {
@@ -59,8 +59,8 @@
 		case o.starving(b):
 			return 1
 		}
-		if a.Urgency != b.Urgency {
-			return int(b.Urgency) - int(a.Urgency)
+		if a.Priority != b.Priority {
+			return int(b.Priority) - int(a.Priority)
 		}
 		if a.TasksLeft != b.TasksLeft {
 			return int(a.TasksLeft) - int(b.TasksLeft)
@@ -93,15 +93,15 @@
 	k := &ticket{
 		Value:     o.lastValue,
 		Owner:     rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"),
-		Urgency:   rapid.Uint32Range(1, 3).Draw(t, "urgency"),
+		Priority:  rapid.Uint32Range(1, 3).Draw(t, "urgency"),
 		TasksLeft: rapid.Uint32Range(1, 3).Draw(t, "left"),
 	}
 	want := slots.Queued
 	switch {
-	case o.closed || o.runner.Leaving:
-		want = slots.Leaving
+	case o.closed || o.runner.Draining:
+		want = slots.Draining
 	case !o.runner.Present:
-		want = slots.Absent
+		want = slots.NoRunner
 	case len(o.running) < o.runner.Slots:
 		want = slots.Granted
 		o.running = append(o.running, k)
@@ -110,7 +110,7 @@
 	default:
 		o.queue = append(o.queue, k)
 	}
-	assert.Equal(t, o.table.Offer(k), want)
+	assert.Equal(t, o.table.Enqueue(k), want)
 }
 
 func (o *oracle) release(t *rapid.T) {
@@ -123,9 +123,9 @@
 	assert.Assert(t, o.table.Release(k) == nil, "a slot was freed twice")
 }
 
-// churn offers and releases tickets until some have been bypassed MaxOvertaken times.
+// churn offers and releases tickets until some have been bypassed MaxBypassed times.
 func (o *oracle) churn(t *rapid.T) {
-	for range 2 * slots.MaxOvertaken {
+	for range 2 * slots.MaxBypassed {
 		o.offer(t)
 		o.release(t)
 	}
@@ -143,12 +143,12 @@
 
 func (o *oracle) setRunner(t *rapid.T) {
 	o.runner = slots.Runner{
-		Present: rapid.IntRange(0, 4).Draw(t, "present") > 0,
-		Leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
-		Slots:   rapid.IntRange(1, 4).Draw(t, "slots"),
+		Present:  rapid.IntRange(0, 4).Draw(t, "present") > 0,
+		Draining: rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
+		Slots:    rapid.IntRange(1, 4).Draw(t, "slots"),
 	}
 	granted, removed := o.table.SetRunner(o.runner)
-	if !o.runner.Present || o.runner.Leaving || o.closed {
+	if !o.runner.Present || o.runner.Draining || o.closed {
 		assert.Equal(t, len(removed), len(o.queue))
 		assert.Equal(t, len(granted), 0)
 		o.queue = nil
@@ -212,15 +212,15 @@
 	table := slots.New[int](queueLen)
 	table.SetRunner(slots.Runner{Present: true, Slots: 1})
 	running := &ticket{}
-	assert.Equal(t, table.Offer(running), slots.Granted)
-	table.Offer(&ticket{Urgency: 5, TasksLeft: 1})
-	large := &ticket{Urgency: 1, TasksLeft: 2}
-	assert.Equal(t, table.Offer(large), slots.Queued)
+	assert.Equal(t, table.Enqueue(running), slots.Granted)
+	table.Enqueue(&ticket{Priority: 5, TasksLeft: 1})
+	large := &ticket{Priority: 1, TasksLeft: 2}
+	assert.Equal(t, table.Enqueue(large), slots.Queued)
 	grants := 0
 	for running != large {
-		table.Offer(&ticket{Urgency: 5, TasksLeft: 1})
+		table.Enqueue(&ticket{Priority: 5, TasksLeft: 1})
 		running = table.Release(running)
 		grants++
-		assert.Assert(t, grants <= queueLen+slots.MaxOvertaken, "still waiting")
+		assert.Assert(t, grants <= queueLen+slots.MaxBypassed, "still waiting")
 	}
 }
--- a/guard/subset/subset.go
+++ b/guard/subset/subset.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// Size is the default number of entries that a guard serves. It bounds how
+	// DefaultSize is the default number of entries that a guard serves. It bounds how
 	// many entries share a runner, and leaves each entry enough runners of every
 	// data centre: 52 with 4.4 guards per entry.
-	Size = 12
+	DefaultSize = 12
 	// MinGuards is the minimum number of guards that an entry should see. With
 	// fewer, the load of one entry reaches full runners while others are free.
 	MinGuards = 24
@@ -90,21 +90,21 @@
 	return chosen
 }
 
-// Next returns the new subset size, given the current one, the number of known
+// NextSize returns the new subset size, given the current one, the number of known
 // entries and the number of guards that each attached entry sees. With few guards
 // per entry, a subset of Size would leave some entries with hardly any guard.
-func Next(size, entries int, guards []int) int {
-	if len(guards) == 0 || entries <= Size {
-		return Size
+func NextSize(size, entries int, guards []int) int {
+	if len(guards) == 0 || entries <= DefaultSize {
+		return DefaultSize
 	}
 	sum := 0
 	for _, n := range guards {
 		sum += n
 	}
 	guardsSeen := max(float64(sum)/float64(len(guards)), 1)
-	if size <= Size && guardsSeen >= MinGuards || size > Size && guardsSeen >= MinGuards && guardsSeen <= shrinkFactor*MinGuards {
+	if size <= DefaultSize && guardsSeen >= MinGuards || size > DefaultSize && guardsSeen >= MinGuards && guardsSeen <= shrinkFactor*MinGuards {
 		return size
 	}
 	next := int(math.Ceil(float64(size) * MinGuards / guardsSeen))
-	return min(max(next, Size), entries)
+	return min(max(next, DefaultSize), entries)
 }
--- a/guard/subset/subset_test.go
+++ b/guard/subset/subset_test.go
@@ -26,7 +26,7 @@
 	guardsSeen := map[string]int{}
 	centresSeen := map[string]map[int]bool{}
 	for g := range guards {
-		for _, a := range Choose(entriesFor(fmt.Sprintf("side-%d", g), entries), Size) {
+		for _, a := range Choose(entriesFor(fmt.Sprintf("side-%d", g), entries), DefaultSize) {
 			guardsSeen[a]++
 			if centresSeen[a] == nil {
 				centresSeen[a] = map[int]bool{}
@@ -36,7 +36,7 @@
 	}
 	assert.Equal(t, len(guardsSeen), entries)
 	for a, n := range guardsSeen {
-		assert.Assert(t, n >= guards*Size/entries/2, "%s sees %d guards", a, n)
+		assert.Assert(t, n >= guards*DefaultSize/entries/2, "%s sees %d guards", a, n)
 		assert.Equal(t, len(centresSeen[a]), centres)
 	}
 }
@@ -44,8 +44,8 @@
 // With no more than Size entries, every guard must serve all of them in any
 // order.
 func TestFewEntriesAreAllChosen(t *testing.T) {
-	assert.Equal(t, len(Choose(entriesFor("g", Size), Size)), Size)
-	assert.Equal(t, len(Choose(nil, Size)), 0)
+	assert.Equal(t, len(Choose(entriesFor("g", DefaultSize), DefaultSize)), DefaultSize)
+	assert.Equal(t, len(Choose(nil, DefaultSize)), 0)
 }
 
 // An entry fails, and its callers move to other entries, which need the runners.
@@ -76,7 +76,7 @@
 	for i := range all {
 		all[i].Down = true
 	}
-	assert.Equal(t, len(Choose(all, Size)), maxSizeFactor*Size)
+	assert.Equal(t, len(Choose(all, DefaultSize)), maxSizeFactor*DefaultSize)
 }
 
 // The order in which entries were discovered must not affect the choice.
@@ -84,7 +84,7 @@
 	all := entriesFor("g", 40)
 	reversed := slices.Clone(all)
 	slices.Reverse(reversed)
-	assert.DeepEqual(t, Choose(all, Size), Choose(reversed, Size))
+	assert.DeepEqual(t, Choose(all, DefaultSize), Choose(reversed, DefaultSize))
 }
 
 // A deployment has many entries and few guards. An entry that sees only three
@@ -92,17 +92,17 @@
 // entries see enough guards, stay stable, and shrink when guards are added.
 func TestSubsetsGrowWhereGuardsAreFew(t *testing.T) {
 	guardsSeen := func(guards, entries, size int) int { return guards * min(size, entries) / entries }
-	size := Size
+	size := DefaultSize
 	for range 10 {
-		size = Next(size, 100, []int{guardsSeen(30, 100, size)})
+		size = NextSize(size, 100, []int{guardsSeen(30, 100, size)})
 	}
 	assert.Assert(t, guardsSeen(30, 100, size) >= MinGuards-1, "size %d", size)
-	assert.Equal(t, Next(size, 100, []int{guardsSeen(30, 100, size)}), size)
+	assert.Equal(t, NextSize(size, 100, []int{guardsSeen(30, 100, size)}), size)
 	for range 10 {
-		size = Next(size, 100, []int{guardsSeen(400, 100, size)})
+		size = NextSize(size, 100, []int{guardsSeen(400, 100, size)})
 	}
-	assert.Equal(t, size, Size)
-	assert.Equal(t, Next(Size, 100, nil), Size)
-	assert.Equal(t, Next(Size, 4, []int{3}), Size, "every entry has all guards")
-	assert.Equal(t, Next(60, 100, []int{1}), 100, "no more than there are")
+	assert.Equal(t, size, DefaultSize)
+	assert.Equal(t, NextSize(DefaultSize, 100, nil), DefaultSize)
+	assert.Equal(t, NextSize(DefaultSize, 4, []int{3}), DefaultSize, "every entry has all guards")
+	assert.Equal(t, NextSize(60, 100, []int{1}), 100, "no more than there are")
 }
--- a/guard/uplink/capacity_test.go
+++ b/guard/uplink/capacity_test.go
@@ -105,9 +105,9 @@
 // busyHost always has free capacity.
 type busyHost struct{ noHost }
 
-func (busyHost) HasFree() bool { return true }
+func (busyHost) HasCapacity() bool { return true }
 func (busyHost) Capacity() runs.Capacity {
-	return runs.Capacity{Process: runs.Process{Total: work.Amounts{CPUMilli: 16_000}}, Open: true}
+	return runs.Capacity{Process: runs.Process{Total: work.Amounts{CPUMilli: 16_000}}, AcceptsStarts: true}
 }
 
 // changeCapacity signals n changes of the guard's capacity, 5 ms apart.
--- a/guard/uplink/links.go
+++ b/guard/uplink/links.go
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	u.size = subset.Next(u.size, len(u.links), guards)
+	u.size = subset.NextSize(u.size, len(u.links), guards)
 	for a, l := range u.links {
 		if l.expired() {
 			delete(u.links, a)
--- a/guard/uplink/links_test.go
+++ b/guard/uplink/links_test.go
@@ -160,7 +160,7 @@
 		ranked = append(ranked, subset.Entry{Address: e.address, Rank: subset.Rank("guard", e.address)})
 	}
 	selected := map[string]bool{}
-	for _, a := range subset.Choose(ranked, subset.Size) {
+	for _, a := range subset.Choose(ranked, subset.DefaultSize) {
 		selected[a] = true
 	}
 	for _, e := range all {
@@ -197,7 +197,7 @@
 func TestGuardConnectsToItsSubset(t *testing.T) {
 	all := deployment(t, 20)
 	in, _ := chosen(all)
-	assert.Equal(t, len(in), subset.Size)
+	assert.Equal(t, len(in), subset.DefaultSize)
 	awaitAttached(t, all, in)
 }
 
--- a/guard/uplink/outbox.go
+++ b/guard/uplink/outbox.go
@@ -93,7 +93,7 @@
 }
 
 // Unread implements advertise.Session.
-func (s *session) Unread() bool {
+func (s *session) Unacknowledged() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unread()
@@ -104,7 +104,7 @@
 func (s *session) unread() bool { return s.readClock > 0 && s.capacityClock > s.readClock }
 
 // SendOnceRead implements advertise.Session.
-func (s *session) SendOnceRead() {
+func (s *session) SendOnceAcknowledged() {
 	s.mu.Lock()
 	s.capacityDue, s.deferred = time.Time{}, true
 	s.mu.Unlock()
@@ -214,5 +214,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.sentCapacity
-	return s.retiring != s.sentRetiring || t.Open != r.Open || t.Cleared != r.Cleared || t.Incarnation != r.Incarnation || t.Total != r.Total
+	return s.retiring != s.sentRetiring || t.AcceptsStarts != r.AcceptsStarts || t.Reconciled != r.Reconciled || t.Incarnation != r.Incarnation || t.Total != r.Total
 }
--- a/guard/uplink/session.go
+++ b/guard/uplink/session.go
@@ -137,7 +137,7 @@
 		Handshake: &wirev1.GuardHandshake{
 			Guard:       s.up.opt.Guard,
 			Incarnation: s.up.opt.Incarnation,
-			Zone:        s.up.opt.Zone,
+			Zone:        s.up.opt.DataCentre,
 			Entries:     s.up.reachable(),
 		},
 		ClockUs: uptime.Now().Microseconds(),
@@ -160,9 +160,9 @@
 	s.up.admit(s)
 	var open []work.RunID
 	for _, o := range g.GetOpen() {
-		open = append(open, fleetwire.FromRun(o.GetTask(), o.GetAttempt()))
+		open = append(open, fleetwire.FromTaskName(o.GetTask(), o.GetAttempt()))
 	}
-	for _, r := range s.up.host.Resume(s.owner, open) {
+	for _, r := range s.up.host.Reconcile(s.owner, open) {
 		s.push(r)
 	}
 	s.recordFleetState(m)
@@ -225,7 +225,7 @@
 func (s *session) receive(m *wirev1.AttachResponse) {
 	sent := time.Duration(m.GetEchoUs()) * time.Microsecond
 	if m.GetEchoUs() > 0 {
-		s.up.host.Alive(s.owner, sent)
+		s.up.host.EntryAlive(s.owner, sent)
 	}
 	s.setPending(m.GetHasPending(), m.GetPendingMilli())
 	s.recordFleetState(m)
@@ -240,18 +240,18 @@
 					Task:    work.TaskID{Job: o.GetJob(), Step: int(o.GetStep()), Index: int(t.GetIndex())},
 					Attempt: int(t.GetAttempt()),
 				},
-				Spec: o.GetSpec(),
-				Need: fleetwire.FromAmounts(o.GetNeed()),
-				Life: time.Duration(o.GetLifeMs()) * time.Millisecond,
+				Spec:     o.GetSpec(),
+				Need:     fleetwire.FromAmounts(o.GetNeed()),
+				TimeLeft: time.Duration(o.GetLifeMs()) * time.Millisecond,
 			})
 		}
 	}
 	var cancels []work.RunID
 	for _, c := range m.GetStops() {
-		cancels = append(cancels, fleetwire.FromRun(c.GetTask(), c.GetAttempt()))
+		cancels = append(cancels, fleetwire.FromTaskName(c.GetTask(), c.GetAttempt()))
 	}
 	if len(orders) > 0 || len(cancels) > 0 {
-		s.up.host.Order(sent, s.owner, orders, cancels)
+		s.up.host.Submit(sent, s.owner, orders, cancels)
 	}
 }
 
--- a/guard/uplink/session_test.go
+++ b/guard/uplink/session_test.go
@@ -29,12 +29,12 @@
 func TestReportsOnStartsAreDelayed(t *testing.T) {
 	s := sentSession()
 	start := uptime.Now()
-	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: start})
-	s.push(runs.Report{Run: runOf(2), State: runs.Running, Began: start})
+	s.push(runs.Report{Run: runOf(1), State: runs.Running, StartedAt: start})
+	s.push(runs.Report{Run: runOf(2), State: runs.Running, StartedAt: start})
 	reports, _, wait := s.take(time.Now())
 	assert.Equal(t, len(reports), 0)
 	assert.Assert(t, wait > 0 && wait <= startsDelay, "%s", wait)
-	s.push(runs.Report{Run: runOf(1), State: runs.Done, Began: start, Over: start + 60*time.Millisecond})
+	s.push(runs.Report{Run: runOf(1), State: runs.Done, StartedAt: start, EndedAt: start + 60*time.Millisecond})
 	reports, _, _ = s.take(time.Now())
 	assert.Equal(t, len(reports), 2)
 	assert.Equal(t, reports[0].GetTask().GetIndex(), uint32(2))
@@ -47,7 +47,7 @@
 // entry considers the start unanswered, and sends the guard no more orders.
 func TestReportsOnStartsAreSentAfterTheDelay(t *testing.T) {
 	s := sentSession()
-	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: uptime.Now()})
+	s.push(runs.Report{Run: runOf(1), State: runs.Running, StartedAt: uptime.Now()})
 	reports, _, _ := s.take(time.Now().Add(startsDelay))
 	assert.Equal(t, len(reports), 1)
 }
@@ -56,7 +56,7 @@
 // count its own starts twice and consider a free runner full.
 func TestCapacityIncludesReportsOnStarts(t *testing.T) {
 	s := sentSession()
-	s.push(runs.Report{Run: runOf(1), State: runs.Running, Began: uptime.Now()})
+	s.push(runs.Report{Run: runOf(1), State: runs.Running, StartedAt: uptime.Now()})
 	s.SendAt(time.Now())
 	reports, capacity, _ := s.take(time.Now())
 	assert.Assert(t, capacity)
--- a/guard/uplink/uplink.go
+++ b/guard/uplink/uplink.go
@@ -59,18 +59,18 @@
 // Host manages the runner; see guard/host.
 type Host interface {
 	Capacity() runs.Capacity
-	// HasFree reports whether another run of the size that was requested last fits.
-	HasFree() bool
-	Alive(o runs.Owner, at time.Duration)
-	Resume(o runs.Owner, open []work.RunID) []runs.Report
-	Order(sent time.Duration, o runs.Owner, orders []runs.Order, cancels []work.RunID)
+	// HasCapacity reports whether another run of the size that was requested last fits.
+	HasCapacity() bool
+	EntryAlive(o runs.Owner, at time.Duration)
+	Reconcile(o runs.Owner, open []work.RunID) []runs.Report
+	Submit(sent time.Duration, o runs.Owner, orders []runs.Order, cancels []work.RunID)
 }
 
 // Options of an Uplink.
 type Options struct {
 	Guard       string
 	Incarnation uint64
-	Zone        string
+	DataCentre  string
 	// Seeds returns the entry addresses in the settings; it is called again at each refresh.
 	Seeds func() []string
 	// Entries reads the list of registered entries; nil if there is no such list. It is called
@@ -102,7 +102,7 @@
 
 // New returns an uplink without sessions.
 func New(o Options, h Host) *Uplink {
-	return &Uplink{opt: o, host: h, logger: o.Logger, links: map[string]*link{}, size: subset.Size, current: map[string]*session{}}
+	return &Uplink{opt: o, host: h, logger: o.Logger, links: map[string]*link{}, size: subset.DefaultSize, current: map[string]*session{}}
 }
 
 // Run keeps the guard connected until the context ends.
@@ -210,9 +210,9 @@
 
 // CapacityChanged implements host.Sink.
 func (u *Uplink) CapacityChanged() {
-	free := u.host.HasFree()
+	free := u.host.HasCapacity()
 	capacity := u.host.Capacity()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	advertise.Capacity(time.Now(), capacity, free, slices.Collect(maps.Values(u.current)))
+	advertise.Schedule(time.Now(), capacity, free, slices.Collect(maps.Values(u.current)))
 }
--- a/guard/uplink/uplink_test.go
+++ b/guard/uplink/uplink_test.go
@@ -54,11 +54,11 @@
 
 type noHost struct{}
 
-func (noHost) Capacity() runs.Capacity                                     { return runs.Capacity{} }
-func (noHost) HasFree() bool                                               { return false }
-func (noHost) Alive(runs.Owner, time.Duration)                             {}
-func (noHost) Resume(runs.Owner, []work.RunID) []runs.Report               { return nil }
-func (noHost) Order(time.Duration, runs.Owner, []runs.Order, []work.RunID) {}
+func (noHost) Capacity() runs.Capacity                                      { return runs.Capacity{} }
+func (noHost) HasCapacity() bool                                            { return false }
+func (noHost) EntryAlive(runs.Owner, time.Duration)                         {}
+func (noHost) Reconcile(runs.Owner, []work.RunID) []runs.Report             { return nil }
+func (noHost) Submit(time.Duration, runs.Owner, []runs.Order, []work.RunID) {}
 
 // Guards against an entry that permanently has no runners after its connection went silent.
 // The guard closes the silent session after 3 s and must reconnect; cancelling the stream's
--- a/guard/uplink/wire.go
+++ b/guard/uplink/wire.go
@@ -12,13 +12,13 @@
 	return &wirev1.Capacity{
 		Service:   r.Service,
 		Runner:    r.ID,
-		Open:      r.Open,
-		Total:     fleetwire.Amounts(r.Total),
-		Allocated: fleetwire.Amounts(r.Used),
+		Open:      r.AcceptsStarts,
+		Total:     fleetwire.ToAmounts(r.Total),
+		Allocated: fleetwire.ToAmounts(r.Used),
 		Labels:    r.Labels,
-		Cleared:   r.Cleared,
+		Cleared:   r.Reconciled,
 
-		RunnerBornMs: r.Born,
+		RunnerBornMs: r.StartedMilli,
 	}
 }
 
@@ -32,20 +32,20 @@
 }
 
 var wireRefusals = map[runs.Refusal]wirev1.Refusal{
-	runs.Full:    wirev1.Refusal_REFUSAL_ROOM,
-	runs.Late:    wirev1.Refusal_REFUSAL_STALE,
-	runs.Closed:  wirev1.Refusal_REFUSAL_CLOSED,
-	runs.Unwell:  wirev1.Refusal_REFUSAL_RUNNER,
-	runs.Unknown: wirev1.Refusal_REFUSAL_UNKNOWN,
+	runs.InsufficientCapacity: wirev1.Refusal_REFUSAL_ROOM,
+	runs.StaleOrder:           wirev1.Refusal_REFUSAL_STALE,
+	runs.NotAccepting:         wirev1.Refusal_REFUSAL_CLOSED,
+	runs.RunnerFailed:         wirev1.Refusal_REFUSAL_RUNNER,
+	runs.UnknownRun:           wirev1.Refusal_REFUSAL_UNKNOWN,
 }
 
 func wireReport(r runs.Report, now time.Duration) *wirev1.RunReport {
 	return &wirev1.RunReport{
-		Task:    fleetwire.Task(r.Run.Task),
+		Task:    fleetwire.ToTaskName(r.Run.Task),
 		Attempt: uint32(r.Run.Attempt),
 		State:   wireStates[r.State],
 		Refusal: wireRefusals[r.Refusal],
-		RanUs:   r.Ran(now).Microseconds(),
+		RanUs:   r.RunTime(now).Microseconds(),
 		Crash:   wireCrash(r.Crash),
 	}
 }
@@ -54,9 +54,9 @@
 	if c == nil {
 		return nil
 	}
-	m := &wirev1.Crash{Others: uint32(c.Others), Newest: c.Newest, Runner: c.Runner.ID, RunnerBornMs: c.Runner.Born}
-	for _, t := range c.Beside {
-		m.Beside = append(m.Beside, fleetwire.Task(t))
+	m := &wirev1.Crash{Others: uint32(c.OtherCount), Newest: c.Newest, Runner: c.Runner.ID, RunnerBornMs: c.Runner.StartedMilli}
+	for _, t := range c.OtherTasks {
+		m.Beside = append(m.Beside, fleetwire.ToTaskName(t))
 	}
 	return m
 }
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -19,8 +19,8 @@
 // ErrNotPointer means that the target of Decode is not a pointer to a struct.
 var ErrNotPointer = errors.New("settings: decode needs a pointer to a struct")
 
-// ErrUnreadable means that reading the settings file failed.
-var ErrUnreadable = errors.New("settings: file can't be read")
+// ErrReadFile means that reading the settings file failed.
+var ErrReadFile = errors.New("settings: file can't be read")
 
 // Checker is implemented by settings types with constraints that `validate` tags can't
 // express. The paths in the errors are relative to the root.
@@ -32,16 +32,16 @@
 func Load(path string, target any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnreadable, err)
+		return fmt.Errorf("%w: %w", ErrReadFile, err)
 	}
 	return Decode(raw, target)
 }
 
-// Has reports whether the JSON object in the settings file has the field at its root.
-func Has(path, field string) (bool, error) {
+// HasField reports whether the JSON object in the settings file has the field at its root.
+func HasField(path, field string) (bool, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return false, fmt.Errorf("%w: %w", ErrUnreadable, err)
+		return false, fmt.Errorf("%w: %w", ErrReadFile, err)
 	}
 	var root map[string]json.RawMessage
 	if err := checkSyntax(raw); err != nil {
@@ -97,7 +97,7 @@
 	if errors.As(err, &syntax) {
 		offset = syntax.Offset
 	}
-	return Errors{{Path: position(raw, offset), Read: err.Error(), Allowed: "one JSON object"}}
+	return Errors{{Path: position(raw, offset), Found: err.Error(), Allowed: "one JSON object"}}
 }
 
 // position formats an offset as "line L column C".
@@ -112,7 +112,7 @@
 type decoder struct{ errs Errors }
 
 func (d *decoder) addError(path, read, allowed string) {
-	d.errs = append(d.errs, Error{Path: path, Read: truncate(read), Allowed: allowed})
+	d.errs = append(d.errs, Error{Path: path, Found: truncate(read), Allowed: allowed})
 }
 
 // value decodes one JSON value into v.
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -9,8 +9,8 @@
 type Error struct {
 	// Path is the path of the field from the root, such as "listen.callers".
 	Path string
-	// Read is the value in the file; empty if the field is missing.
-	Read string
+	// Found is the value in the file; empty if the field is missing.
+	Found string
 	// Allowed describes the valid values.
 	Allowed string
 }
@@ -21,10 +21,10 @@
 	if path == "" {
 		path = "(root)"
 	}
-	if e.Read == "" {
+	if e.Found == "" {
 		return fmt.Sprintf("%s: missing; allowed: %s", path, e.Allowed)
 	}
-	return fmt.Sprintf("%s: read %s; allowed: %s", path, e.Read, e.Allowed)
+	return fmt.Sprintf("%s: read %s; allowed: %s", path, e.Found, e.Allowed)
 }
 
 // Errors lists the errors found in one settings file.
--- a/settings/ports.go
+++ b/settings/ports.go
@@ -8,16 +8,16 @@
 	Address Address
 }
 
-// CheckPorts returns an error for each listener that conflicts with an earlier one. Port 0
+// CheckPortConflicts returns an error for each listener that conflicts with an earlier one. Port 0
 // lets the kernel choose a port and never conflicts.
-func CheckPorts(listeners ...Listener) Errors {
+func CheckPortConflicts(listeners ...Listener) Errors {
 	var out Errors
 	for i, later := range listeners {
 		for _, earlier := range listeners[:i] {
 			if conflict(earlier.Address, later.Address) {
 				out = append(out, Error{
 					Path:    later.Path,
-					Read:    later.Address.String(),
+					Found:   later.Address.String(),
 					Allowed: fmt.Sprintf("a port of its own: %s listens on %s", earlier.Path, earlier.Address),
 				})
 				break
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -30,7 +30,7 @@
 }
 
 func (s *sample) Check() settings.Errors {
-	return settings.CheckPorts(
+	return settings.CheckPortConflicts(
 		settings.Listener{Path: "listen", Address: s.Listen},
 		settings.Listener{Path: "admin", Address: s.Admin},
 	)
@@ -61,35 +61,35 @@
 		want      settings.Error
 	}{
 		{"unknown field", `{` + valid + `,"limits":{"waitt":"1s"}}`,
-			settings.Error{Path: "limits.waitt", Read: "an unknown field", Allowed: "one of tasks, wait"}},
+			settings.Error{Path: "limits.waitt", Found: "an unknown field", Allowed: "one of tasks, wait"}},
 		{"field twice", `{` + valid + `,"level":"info","level":"warn"}`,
-			settings.Error{Path: "level", Read: "the field twice", Allowed: "each field once"}},
+			settings.Error{Path: "level", Found: "the field twice", Allowed: "each field once"}},
 		{"case matters", `{` + valid + `,"Level":"info"}`,
-			settings.Error{Path: "Level", Read: "an unknown field", Allowed: "one of admin, extra, level, limits, listen, seeds, shares, zone"}},
+			settings.Error{Path: "Level", Found: "an unknown field", Allowed: "one of admin, extra, level, limits, listen, seeds, shares, zone"}},
 		{"wrong type", `{` + valid + `,"limits":{"tasks":"7"}}`,
-			settings.Error{Path: "limits.tasks", Read: `"7"`, Allowed: "a whole number"}},
+			settings.Error{Path: "limits.tasks", Found: `"7"`, Allowed: "a whole number"}},
 		{"null", `{` + valid + `,"limits":{"tasks":null}}`,
-			settings.Error{Path: "limits.tasks", Read: "null", Allowed: "a whole number"}},
+			settings.Error{Path: "limits.tasks", Found: "null", Allowed: "a whole number"}},
 		{"no unit", `{` + valid + `,"limits":{"wait":"250"}}`,
-			settings.Error{Path: "limits.wait", Read: `"250"`, Allowed: `duration "250": write a number and a unit of ms, s, m or h`}},
+			settings.Error{Path: "limits.wait", Found: `"250"`, Allowed: `duration "250": write a number and a unit of ms, s, m or h`}},
 		{"host name", `{` + valid + `,"seeds":["10.0.0.1:1","example:1"]}`,
-			settings.Error{Path: "seeds[1]", Read: `"example:1"`, Allowed: `address "example:1": write an IP number and a port, such as "10.0.0.7:7001"`}},
+			settings.Error{Path: "seeds[1]", Found: `"example:1"`, Allowed: `address "example:1": write an IP number and a port, such as "10.0.0.7:7001"`}},
 		{"over the bound", `{` + valid + `,"limits":{"wait":"2m"}}`,
-			settings.Error{Path: "limits.wait", Read: "2m0s", Allowed: "at most 1m"}},
+			settings.Error{Path: "limits.wait", Found: "2m0s", Allowed: "at most 1m"}},
 		{"missing", `{"listen":"127.0.0.1:7001"}`,
 			settings.Error{Path: "zone", Allowed: "a value (required)"}},
 		{"missing address", `{"zone":"zagreb"}`,
 			settings.Error{Path: "listen", Allowed: "a value (required)"}},
 		{"not in the list", `{` + valid + `,"level":"loud"}`,
-			settings.Error{Path: "level", Read: `"loud"`, Allowed: "one of info, warn"}},
+			settings.Error{Path: "level", Found: `"loud"`, Allowed: "one of info, warn"}},
 		{"in a pointer", `{` + valid + `,"extra":{"wait":"20ms","tasks":0}}`,
-			settings.Error{Path: "extra.tasks", Read: "0", Allowed: "at least 1"}},
+			settings.Error{Path: "extra.tasks", Found: "0", Allowed: "at least 1"}},
 		{"port clash", `{` + valid + `,"admin":"0.0.0.0:7001"}`,
-			settings.Error{Path: "admin", Read: "0.0.0.0:7001", Allowed: "a port of its own: listen listens on 127.0.0.1:7001"}},
+			settings.Error{Path: "admin", Found: "0.0.0.0:7001", Allowed: "a port of its own: listen listens on 127.0.0.1:7001"}},
 		{"syntax", "{\n \"zone\" 1}",
-			settings.Error{Path: "line 2 column 9", Read: "invalid character '1' after object key", Allowed: "one JSON object"}},
+			settings.Error{Path: "line 2 column 9", Found: "invalid character '1' after object key", Allowed: "one JSON object"}},
 		{"two values", "{} {}",
-			settings.Error{Path: "line 1 column 4", Read: "text after the end of the JSON value", Allowed: "one JSON object"}},
+			settings.Error{Path: "line 1 column 4", Found: "text after the end of the JSON value", Allowed: "one JSON object"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 func TestPortZeroNeverConflicts(t *testing.T) {
 	var a settings.Address
 	assert.NilError(t, json.Unmarshal([]byte(`"127.0.0.1:0"`), &a))
-	assert.Equal(t, len(settings.CheckPorts(
+	assert.Equal(t, len(settings.CheckPortConflicts(
 		settings.Listener{Path: "a", Address: a},
 		settings.Listener{Path: "b", Address: a},
 	)), 0)
@@ -121,7 +121,7 @@
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.json")
-	assert.ErrorIs(t, settings.Load(path, defaults()), settings.ErrUnreadable)
+	assert.ErrorIs(t, settings.Load(path, defaults()), settings.ErrReadFile)
 	assert.NilError(t, os.WriteFile(path, []byte(`{"zone":"z","listen":"127.0.0.1:1"}`), 0o600))
 	assert.NilError(t, settings.Load(path, defaults()))
 	assert.ErrorIs(t, settings.Load(path, sample{}), settings.ErrNotPointer)
@@ -181,7 +181,7 @@
 			assert.NilError(t, err)
 			continue
 		}
-		assert.ErrorIs(t, err, settings.ErrReference)
+		assert.ErrorIs(t, err, settings.ErrReferenceMismatch)
 		assert.ErrorContains(t, err, c.errText)
 	}
 }
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -43,11 +43,11 @@
 	}
 	var violations validator.ValidationErrors
 	if !errors.As(err, &violations) {
-		return Errors{{Read: err.Error(), Allowed: "a struct with valid tags"}}
+		return Errors{{Found: err.Error(), Allowed: "a struct with valid tags"}}
 	}
 	out := make(Errors, 0, len(violations))
 	for _, f := range violations {
-		out = append(out, Error{Path: relative(f.Namespace()), Read: readValue(f), Allowed: allowed(f)})
+		out = append(out, Error{Path: relative(f.Namespace()), Found: readValue(f), Allowed: allowed(f)})
 	}
 	return out
 }
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -37,8 +37,8 @@
 	return body
 }
 
-// Faulty is an invalid body, which must be rejected or make the job fail.
-type Faulty struct {
+// InvalidBody is an invalid body, which must be rejected or make the job fail.
+type InvalidBody struct {
 	Name   string
 	Body   string
 	Status int
@@ -46,10 +46,10 @@
 	State string
 }
 
-// FaultyBodies returns one body for each kind of error. The one that is too large exceeds
+// InvalidBodies returns one body for each kind of error. The one that is too large exceeds
 // a body limit of 64 KiB.
-func FaultyBodies() []Faulty {
-	return []Faulty{
+func InvalidBodies() []InvalidBody {
+	return []InvalidBody{
 		{"no JSON", "{", 400, ""},
 		{"wrong kind", `{"best_effort":true,"steps":[{"count":"four"}]}`, 400, ""},
 		{"no steps", `{"best_effort":true,"steps":[]}`, 400, ""},
--- a/standin/cmd/demo/demo.go
+++ b/standin/cmd/demo/demo.go
@@ -67,12 +67,12 @@
 
 func (d *demo) startEntry(id string, l entryListen) error {
 	path, err := d.write(id+".json", entryFile{
-		ID:        id,
-		Zone:      dataCentre,
-		Listen:    l,
-		Platform:  platformSettings{Addresses: []string{d.store}},
-		Peers:     peersSettings{Seeds: d.internalAddresses(), Secret: secret},
-		Operators: operatorsSettings{TokenDigest: digest(operatorToken)},
+		ID:         id,
+		DataCentre: dataCentre,
+		Listen:     l,
+		Platform:   platformSettings{Addresses: []string{d.store}},
+		Peers:      peersSettings{Seeds: d.internalAddresses(), Secret: secret},
+		Operators:  operatorsSettings{TokenDigest: digest(operatorToken)},
 	})
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 			return "", err
 		}
 	}
-	path, err := d.write(id+".json", guardFile{ID: id, Zone: dataCentre, Listen: l, Balancers: d.internalAddresses(), Secret: secret})
+	path, err := d.write(id+".json", guardFile{ID: id, DataCentre: dataCentre, Listen: l, Balancers: d.internalAddresses(), Secret: secret})
 	if err != nil {
 		return "", err
 	}
--- a/standin/cmd/demo/files.go
+++ b/standin/cmd/demo/files.go
@@ -22,12 +22,12 @@
 // Formats of the settings files; docs/SETTINGS.md documents all fields.
 type (
 	entryFile struct {
-		ID        string            `json:"id"`
-		Zone      string            `json:"zone"`
-		Listen    entryListen       `json:"listen"`
-		Platform  platformSettings  `json:"platform"`
-		Peers     peersSettings     `json:"peers"`
-		Operators operatorsSettings `json:"operators"`
+		ID         string            `json:"id"`
+		DataCentre string            `json:"zone"`
+		Listen     entryListen       `json:"listen"`
+		Platform   platformSettings  `json:"platform"`
+		Peers      peersSettings     `json:"peers"`
+		Operators  operatorsSettings `json:"operators"`
 	}
 	entryListen struct {
 		Callers   string `json:"callers"`
@@ -45,11 +45,11 @@
 		TokenDigest string `json:"token_digest"`
 	}
 	guardFile struct {
-		ID        string      `json:"id"`
-		Zone      string      `json:"zone"`
-		Listen    guardListen `json:"listen"`
-		Balancers []string    `json:"balancers"`
-		Secret    string      `json:"secret"`
+		ID         string      `json:"id"`
+		DataCentre string      `json:"zone"`
+		Listen     guardListen `json:"listen"`
+		Balancers  []string    `json:"balancers"`
+		Secret     string      `json:"secret"`
 	}
 	guardListen struct {
 		Internal string `json:"internal"`
@@ -60,11 +60,11 @@
 // Formats of the contract and the job.
 type (
 	contractFile struct {
-		Customer     string   `json:"customer"`
+		Client       string   `json:"customer"`
 		Rate         float64  `json:"rate"`
 		Burst        int      `json:"burst"`
 		InFlight     int      `json:"in_flight"`
-		Urgency      int      `json:"urgency"`
+		Priority     int      `json:"urgency"`
 		AnswerTime   string   `json:"answer_time"`
 		RunLimit     string   `json:"run_limit"`
 		Objective    float64  `json:"objective"`
@@ -91,11 +91,11 @@
 
 func demoContract() contractFile {
 	return contractFile{
-		Customer:     clientAccount,
+		Client:       clientAccount,
 		Rate:         200,
 		Burst:        400,
 		InFlight:     400,
-		Urgency:      5,
+		Priority:     5,
 		AnswerTime:   "10s",
 		RunLimit:     "2s",
 		Objective:    0.999,
--- a/standin/cmd/standin/docs_test.go
+++ b/standin/cmd/standin/docs_test.go
@@ -17,7 +17,7 @@
 	const path = "../../../docs/EVENTS.md"
 	raw, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	standinEvents := eventlog.Between(9000, 9999)
+	standinEvents := eventlog.NumberRange(9000, 9999)
 	want := eventlog.Update(string(raw), eventlog.Catalogue(), standinEvents)
 	if *update {
 		assert.NilError(t, os.WriteFile(path, []byte(want), 0o644))
--- a/standin/cmd/standin/runner.go
+++ b/standin/cmd/standin/runner.go
@@ -48,7 +48,7 @@
 	f := cmd.Flags()
 	f.StringVar(&address, "listen", anyLoopbackPort, "IP and port")
 	f.StringVar(&o.Service, "service", "teardown", "name of the service")
-	f.StringVar(&o.Zone, "zone", "", "data centre")
+	f.StringVar(&o.DataCentre, "zone", "", "data centre")
 	f.IntVar(&o.Slots, "slots", runner.DefaultSlots, "maximum number of concurrent tasks")
 	f.IntVar(&o.Connections, "connections", runner.DefaultConnections, "maximum number of open connections")
 	f.DurationVar(&o.TTL, "ttl", runner.DefaultTTL, "how long an announcement remains valid")
@@ -89,7 +89,7 @@
 		case <-done:
 			return nil
 		}
-		r.Leave()
+		r.Drain()
 		return waitUntilIdle(r, done)
 	}, func(error) {
 		close(done)
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -16,18 +16,18 @@
 
 // Fault describes the faults that are injected into the store's calls.
 type Fault struct {
-	// Down is the mode of an outage: calls get no response (silent), status 503 (busy), or
+	// Outage is the mode of an outage: calls get no response (silent), status 503 (busy), or
 	// their connection is aborted (reset).
-	Down Mode
+	Outage Mode
 	// Delay is added to the latency of each call.
 	Delay time.Duration
 	// LoseShare is the fraction of writes that take effect but get no response.
 	LoseShare float64
-	// Lapse lets leases expire during an outage, too.
-	Lapse bool
-	// For lists the names of the callers that the fault applies to, see Store.As; nil means
+	// ExpireLeases lets leases expire during an outage, too.
+	ExpireLeases bool
+	// Callers lists the names of the callers that the fault applies to, see Store.HandlerFor; nil means
 	// all.
-	For []string
+	Callers []string
 }
 
 // Mode of an outage.
@@ -61,7 +61,7 @@
 	items      map[string]item
 	leases     map[int64]*lease
 	fault      Fault
-	rates      Rates
+	rates      RateLimits
 	rateWindow rateWindow
 	calls      int
 	mux        *http.ServeMux
@@ -86,8 +86,8 @@
 	s.mu.Unlock()
 }
 
-// Rates are the rate limits of the store, in calls per second; zero means no limit.
-type Rates struct{ Reads, Writes int }
+// RateLimits are the rate limits of the store, in calls per second; zero means no limit.
+type RateLimits struct{ Reads, Writes int }
 
 // rateWindow counts the calls in the current window of one second.
 type rateWindow struct {
@@ -95,9 +95,9 @@
 	reads, writes int
 }
 
-// SetRates changes the rate limits, which apply to the calls of all callers together.
+// SetRateLimits changes the rate limits, which apply to the calls of all callers together.
 // Calls above the limits are rejected with status 429.
-func (s *Store) SetRates(r Rates) {
+func (s *Store) SetRateLimits(r RateLimits) {
 	s.mu.Lock()
 	s.rates = r
 	s.mu.Unlock()
@@ -134,9 +134,9 @@
 	return s.rev
 }
 
-// As returns the handler for the calls of the named caller, so that a fault can be
+// HandlerFor returns the handler for the calls of the named caller, so that a fault can be
 // restricted to some callers.
-func (s *Store) As(caller string) http.Handler {
+func (s *Store) HandlerFor(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, caller) })
 }
 
@@ -151,10 +151,10 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if f.For != nil && !slices.Contains(f.For, caller) {
+	if f.Callers != nil && !slices.Contains(f.Callers, caller) {
 		f = Fault{}
 	}
-	switch f.Down {
+	switch f.Outage {
 	case Silent:
 		<-r.Context().Done()
 		return
@@ -181,9 +181,9 @@
 func (l *discardWriter) WriteHeader(int)             {}
 
 // expire revokes expired leases. During an outage leases don't expire, unless
-// Fault.Lapse is set. The caller holds the lock.
+// Fault.ExpireLeases is set. The caller holds the lock.
 func (s *Store) expire() {
-	if s.fault.Down != Up && !s.fault.Lapse {
+	if s.fault.Outage != Up && !s.fault.ExpireLeases {
 		return
 	}
 	for id, l := range s.leases {
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -29,10 +29,10 @@
 
 // Errors of this package.
 var (
-	// ErrMode is returned for an unknown mode.
-	ErrMode = errors.New("relay stand-in: mode must be pass, stall or drop")
-	// ErrDelay is returned for a negative delay.
-	ErrDelay = errors.New("relay stand-in: delay must not be negative")
+	// ErrUnknownMode is returned for an unknown mode.
+	ErrUnknownMode = errors.New("relay stand-in: mode must be pass, stall or drop")
+	// ErrNegativeDelay is returned for a negative delay.
+	ErrNegativeDelay = errors.New("relay stand-in: delay must not be negative")
 )
 
 const (
@@ -54,11 +54,11 @@
 func (s State) validate() error {
 	for _, m := range []Mode{s.ToTarget, s.ToClient} {
 		if m != Pass && m != Stall && m != Drop {
-			return ErrMode
+			return ErrUnknownMode
 		}
 	}
 	if s.Delay < 0 {
-		return ErrDelay
+		return ErrNegativeDelay
 	}
 	return nil
 }
@@ -114,9 +114,9 @@
 // State returns the current state.
 func (r *Relay) State() State { return r.state.Load().State }
 
-// Forget discards all further bytes of the currently open connections in the given
+// Blackhole discards all further bytes of the currently open connections in the given
 // directions; new connections work. It returns the number of open connections.
-func (r *Relay) Forget(target, client bool) int {
+func (r *Relay) Blackhole(target, client bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
@@ -140,8 +140,8 @@
 	return len(r.conns)
 }
 
-// Open returns the number of open connections.
-func (r *Relay) Open() int {
+// OpenConnections returns the number of open connections.
+func (r *Relay) OpenConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -92,7 +92,7 @@
 	existing := dial()
 	send(t, existing, "a")
 	expect(t, existing, "a")
-	assert.Equal(t, r.Forget(true, true), 1)
+	assert.Equal(t, r.Blackhole(true, true), 1)
 	send(t, existing, "b")
 	expectNothing(t, existing)
 	newConn := dial()
@@ -149,10 +149,10 @@
 	assert.NilError(t, err)
 	assert.Equal(t, string(all), "a")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.Open() == 0 {
+		if r.OpenConnections() == 0 {
 			return poll.Success()
 		}
-		return poll.Continue("%d open", r.Open())
+		return poll.Continue("%d open", r.OpenConnections())
 	})
 }
 
@@ -163,13 +163,13 @@
 	conn := dial()
 	send(t, conn, "a")
 	expect(t, conn, "a")
-	r.Forget(false, true)
+	r.Blackhole(false, true)
 	assert.NilError(t, conn.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.Open() == 0 {
+		if r.OpenConnections() == 0 {
 			return poll.Success()
 		}
-		return poll.Continue("%d open", r.Open())
+		return poll.Continue("%d open", r.OpenConnections())
 	})
 }
 
--- a/standin/relay/switches.go
+++ b/standin/relay/switches.go
@@ -65,7 +65,7 @@
 	if !readJSON(w, req, &d) {
 		return
 	}
-	writeJSON(w, Affected{Connections: r.Forget(d.ToTarget, d.ToClient)})
+	writeJSON(w, Affected{Connections: r.Blackhole(d.ToTarget, d.ToClient)})
 }
 
 func readJSON(w http.ResponseWriter, req *http.Request, target any) bool {
--- a/standin/runner/announce.go
+++ b/standin/runner/announce.go
@@ -30,9 +30,9 @@
 	Address     string            `json:"address"`
 	Slots       int               `json:"slots"`
 	Connections int               `json:"connections"`
-	Zone        string            `json:"zone,omitempty"`
+	DataCentre  string            `json:"zone,omitempty"`
 	TTL         settings.Duration `json:"ttl"`
-	Leaving     bool              `json:"leaving"`
+	Draining    bool              `json:"leaving"`
 }
 
 // announceResponse contains the time until the next announcement.
@@ -88,9 +88,9 @@
 		Address:     address,
 		Slots:       r.options.Slots,
 		Connections: r.options.Connections,
-		Zone:        r.options.Zone,
+		DataCentre:  r.options.DataCentre,
 		TTL:         settings.Duration(r.options.TTL),
-		Leaving:     draining,
+		Draining:    draining,
 	})
 	if err != nil {
 		return 0, err
--- a/standin/runner/run.go
+++ b/standin/runner/run.go
@@ -22,12 +22,12 @@
 	FaultTruncate Fault = "truncate"
 	// FaultCorrupt sends a response whose Content-Digest doesn't match its body.
 	FaultCorrupt Fault = "corrupt"
-	// FaultRefuse rejects the task as not run.
-	FaultRefuse Fault = "refuse"
+	// FaultReject rejects the task as not run.
+	FaultReject Fault = "refuse"
 	// FaultHang runs until the caller closes the connection.
 	FaultHang Fault = "hang"
-	// FaultCut runs the task, then closes the connection without a response.
-	FaultCut Fault = "cut"
+	// FaultCloseConnection runs the task, then closes the connection without a response.
+	FaultCloseConnection Fault = "cut"
 )
 
 // Payload is the behavior that a task can request from the stand-in. A payload that
@@ -76,7 +76,7 @@
 	}
 	p := parsePayload(body)
 	switches := *r.switches.Load()
-	if switches.RefuseAll || p.fault == FaultRefuse {
+	if switches.RejectAll || p.fault == FaultReject {
 		reject(w, http.StatusServiceUnavailable, "refused on request")
 		return
 	}
@@ -96,7 +96,7 @@
 		http.Error(w, "every task fails here", http.StatusInternalServerError)
 		return
 	}
-	if !wait(req.Context(), scaleRunTime(p.runTime, switches.Straggle), p.fault == FaultHang) {
+	if !wait(req.Context(), scaleRunTime(p.runTime, switches.RunTimeFactor), p.fault == FaultHang) {
 		r.record.cancelled()
 		return
 	}
@@ -136,7 +136,7 @@
 	case FaultError:
 		http.Error(w, "failed on request", http.StatusInternalServerError)
 		return
-	case FaultCut:
+	case FaultCloseConnection:
 		panic(http.ErrAbortHandler)
 	case FaultTruncate:
 		body = body[:len(body)/2]
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -36,8 +36,8 @@
 
 // Options of a Runner.
 type Options struct {
-	Service string
-	Zone    string
+	Service    string
+	DataCentre string
 	// Slots is the maximum number of concurrent tasks; tasks above it are rejected as not run.
 	Slots int
 	// Connections is the maximum number of open connections; connections above it are closed.
@@ -56,10 +56,10 @@
 type Switches struct {
 	// FailAll makes every task fail immediately, as on a broken host.
 	FailAll bool `json:"fail_all"`
-	// Straggle is a factor for every run time; 0 and 1 leave it unchanged.
-	Straggle float64 `json:"straggle"`
-	// RefuseAll rejects every task as not run.
-	RefuseAll bool `json:"refuse_all"`
+	// RunTimeFactor is a factor for every run time; 0 and 1 leave it unchanged.
+	RunTimeFactor float64 `json:"straggle"`
+	// RejectAll rejects every task as not run.
+	RejectAll bool `json:"refuse_all"`
 }
 
 // Runner is a stand-in runner.
@@ -100,12 +100,12 @@
 // SetSwitches replaces the switches.
 func (r *Runner) SetSwitches(s Switches) { r.switches.Store(&s) }
 
-// Starts returns the record of started tasks.
-func (r *Runner) Starts() Starts { return r.record.snapshot(false) }
+// StartRecord returns the record of started tasks.
+func (r *Runner) Starts() StartRecord { return r.record.snapshot(false) }
 
-// Leave makes the runner announce that it is draining. It still serves tasks, and records
+// Drain makes the runner announce that it is draining. It still serves tasks, and records
 // how long after the start of draining they came.
-func (r *Runner) Leave() {
+func (r *Runner) Drain() {
 	r.drainOnce.Do(func() {
 		r.record.setDrainingSince(time.Now())
 		r.draining.Store(true)
@@ -155,7 +155,7 @@
 }
 
 func (r *Runner) serveLeave(w http.ResponseWriter, _ *http.Request) {
-	r.Leave()
+	r.Drain()
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/standin/runner/runner_test.go
+++ b/standin/runner/runner_test.go
@@ -106,7 +106,7 @@
 	poll.WaitOn(t, running(0))
 	s := r.Starts()
 	assert.Equal(t, s.Tasks["late"], 0)
-	assert.Equal(t, s.RefusedFull, 1)
+	assert.Equal(t, s.RejectedNoSlot, 1)
 	assert.Equal(t, s.Cancelled, 1)
 }
 
@@ -120,11 +120,11 @@
 	assert.NilError(t, err)
 	resp, err := http.Get(server.URL + "/standin/starts?doubles")
 	assert.NilError(t, err)
-	var s runner.Starts
+	var s runner.StartRecord
 	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&s))
 	assert.NilError(t, resp.Body.Close())
 	assert.DeepEqual(t, s.Tasks, map[string]int{"twice": 3})
-	assert.Equal(t, s.Doubles, 1)
+	assert.Equal(t, s.DuplicateStarts, 1)
 	assert.Equal(t, r.Starts().Total, 4)
 }
 
@@ -160,16 +160,16 @@
 		_, _ = io.WriteString(w, `{"next":"1h"}`)
 	}))
 	t.Cleanup(target.Close)
-	r, _ := start(t, runner.Options{AnnounceTo: []string{target.URL}, Secret: "s3cret", Zone: "osijek"})
+	r, _ := start(t, runner.Options{AnnounceTo: []string{target.URL}, Secret: "s3cret", DataCentre: "osijek"})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- r.Announce(ctx, "127.0.0.1:9") }()
 	first := <-announcements
 	assert.Equal(t, first.Address, "127.0.0.1:9")
 	assert.Equal(t, first.Slots, runner.DefaultSlots)
-	assert.Assert(t, !first.Leaving)
-	r.Leave()
-	assert.Assert(t, (<-announcements).Leaving)
+	assert.Assert(t, !first.Draining)
+	r.Drain()
+	assert.Assert(t, (<-announcements).Draining)
 	stop()
 	assert.NilError(t, <-done)
 }
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -19,8 +19,8 @@
 	Up Mode = "up"
 	// Down responds with status 503; calls have no effect.
 	Down Mode = "down"
-	// Refuse closes the connection of each call without a response; calls have no effect.
-	Refuse Mode = "refuse"
+	// CloseConnections closes the connection of each call without a response; calls have no effect.
+	CloseConnections Mode = "refuse"
 	// Silent accepts calls and never responds to them, even after the mode has changed.
 	Silent Mode = "silent"
 )
@@ -53,33 +53,33 @@
 	s.faults.delay = delay
 }
 
-// SetProgress changes the interval between progress notifications of new watches; zero
+// SetProgressInterval changes the interval between progress notifications of new watches; zero
 // turns them off.
-func (s *Store) SetProgress(period time.Duration) {
+func (s *Store) SetProgressInterval(period time.Duration) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.progress = period
 }
 
-// LoseAnswers closes the connection of each of the next n txn calls after the
+// LoseResponses closes the connection of each of the next n txn calls after the
 // transaction has been committed.
-func (s *Store) LoseAnswers(n int) {
+func (s *Store) LoseResponses(n int) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.loseResponses = n
 }
 
-// LateWrites closes the connection of each of the next n txn calls and commits the
+// DelayedWrites closes the connection of each of the next n txn calls and commits the
 // transaction after the delay.
-func (s *Store) LateWrites(n int, delay time.Duration) {
+func (s *Store) DelayWrites(n int, delay time.Duration) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.delayedWrites = n
 	s.faults.writeDelay = delay
 }
 
-// CutWatches closes all open watches.
-func (s *Store) CutWatches() {
+// CloseWatches closes all open watches.
+func (s *Store) CloseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.watchBreaks.closed)
@@ -95,8 +95,8 @@
 	s.watchBreaks.silenced = make(chan struct{})
 }
 
-// ExpireLeases revokes the lease, or all leases when id is zero.
-func (s *Store) ExpireLeases(id int64) {
+// RevokeLeases revokes the lease, or all leases when id is zero.
+func (s *Store) RevokeLeases(id int64) {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	for each := range maps.Clone(s.memory.leases) {
@@ -127,7 +127,7 @@
 	restored := s.memory.restore()
 	s.memory.mu.Unlock()
 	if restored {
-		s.CutWatches()
+		s.CloseWatches()
 	}
 	return restored
 }
@@ -173,7 +173,7 @@
 	case Down:
 		writeError(w, http.StatusServiceUnavailable, codeUnavailable, "stand-in: down")
 		return false
-	case Refuse:
+	case CloseConnections:
 		closeConnection(w)
 		return false
 	case Silent:
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -35,14 +35,14 @@
 		mux:         http.NewServeMux(),
 		watchBreaks: watchBreaks{closed: make(chan struct{}), silenced: make(chan struct{})},
 	}
-	s.faults.progress = DefaultProgress
+	s.faults.progress = DefaultProgressInterval
 	s.route()
 	s.routeSwitches()
 	return s
 }
 
-// DefaultProgress is the interval between progress notifications of a watch.
-const DefaultProgress = time.Second
+// DefaultProgressInterval is the interval between progress notifications of a watch.
+const DefaultProgressInterval = time.Second
 
 // expiryPeriod is the interval between checks for expired leases.
 const expiryPeriod = 20 * time.Millisecond
@@ -56,13 +56,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			s.ExpireDue()
+			s.RevokeExpiredLeases()
 		}
 	}
 }
 
-// ExpireDue revokes the leases that have expired by the clock.
-func (s *Store) ExpireDue() {
+// RevokeExpiredLeases revokes the leases that have expired by the clock.
+func (s *Store) RevokeExpiredLeases() {
 	s.memory.mu.Lock()
 	defer s.memory.mu.Unlock()
 	s.memory.expire()
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -28,11 +28,11 @@
 func connect(t *testing.T, s *store.Server, timeout time.Duration) *etcd.Client {
 	t.Helper()
 	client, err := etcd.New(etcd.Options{
-		Addresses:      []string{s.Address},
-		Timeout:        3 * timeout,
-		AttemptTimeout: timeout,
-		WatchIdle:      timeout,
-		RetryPause:     2 * time.Millisecond,
+		Addresses:        []string{s.Address},
+		Timeout:          3 * timeout,
+		AttemptTimeout:   timeout,
+		WatchIdleTimeout: timeout,
+		RetryBackoff:     2 * time.Millisecond,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(client.Close)
@@ -90,7 +90,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, kv.Lease, lease)
 
-	s.ExpireLeases(int64(lease))
+	s.RevokeLeases(int64(lease))
 	assert.ErrorIs(t, c.KeepAlive(t.Context(), lease), platform.ErrLeaseNotFound)
 	kv, _, err = c.Get(t.Context(), "entries/a")
 	assert.NilError(t, err)
@@ -130,7 +130,7 @@
 func (r *recorder) Write(p []byte) (int, error) { return r.body.Write(p) }
 
 func TestModes(t *testing.T) {
-	for _, mode := range []store.Mode{store.Down, store.Refuse, store.Silent} {
+	for _, mode := range []store.Mode{store.Down, store.CloseConnections, store.Silent} {
 		t.Run(string(mode), func(t *testing.T) {
 			s, c := serve(t)
 			failing := connect(t, s, shortTimeout)
@@ -159,7 +159,7 @@
 
 func TestResponseLostAfterCommit(t *testing.T) {
 	s, c := serve(t)
-	s.LoseAnswers(1)
+	s.LoseResponses(1)
 	_, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
 	assert.ErrorIs(t, err, platform.ErrUnknown)
 	value, _ := s.Value("k")
@@ -201,7 +201,7 @@
 
 func TestProgressReportsAdvanceRevision(t *testing.T) {
 	s, c := serve(t)
-	s.SetProgress(10 * time.Millisecond)
+	s.SetProgressInterval(10 * time.Millisecond)
 	from := s.Revision()
 	s.Put("b/1", []byte("outside"))
 	last := s.Revision()
@@ -215,7 +215,7 @@
 // revision must deliver the change that was missed.
 func TestSilentWatchIsDetected(t *testing.T) {
 	s, c := serve(t)
-	s.SetProgress(10 * time.Millisecond)
+	s.SetProgressInterval(10 * time.Millisecond)
 	lastRevision := s.Revision()
 	first := true
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -228,20 +228,20 @@
 			first = false
 		}
 	})
-	assert.ErrorIs(t, err, etcd.ErrWatchSilent)
+	assert.ErrorIs(t, err, etcd.ErrWatchIdleTimeout)
 	events, _ := collectEvents(t, c, lastRevision, func(b platform.WatchBatch) bool { return len(b.Events) > 0 })
 	assert.Equal(t, len(events), 1)
 }
 
 func TestWatchIsClosedByServer(t *testing.T) {
 	s, c := serve(t)
-	s.SetProgress(10 * time.Millisecond)
+	s.SetProgressInterval(10 * time.Millisecond)
 	_, err := collectEvents(t, c, s.Revision(), func(platform.WatchBatch) bool {
-		s.CutWatches()
+		s.CloseWatches()
 		return false
 	})
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
-	assert.Assert(t, !errors.Is(err, etcd.ErrWatchSilent))
+	assert.Assert(t, !errors.Is(err, etcd.ErrWatchIdleTimeout))
 }
 
 func TestWatchFromCompactedRevision(t *testing.T) {
--- a/standin/store/switches.go
+++ b/standin/store/switches.go
@@ -36,12 +36,12 @@
 type Switches struct {
 	Mode *Mode `json:"mode,omitempty"`
 	// Milliseconds.
-	DelayMs     *int64 `json:"delay_ms,omitempty"`
-	ProgressMs  *int64 `json:"progress_ms,omitempty"`
-	LoseAnswers *int   `json:"lose_answers,omitempty"`
-	LateWrites  *int   `json:"late_writes,omitempty"`
+	DelayMs       *int64 `json:"delay_ms,omitempty"`
+	ProgressMs    *int64 `json:"progress_ms,omitempty"`
+	LoseResponses *int   `json:"lose_answers,omitempty"`
+	DelayedWrites *int   `json:"late_writes,omitempty"`
 	// Milliseconds.
-	LateByMs *int64 `json:"late_by_ms,omitempty"`
+	WriteDelayMs *int64 `json:"late_by_ms,omitempty"`
 }
 
 // Set applies switches.
@@ -53,13 +53,13 @@
 		s.SetDelay(milliseconds(in.DelayMs))
 	}
 	if in.ProgressMs != nil {
-		s.SetProgress(milliseconds(in.ProgressMs))
+		s.SetProgressInterval(milliseconds(in.ProgressMs))
 	}
-	if in.LoseAnswers != nil {
-		s.LoseAnswers(*in.LoseAnswers)
+	if in.LoseResponses != nil {
+		s.LoseResponses(*in.LoseResponses)
 	}
-	if in.LateWrites != nil {
-		s.LateWrites(*in.LateWrites, milliseconds(in.LateByMs))
+	if in.DelayedWrites != nil {
+		s.DelayWrites(*in.DelayedWrites, milliseconds(in.WriteDelayMs))
 	}
 }
 
@@ -70,14 +70,14 @@
 	return time.Duration(*n) * time.Millisecond
 }
 
-// Entry is the body of POST /standin/put and /standin/delete.
-type Entry struct {
+// KeyRequest is the body of POST /standin/put and /standin/delete.
+type KeyRequest struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
 }
 
-// LeaseName is the body of POST /standin/expire; zero selects all leases.
-type LeaseName struct {
+// ExpireRequest is the body of POST /standin/expire; zero selects all leases.
+type ExpireRequest struct {
 	ID int64 `json:"id"`
 }
 
@@ -85,10 +85,10 @@
 func (s *Store) routeSwitches() {
 	s.mux.HandleFunc("GET /standin/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) })
 	handleSwitch(s, "switches", s.Set)
-	handleSwitch(s, "put", func(in Entry) { s.Put(in.Key, in.Value) })
-	handleSwitch(s, "delete", func(in Entry) { s.Delete(in.Key) })
-	handleSwitch(s, "expire", func(in LeaseName) { s.ExpireLeases(in.ID) })
-	handleSwitch(s, "cut", func(struct{}) { s.CutWatches() })
+	handleSwitch(s, "put", func(in KeyRequest) { s.Put(in.Key, in.Value) })
+	handleSwitch(s, "delete", func(in KeyRequest) { s.Delete(in.Key) })
+	handleSwitch(s, "expire", func(in ExpireRequest) { s.RevokeLeases(in.ID) })
+	handleSwitch(s, "cut", func(struct{}) { s.CloseWatches() })
 	handleSwitch(s, "silence", func(struct{}) { s.SilenceWatches() })
 	handleSwitch(s, "compact", func(struct{}) { s.Compact() })
 	handleSwitch(s, "save", func(struct{}) { s.Save() })
--- a/standin/worker/judge.go
+++ b/standin/worker/judge.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Judge checks the platform's guarantees against the runs that the stand-in
+// Checker checks the platform's guarantees against the runs that the stand-in
 // runners observe. All runners of a test share one Judge.
-type Judge struct {
+type Checker struct {
 	mu sync.Mutex
 	// running maps each task to its current runs.
-	running    map[string][]Where
+	running    map[string][]RunLocation
 	violations []string
 	starts     int
 	done       map[string]int
@@ -21,26 +21,26 @@
 	startedJobs  map[string]bool
 }
 
-// Where identifies a run and the runner process that executes it.
-type Where struct {
+// RunLocation identifies a run and the runner process that executes it.
+type RunLocation struct {
 	Runner   string
 	Instance string
-	// Born is the start time of the runner's process.
-	Born time.Time
-	Run  int
+	// ProcessStart is the start time of the runner's process.
+	ProcessStart time.Time
+	Run          int
 }
 
-// NewJudge returns a Judge without any recorded runs.
-func NewJudge() *Judge {
-	return &Judge{running: map[string][]Where{}, done: map[string]int{}, createdAt: time.Now(), rejectedJobs: map[string]bool{}, startedJobs: map[string]bool{}}
+// NewChecker returns a Judge without any recorded runs.
+func NewChecker() *Checker {
+	return &Checker{running: map[string][]RunLocation{}, done: map[string]int{}, createdAt: time.Now(), rejectedJobs: map[string]bool{}, startedJobs: map[string]bool{}}
 }
 
-func (j *Judge) addViolation(format string, args ...any) {
+func (j *Checker) addViolation(format string, args ...any) {
 	j.violations = append(j.violations, fmt.Sprintf("%7.3f s: ", time.Since(j.createdAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Fault records a violated guarantee.
-func (j *Judge) Fault(format string, args ...any) {
+// ReportViolation records a violated guarantee.
+func (j *Checker) ReportViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.addViolation(format, args...)
@@ -48,7 +48,7 @@
 
 // runStarted records the start of a run. Two concurrent runs of one task violate the
 // guarantee that a task runs once.
-func (j *Judge) runStarted(task string, w Where) {
+func (j *Checker) runStarted(task string, w RunLocation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts++
@@ -59,7 +59,7 @@
 	j.running[task] = append(j.running[task], w)
 }
 
-func (j *Judge) runEnded(task string, w Where, outcome string) {
+func (j *Checker) runEnded(task string, w RunLocation, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if outcome == Done {
@@ -77,9 +77,9 @@
 	}
 }
 
-// Completed checks a job that was reported as completed with all its tasks: the
+// JobCompleted checks a job that was reported as completed with all its tasks: the
 // runners must have recorded a successful run of each task.
-func (j *Judge) Completed(job string, tasks int) {
+func (j *Checker) JobCompleted(job string, tasks int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i := range tasks {
@@ -89,15 +89,15 @@
 	}
 }
 
-// Refused records a job all of whose attempts were rejected as not run.
-func (j *Judge) Refused(job string) {
+// JobRejected records a job all of whose attempts were rejected as not run.
+func (j *Checker) JobRejected(job string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.rejectedJobs[job] = true
 }
 
-// Faults returns the violated guarantees.
-func (j *Judge) Faults() []string {
+// Violations returns the violated guarantees.
+func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	all := append([]string(nil), j.violations...)
@@ -110,14 +110,14 @@
 }
 
 // Starts returns the number of runs that were started.
-func (j *Judge) Starts() int {
+func (j *Checker) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts
 }
 
 // Running returns the number of tasks that have a run at the moment.
-func (j *Judge) Running() int {
+func (j *Checker) Running() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.running)
--- a/standin/worker/orders.go
+++ b/standin/worker/orders.go
@@ -44,7 +44,7 @@
 		switch {
 		case dead:
 			panic(http.ErrAbortHandler)
-		case f.Mute:
+		case f.Unresponsive:
 			<-req.Context().Done()
 			return
 		case otherInstance:
@@ -149,7 +149,7 @@
 		return response{status: http.StatusOK}
 	}
 	if !r.drainAckedAt.IsZero() && time.Since(r.drainAckedAt) > maxStartAfterDrainAck {
-		r.Judge.Fault("runner %s starts %s, %v after its guard acknowledged that the runner drains", r.instance, b.Task, time.Since(r.drainAckedAt))
+		r.Checker.ReportViolation("runner %s starts %s, %v after its guard acknowledged that the runner drains", r.instance, b.Task, time.Since(r.drainAckedAt))
 	}
 	if b.Run <= r.rejectedUpTo[b.Task] || r.runs[b.Task] != nil {
 		return response{status: http.StatusConflict, reason: "old"}
@@ -160,9 +160,9 @@
 	}
 	x := &run{number: b.Run, cpu: spec.CPU}
 	r.runs[b.Task] = x
-	r.Judge.runStarted(b.Task, r.where(x))
+	r.Checker.runStarted(b.Task, r.where(x))
 	if used, limit := r.used(), r.capacityLimit(); used > limit {
-		r.Judge.Fault("runner %s uses %d of %d millicores", r.instance, used, limit)
+		r.Checker.ReportViolation("runner %s uses %d of %d millicores", r.instance, used, limit)
 	}
 	duration := time.Duration(spec.Ms) * time.Millisecond
 	if r.fault.Slow > 0 {
@@ -183,7 +183,9 @@
 	return response{status: http.StatusOK}
 }
 
-func (r *Runner) where(x *run) Where { return Where{r.address, r.instance, r.processStart, x.number} }
+func (r *Runner) where(x *run) RunLocation {
+	return RunLocation{r.address, r.instance, r.processStart, x.number}
+}
 
 // finish ends a run, unless it has ended already or the process that ran it is gone.
 func (r *Runner) finish(task string, x *run, outcome string) {
@@ -197,7 +199,7 @@
 	r.rejectedUpTo[task] = max(r.rejectedUpTo[task], x.number)
 	r.lastEndedSeq++
 	r.endedRuns = append(r.endedRuns, endedRun{r.lastEndedSeq, task, x.number, outcome})
-	r.Judge.runEnded(task, r.where(x), outcome)
+	r.Checker.runEnded(task, r.where(x), outcome)
 	close(r.runEndedCh)
 	r.runEndedCh = make(chan struct{})
 }
@@ -254,7 +256,7 @@
 		x := runs[task]
 		r.mu.Unlock()
 		if x != nil {
-			r.finish(task, x, Lapsed)
+			r.finish(task, x, LeaseExpired)
 		}
 	}
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -20,10 +20,10 @@
 
 // Outcomes of runs.
 const (
-	Done    = "done"
-	Failed  = "failed"
-	Stopped = "stopped"
-	Lapsed  = "lapsed"
+	Done         = "done"
+	Failed       = "failed"
+	Stopped      = "stopped"
+	LeaseExpired = "lapsed"
 )
 
 const (
@@ -40,13 +40,13 @@
 	// Fails makes each run fail.
 	Fails bool `json:"fails"`
 	// CrashMs makes the runner's process crash this many milliseconds after the start; zero
-	// for a task that doesn't crash it. The process restarts after CrashBack, under a new
+	// for a task that doesn't crash it. The process restarts after CrashRestartDelay, under a new
 	// instance id unless the runner has KeepsID.
 	CrashMs int `json:"crash_ms"`
 }
 
-// CrashBack is the time until a runner that a task crashed is restarted.
-const CrashBack = 1500 * time.Millisecond
+// CrashRestartDelay is the time until a runner that a task crashed is restarted.
+const CrashRestartDelay = 1500 * time.Millisecond
 
 // Fault describes the faults that are injected into a runner.
 type Fault struct {
@@ -61,8 +61,8 @@
 	Slow      float64
 	Hang      bool
 	FailShare float64
-	// Mute leaves all requests without a response and without effect.
-	Mute bool
+	// Unresponsive leaves all requests without a response and without effect.
+	Unresponsive bool
 }
 
 type run struct {
@@ -82,16 +82,16 @@
 
 // Runner is one stand-in runner; Reborn and Restart give it a new process.
 type Runner struct {
-	Service string
-	Zone    string
-	CPU     int64
-	Judge   *Judge
-	// Control is the address that reports are sent to.
-	Control string
+	Service    string
+	DataCentre string
+	CPU        int64
+	Checker    *Checker
+	// ControlAddress is the address that reports are sent to.
+	ControlAddress string
 	// Advertise is the address given in reports; empty for the runner's own.
 	Advertise string
-	// Unborn omits the start time of the process from reports and run listings.
-	Unborn bool
+	// OmitStartTime omits the start time of the process from reports and run listings.
+	OmitStartTime bool
 	// KeepsID makes the runner restart with the same instance id after a task crashed it.
 	KeepsID bool
 
@@ -255,13 +255,13 @@
 	r.dead = true
 	for task, x := range r.runs {
 		x.timer.Stop()
-		r.Judge.runEnded(task, r.where(x), "lost")
+		r.Checker.runEnded(task, r.where(x), "lost")
 	}
 	r.runs = map[string]*run{}
 }
 
 // crashAndRestart ends the runner's process and starts the next incarnation after
-// CrashBack. Nothing listens in between.
+// CrashRestartDelay. Nothing listens in between.
 func (r *Runner) crashAndRestart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -270,7 +270,7 @@
 	}
 	r.crashes++
 	r.kill()
-	time.AfterFunc(CrashBack, func() {
+	time.AfterFunc(CrashRestartDelay, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if !r.KeepsID {
@@ -295,7 +295,7 @@
 	}
 	l, err := net.Listen("tcp", r.address)
 	if err != nil {
-		r.Judge.Fault("runner %s can't listen on its address again: %v", r.address, err)
+		r.Checker.ReportViolation("runner %s can't listen on its address again: %v", r.address, err)
 		return
 	}
 	r.reset()
@@ -317,9 +317,9 @@
 	r.restart()
 }
 
-// Leave makes the runner report the state draining, from its next report until its
+// Drain makes the runner report the state draining, from its next report until its
 // process ends.
-func (r *Runner) Leave() {
+func (r *Runner) Drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
@@ -332,8 +332,8 @@
 	return r.crashes
 }
 
-// Reborn begins a new incarnation at the same address, with a new instance id.
-func (r *Runner) Reborn() {
+// RestartWithNewID begins a new incarnation at the same address, with a new instance id.
+func (r *Runner) RestartWithNewID() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crash()
@@ -382,7 +382,7 @@
 		state = "draining"
 	}
 	fields := map[string]any{
-		"service": r.Service, "address": cmp.Or(r.Advertise, r.address), "zone": r.Zone, "version": "v1", "slots": 8, "state": state,
+		"service": r.Service, "address": cmp.Or(r.Advertise, r.address), "zone": r.DataCentre, "version": "v1", "slots": 8, "state": state,
 		"capacity": map[string]int64{"cpu": r.cpu, "mem_mb": 1 << 20, "gpu": 0},
 		"labels":   []string{"a", "r1-1"}, "clock_ms": r.clock().Milliseconds(), "seq": r.seq,
 	}
@@ -394,7 +394,7 @@
 // addStartTime adds the start time of the process to a report or a run listing, unless
 // Unborn is set. The caller holds the lock.
 func (r *Runner) addStartTime(fields map[string]any) {
-	if !r.Unborn {
+	if !r.OmitStartTime {
 		fields["born"] = r.processStart.UnixMilli()
 	}
 }
@@ -406,9 +406,9 @@
 	}
 }
 
-// Held returns a function that sends the report made now; it can be called later, also
+// DelayedReport returns a function that sends the report made now; it can be called later, also
 // after the process has ended.
-func (r *Runner) Held(ctx context.Context) func() {
+func (r *Runner) DelayedReport(ctx context.Context) func() {
 	x := r.reportBody()
 	return func() { r.send(ctx, x) }
 }
@@ -437,7 +437,7 @@
 func (r *Runner) call(ctx context.Context, method, instance string, body []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Control+"/instances/"+instance, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.ControlAddress+"/instances/"+instance, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -19,9 +19,9 @@
 	window    = time.Second
 )
 
-// Budget is a slog.Handler that limits the rate of lines of each event. It counts the
+// RateLimiter is a slog.Handler that limits the rate of lines of each event. It counts the
 // lines dropped and logs the counts in a separate record.
-type Budget struct {
+type RateLimiter struct {
 	inner slog.Handler
 	state *limiterState
 }
@@ -34,33 +34,33 @@
 	totalDropped int64
 }
 
-// NewBudget returns a rate limiter that passes records on to inner.
-func NewBudget(inner slog.Handler) *Budget {
-	return &Budget{inner: inner, state: &limiterState{lines: map[int64]int{}, dropped: map[int64]int{}}}
+// NewRateLimiter returns a rate limiter that passes records on to inner.
+func NewRateLimiter(inner slog.Handler) *RateLimiter {
+	return &RateLimiter{inner: inner, state: &limiterState{lines: map[int64]int{}, dropped: map[int64]int{}}}
 }
 
-// LeftOut returns the number of lines dropped so far.
-func (b *Budget) LeftOut() int64 {
+// Dropped returns the number of lines dropped so far.
+func (b *RateLimiter) Dropped() int64 {
 	b.state.mu.Lock()
 	defer b.state.mu.Unlock()
 	return b.state.totalDropped
 }
 
 // Enabled implements slog.Handler.
-func (b *Budget) Enabled(ctx context.Context, l slog.Level) bool { return b.inner.Enabled(ctx, l) }
+func (b *RateLimiter) Enabled(ctx context.Context, l slog.Level) bool { return b.inner.Enabled(ctx, l) }
 
 // WithAttrs implements slog.Handler.
-func (b *Budget) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Budget{inner: b.inner.WithAttrs(attrs), state: b.state}
+func (b *RateLimiter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &RateLimiter{inner: b.inner.WithAttrs(attrs), state: b.state}
 }
 
 // WithGroup implements slog.Handler.
-func (b *Budget) WithGroup(name string) slog.Handler {
-	return &Budget{inner: b.inner.WithGroup(name), state: b.state}
+func (b *RateLimiter) WithGroup(name string) slog.Handler {
+	return &RateLimiter{inner: b.inner.WithGroup(name), state: b.state}
 }
 
 // Handle implements slog.Handler.
-func (b *Budget) Handle(ctx context.Context, r slog.Record) error {
+func (b *RateLimiter) Handle(ctx context.Context, r slog.Record) error {
 	number := eventNumber(r)
 	allowed, summary := b.state.allow(r.Time, number, r.Level)
 	if summary != "" {
--- a/telemetry/control.go
+++ b/telemetry/control.go
@@ -16,17 +16,17 @@
 
 const statusLine = len("HTTP/1.1 200 OK\r\n\r\n")
 
-// Control counts a process's control traffic by kind: everything except the
+// ControlTraffic counts a process's control traffic by kind: everything except the
 // callers' requests and the starts of tasks. Bytes are TCP payload bytes, computed
 // from each message. It is safe for concurrent use.
-type Control struct {
+type ControlTraffic struct {
 	scope tally.Scope
 	kinds sync.Map // string to *Kind
 }
 
-// NewControl returns counters that also report to the scope, as
+// NewControlTraffic returns counters that also report to the scope, as
 // control_calls, control_bytes_sent and control_bytes_received with the tag kind.
-func NewControl(scope tally.Scope) *Control { return &Control{scope: scope} }
+func NewControlTraffic(scope tally.Scope) *ControlTraffic { return &ControlTraffic{scope: scope} }
 
 // Kind counts the traffic of one kind, such as "store" or "exchange".
 type Kind struct {
@@ -35,7 +35,7 @@
 }
 
 // Kind returns the counters of a kind. Code on a hot path should keep the result.
-func (c *Control) Kind(name string) *Kind {
+func (c *ControlTraffic) Kind(name string) *Kind {
 	if k, ok := c.kinds.Load(name); ok {
 		return k.(*Kind)
 	}
@@ -72,7 +72,7 @@
 }
 
 // Snapshot returns the totals of all kinds, sorted by name.
-func (c *Control) Snapshot() []Traffic {
+func (c *ControlTraffic) Snapshot() []Traffic {
 	var all []Traffic
 	c.kinds.Range(func(name, value any) bool {
 		k := value.(*Kind)
@@ -91,12 +91,12 @@
 // Transport returns a RoundTripper that counts the bytes a client sends and receives on the
 // connection: HTTP/2 compresses headers already sent on the same connection, HTTP/1.1
 // repeats them. kind returns the kind of a request; requests of kind "" are not counted.
-func (c *Control) Transport(next http.RoundTripper, kind func(*http.Request) string) http.RoundTripper {
+func (c *ControlTraffic) Transport(next http.RoundTripper, kind func(*http.Request) string) http.RoundTripper {
 	return &countingTransport{control: c, next: next, kind: kind}
 }
 
 type countingTransport struct {
-	control *Control
+	control *ControlTraffic
 	next    http.RoundTripper
 	kind    func(*http.Request) string
 }
@@ -141,7 +141,7 @@
 
 // Handler returns an http.Handler that counts the bytes a server receives and sends; see
 // Transport and ConnContext.
-func (c *Control) Handler(next http.Handler, kind func(*http.Request) string) http.Handler {
+func (c *ControlTraffic) Handler(next http.Handler, kind func(*http.Request) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := kind(r)
 		first := firstOnConn(r)
--- a/telemetry/control_test.go
+++ b/telemetry/control_test.go
@@ -57,7 +57,7 @@
 		single bool
 	}{{"http2 kept", true, false}, {"http2 a connection a call", true, true}, {"http1 kept", false, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			client, server := telemetry.NewControl(tally.NoopScope), telemetry.NewControl(tally.NoopScope)
+			client, server := telemetry.NewControlTraffic(tally.NoopScope), telemetry.NewControlTraffic(tally.NoopScope)
 			kind := func(*http.Request) string { return "announce" }
 			protocols := new(http.Protocols)
 			protocols.SetUnencryptedHTTP2(c.h2)
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -34,15 +34,15 @@
 	}
 }
 
-// NewOutput returns a JSON logger that limits the lines of each event and never blocks on
+// NewRateLimitedLogger returns a JSON logger that limits the lines of each event and never blocks on
 // its output. closeOutput flushes the remaining lines.
-func NewOutput(w io.Writer, level string, m *Metrics) (logger *slog.Logger, closeOutput func(), err error) {
+func NewRateLimitedLogger(w io.Writer, level string, m *Metrics) (logger *slog.Logger, closeOutput func(), err error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
 		return nil, nil, fmt.Errorf("%w: level %q: write debug, info, warn or error", ErrLogSettings, level)
 	}
-	queue := NewQueue(w)
-	budget := NewBudget(slog.NewJSONHandler(queue, &slog.HandlerOptions{Level: l}))
-	m.droppedLines = func() int64 { return queue.Dropped() + budget.LeftOut() }
+	queue := NewBufferedWriter(w)
+	budget := NewRateLimiter(slog.NewJSONHandler(queue, &slog.HandlerOptions{Level: l}))
+	m.droppedLines = func() int64 { return queue.Dropped() + budget.Dropped() }
 	return slog.New(budget), queue.Close, nil
 }
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -54,8 +54,8 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// LinesLeftOut returns the number of log lines dropped.
-func (m *Metrics) LinesLeftOut() int64 {
+// LinesDropped returns the number of log lines dropped.
+func (m *Metrics) LinesDropped() int64 {
 	if m.droppedLines == nil {
 		return 0
 	}
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -18,10 +18,10 @@
 	flushTimeout = 300 * time.Millisecond
 )
 
-// Queue is a buffered io.Writer that never blocks. Otherwise a stalled reader of standard
+// BufferedWriter is a buffered io.Writer that never blocks. Otherwise a stalled reader of standard
 // output would block every request that logs. When the buffer is full, lines are
 // dropped and counted.
-type Queue struct {
+type BufferedWriter struct {
 	out      io.Writer
 	notEmpty chan struct{}
 	done     chan struct{}
@@ -32,15 +32,15 @@
 	dropped  atomic.Int64
 }
 
-// NewQueue returns a queue that writes to w in the background until it is closed.
-func NewQueue(w io.Writer) *Queue {
-	q := &Queue{out: w, notEmpty: make(chan struct{}, 1), done: make(chan struct{}), closing: make(chan struct{})}
+// NewBufferedWriter returns a queue that writes to w in the background until it is closed.
+func NewBufferedWriter(w io.Writer) *BufferedWriter {
+	q := &BufferedWriter{out: w, notEmpty: make(chan struct{}, 1), done: make(chan struct{}), closing: make(chan struct{})}
 	go q.run()
 	return q
 }
 
 // Write implements io.Writer. b must consist of whole lines. Write never fails.
-func (q *Queue) Write(b []byte) (int, error) {
+func (q *BufferedWriter) Write(b []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.buffered)+len(b) > maxBufferedBytes {
@@ -57,10 +57,10 @@
 
 // Dropped returns the number of lines dropped because the buffer was full, which happens if
 // the output is not read.
-func (q *Queue) Dropped() int64 { return q.dropped.Load() }
+func (q *BufferedWriter) Dropped() int64 { return q.dropped.Load() }
 
 // Close flushes the buffer. It gives up after flushTimeout if the output blocks.
-func (q *Queue) Close() {
+func (q *BufferedWriter) Close() {
 	close(q.closing)
 	select {
 	case <-q.done:
@@ -68,7 +68,7 @@
 	}
 }
 
-func (q *Queue) run() {
+func (q *BufferedWriter) run() {
 	defer close(q.done)
 	var batch []byte
 	for {
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -17,7 +17,7 @@
 func TestQueueNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
-	q := NewQueue(writer)
+	q := NewBufferedWriter(writer)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	start := time.Now()
 	for range 4 * maxBufferedBytes / len(line) {
@@ -33,7 +33,7 @@
 // of dropped lines is logged, and that a rare event loses no lines.
 func TestLineLimitPerEvent(t *testing.T) {
 	var out strings.Builder
-	logger := slog.New(NewBudget(slog.NewJSONHandler(&out, nil)))
+	logger := slog.New(NewRateLimiter(slog.NewJSONHandler(&out, nil)))
 	for range 10 * infoLimit {
 		logger.Info("often", slog.Int("event", 7))
 	}
@@ -47,10 +47,10 @@
 
 // Checks that warnings, which report rejected and failed requests, have the higher limit.
 func TestWarningsHaveHigherLineLimit(t *testing.T) {
-	b := NewBudget(slog.NewJSONHandler(io.Discard, nil))
+	b := NewRateLimiter(slog.NewJSONHandler(io.Discard, nil))
 	logger := slog.New(b)
 	for range warnLimit {
 		logger.LogAttrs(context.Background(), slog.LevelWarn, "refused", slog.Int("event", 9))
 	}
-	assert.Equal(t, b.LeftOut(), int64(0))
+	assert.Equal(t, b.Dropped(), int64(0))
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -87,8 +87,8 @@
 }
 
 func TestControlCountsBothSides(t *testing.T) {
-	client := telemetry.NewControl(tally.NoopScope)
-	server := telemetry.NewControl(tally.NoopScope)
+	client := telemetry.NewControlTraffic(tally.NoopScope)
+	server := telemetry.NewControlTraffic(tally.NoopScope)
 	kind := func(r *http.Request) string { return strings.Trim(r.URL.Path, "/") }
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
@@ -107,7 +107,7 @@
 	// The server updates its counts after the client has received the response; closing the
 	// server waits for that.
 	s.Close()
-	for _, c := range []*telemetry.Control{client, server} {
+	for _, c := range []*telemetry.ControlTraffic{client, server} {
 		all := c.Snapshot()
 		assert.Equal(t, len(all), 1)
 		assert.Equal(t, all[0].Kind, "exchange")
--- a/telemetry/uptime/sleep.go
+++ b/telemetry/uptime/sleep.go
@@ -7,11 +7,11 @@
 
 // Sleep waits for d. It returns false if the context ended first. If d is not positive, it
 // returns immediately.
-func Sleep(ctx context.Context, d time.Duration) bool { return SleepUnless(ctx, d, nil) }
+func Sleep(ctx context.Context, d time.Duration) bool { return SleepUntilEvent(ctx, d, nil) }
 
-// SleepUnless waits for d or until the event, whichever is first. It returns false if the
+// SleepUntilEvent waits for d or until the event, whichever is first. It returns false if the
 // context ended first. If d is not positive, it returns immediately.
-func SleepUnless(ctx context.Context, d time.Duration, event <-chan struct{}) bool {
+func SleepUntilEvent(ctx context.Context, d time.Duration, event <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/wire/fleetwire/entries.go
+++ b/wire/fleetwire/entries.go
@@ -10,8 +10,8 @@
 // value is the address at which an entry serves guards and other entries.
 const EntriesPrefix = "almondstand/entries/"
 
-// ErrAddress means that a value is not a valid address of an entry.
-var ErrAddress = errors.New("fleetwire: invalid entry address")
+// ErrInvalidAddress means that a value is not a valid address of an entry.
+var ErrInvalidAddress = errors.New("fleetwire: invalid entry address")
 
 // EntryAddress parses and validates an entry's address that comes from the store or from
 // another process. Other programs may write to these keys too; a value that is not a valid
@@ -19,10 +19,10 @@
 func EntryAddress(value string) (string, error) {
 	a, err := netip.ParseAddrPort(value)
 	if err != nil {
-		return "", fmt.Errorf("%w: %w", ErrAddress, err)
+		return "", fmt.Errorf("%w: %w", ErrInvalidAddress, err)
 	}
 	if a.Port() == 0 || !a.Addr().IsValid() || a.Addr().IsUnspecified() || a.Addr().IsMulticast() {
-		return "", fmt.Errorf("%w: %s", ErrAddress, a)
+		return "", fmt.Errorf("%w: %s", ErrInvalidAddress, a)
 	}
 	return a.String(), nil
 }
--- a/wire/fleetwire/fleetwire.go
+++ b/wire/fleetwire/fleetwire.go
@@ -125,8 +125,8 @@
 	return sockoptErr
 }
 
-// Amounts converts resource amounts to the wire type.
-func Amounts(a work.Amounts) *wirev1.Amounts {
+// ToAmounts converts resource amounts to the wire type.
+func ToAmounts(a work.Amounts) *wirev1.Amounts {
 	return &wirev1.Amounts{CpuMilli: a.CPUMilli, MemoryMb: a.MemoryMB, Gpus: a.GPUs}
 }
 
@@ -135,13 +135,13 @@
 	return work.Amounts{CPUMilli: a.GetCpuMilli(), MemoryMB: a.GetMemoryMb(), GPUs: a.GetGpus()}
 }
 
-// Task converts a task ID to the wire type.
-func Task(t work.TaskID) *wirev1.TaskName {
+// ToTaskName converts a task ID to the wire type.
+func ToTaskName(t work.TaskID) *wirev1.TaskName {
 	return &wirev1.TaskName{Job: t.Job, Step: uint32(t.Step), Index: uint32(t.Index)}
 }
 
-// FromRun converts a task name and an attempt from the wire to a run ID.
-func FromRun(t *wirev1.TaskName, attempt uint32) work.RunID {
+// FromTaskName converts a task name and an attempt from the wire to a run ID.
+func FromTaskName(t *wirev1.TaskName, attempt uint32) work.RunID {
 	return work.RunID{
 		Task:    work.TaskID{Job: t.GetJob(), Step: int(t.GetStep()), Index: int(t.GetIndex())},
 		Attempt: int(attempt),
