--- a/dispatch/admission/admission.go
+++ b/dispatch/admission/admission.go
@@ -20,7 +20,7 @@
 // continue at the measured rate.
 const arrivalHorizon = 0.5
 
-// Options configure a Gate; zero values take the defaults.
+// Options configure a Controller; zero values take the defaults.
 type Options struct {
 	// MaxTasks and MaxBytes limit what the queue may hold.
 	MaxTasks int
@@ -87,7 +87,7 @@
 	lastRetry map[string]time.Time
 }
 
-// New returns a Gate.
+// New returns a Controller.
 func New(o Options, random *rand.Rand) *Controller {
 	if o.MaxTasks == 0 {
 		o.MaxTasks = DefaultMaxTasks
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -70,7 +70,7 @@
 	Slow
 	// Suspect: used last, and with one task at a time.
 	Suspect
-	// EjectedSlow (far too slow) and Failing: ejected, receiving probes only.
+	// EjectedSlow (far too slow) and EjectedFailing: ejected, receiving probes only.
 	EjectedSlow
 	EjectedFailing
 )
@@ -96,7 +96,7 @@
 type Monitor struct {
 	opts    Options
 	records []*Record
-	// degraded is the number of endpoints that aren't Steady.
+	// degraded is the number of endpoints that aren't Healthy.
 	degraded int
 	sum      evidence
 	clients  map[string]*outcomes
@@ -105,9 +105,9 @@
 // Task describes a task that ended at an endpoint.
 type Task struct {
 	Job, Client string
-	// StartedAt is the time at which it was started there.
+	// StartedAt is the time at which the task was started at the endpoint.
 	StartedAt time.Time
-	// Expected and Used are the expected and the actual run time; they are ignored for
+	// Expected and RunTime are the expected and the actual run time; they are ignored for
 	// a failed task.
 	Expected, RunTime time.Duration
 }
@@ -165,7 +165,7 @@
 }
 
 // Remove removes an endpoint. The limit of degraded endpoints shrinks with the service,
-// so Remove may reset others to Steady to stay within it; it returns true in that case.
+// so Remove may reset others to Healthy to stay within it; it returns true in that case.
 func (m *Monitor) Remove(now time.Time, r *Record) (anyReset bool) {
 	i := slices.Index(m.records, r)
 	if i < 0 {
@@ -245,7 +245,7 @@
 // endpoints. overdue is the total time by which its tasks in flight exceed their
 // expected run times, so that an endpoint which stopped answering is detected before
 // its first answer. typical is the mean run time of the service. changed is true when
-// the status changed, resetOther when another endpoint was reset to Steady in exchange.
+// the status changed, resetOther when another endpoint was reset to Healthy in exchange.
 func (m *Monitor) Evaluate(now time.Time, r *Record, overdue, typical time.Duration) (changed, resetOther bool) {
 	if r.standing.Ejected() {
 		return false, false
@@ -267,7 +267,7 @@
 	return true, resetOther
 }
 
-// resetMildest resets the endpoint with the least severe status to Steady, if that
+// resetMildest resets the endpoint with the least severe status to Healthy, if that
 // status is less severe than standing. Of three endpoints only one may be degraded: if
 // a slightly slow one held that place, another that fails at once would stay in use,
 // look free all the time and fail nearly all jobs.
--- a/dispatch/health/streak.go
+++ b/dispatch/health/streak.go
@@ -157,7 +157,7 @@
 
 // ApplyOutcomeCounts applies the counts that an endpoint reports. They let every entry detect a
 // failing endpoint before each has lost its own jobs there, and make one entry's probe
-// count for all. Report returns true when it rescheduled the next probe.
+// count for all. It returns true when it rescheduled the next probe.
 func (m *Monitor) ApplyOutcomeCounts(now time.Time, r *Record, p OutcomeCounts) (rescheduled bool) {
 	before := r.reported
 	if !p.newer(before) {
--- a/dispatch/placement/endpoint.go
+++ b/dispatch/placement/endpoint.go
@@ -10,7 +10,7 @@
 
 // Endpoint is what an entry knows about the slots of one endpoint.
 type Endpoint struct {
-	// ID is the name of the endpoint, Zone its data centre.
+	// ID is the name of the endpoint, DataCentre its data centre.
 	ID         string
 	DataCentre string
 
@@ -51,7 +51,7 @@
 // Leaving reports whether the endpoint is draining: no new task may be started there.
 func (e *Endpoint) Leaving() bool { return e.leaving }
 
-// Excluded reports whether the endpoint is excluded from placement by Hold.
+// Excluded reports whether the endpoint is excluded from placement by SetExcluded.
 func (e *Endpoint) Excluded() bool { return e.excluded }
 
 // Unavailable reports whether no task may be started there, whatever its load.
--- a/dispatch/placement/set.go
+++ b/dispatch/placement/set.go
@@ -97,7 +97,7 @@
 }
 
 // SetNoQueue sets whether a start above the endpoint's slots would be refused instead of
-// queued there. If so, Floor does not apply to the endpoint.
+// queued there. If so, MinInFlight does not apply to the endpoint.
 func (s *Set) SetNoQueue(e *Endpoint, noQueue bool) {
 	e.noQueue = noQueue
 	s.relink(e)
@@ -217,8 +217,8 @@
 }
 
 // KnownFree chooses the endpoint with the most slots believed free, then the least overloaded
-// of those with fewer own starts than Floor, then a slow one, then one on trial; on a tie one
-// in the own data centre, else at random.
+// of those with fewer own starts than MinInFlight, then a slow one, then one being probed; on
+// a tie one in the own data centre, else at random.
 type KnownFree struct{}
 
 // Choose implements Chooser.
--- a/dispatch/planner/crash.go
+++ b/dispatch/planner/crash.go
@@ -63,7 +63,8 @@
 
 // CrashCounts count what became of the reported crashes, one per run.
 type CrashCounts struct {
-	// Attributed crashes count against their tasks; Common ones had a common cause and do not.
+	// Attributed crashes count against their tasks; those in CommonCause had a common cause and
+	// do not.
 	Attributed, CommonCause int
 	// Suspects counts the unfinished tasks of open jobs that have crashes attributed to them.
 	Suspects int
--- a/dispatch/planner/planner.go
+++ b/dispatch/planner/planner.go
@@ -143,7 +143,7 @@
 	JobsWaiting int
 }
 
-// JobForecast returns the forecast for an open job.
+// Forecast returns the forecast for an open job.
 func (p *Planner) Forecast(id string) JobForecast {
 	j := p.jobs[id]
 	if j == nil {
--- a/dispatch/planner/report.go
+++ b/dispatch/planner/report.go
@@ -9,7 +9,7 @@
 // RunEvent is a change in the state of a run, as its guard reports it.
 type RunEvent int
 
-// Values of Change.
+// Values of RunEvent.
 const (
 	Running RunEvent = iota + 1
 	Done
--- a/dispatch/planner/types.go
+++ b/dispatch/planner/types.go
@@ -13,8 +13,8 @@
 	// Priority is the priority of jobs that must start at the same time; 0 goes first.
 	Priority    int
 	MaxAttempts int
-	// The response-time target is Stretch times the run time of the job's critical path, plus
-	// Allowance.
+	// The response-time target is TargetFactor times the run time of the job's critical path,
+	// plus TargetMargin.
 	TargetFactor float64
 	TargetMargin time.Duration
 }
@@ -44,7 +44,7 @@
 // Reason is the reason for a job's outcome or for stopping a run.
 type Reason string
 
-// Values of Why.
+// Values of Reason.
 const (
 	ReasonDone       Reason = "done"
 	ReasonTaskFailed Reason = "task_failed"
@@ -89,8 +89,8 @@
 	Need     work.Amounts
 	// TimeLeft is the time left until the caller's deadline.
 	TimeLeft time.Duration
-	// FreeMilli is the CPU believed free at the endpoint, in thousandths of a core, and Age the time
-	// since its guard's last report.
+	// FreeMilli is the CPU believed free at the endpoint, in thousandths of a core, and ReportAge
+	// the time since its guard's last report.
 	FreeMilli int64
 	ReportAge time.Duration
 }
--- a/dispatch/scheduler/decide.go
+++ b/dispatch/scheduler/decide.go
@@ -14,7 +14,7 @@
 	"almondstand.dev/dispatch/retry"
 )
 
-// Scheduler is the Decider used in production.
+// Scheduler is the Policy used in production.
 type Scheduler struct {
 	opts       Options
 	jobs       map[JobID]*jobState
@@ -88,7 +88,7 @@
 	}
 }
 
-// Admit implements Decider.
+// Admit implements Policy.
 func (s *Scheduler) Admit(now time.Time, job Job) error {
 	if s.jobs[job.ID] != nil {
 		return &AdmissionError{Err: ErrDuplicateJob}
@@ -221,7 +221,7 @@
 	s.queue.SetCapacity(s.capacity)
 }
 
-// Next implements Decider.
+// Next implements Policy.
 func (s *Scheduler) Next(now time.Time) (Assignment, bool) {
 	if s.queue.Waiting() == 0 {
 		return Assignment{}, false
--- a/dispatch/scheduler/scheduler.go
+++ b/dispatch/scheduler/scheduler.go
@@ -148,16 +148,16 @@
 	// RetryAfter is how long the caller should wait before it retries, computed from
 	// the backlog.
 	RetryAfter time.Duration
-	// BacklogForecast is set for ErrBacklog only.
+	// Forecast is set for ErrBacklog only.
 	Forecast *BacklogForecast
 }
 
 // BacklogForecast holds the figures on which a rejection with ErrBacklog is based.
 type BacklogForecast struct {
-	// Queued is the number of queued tasks, Open the number of tasks in flight.
+	// Queued is the number of queued tasks, InFlight the number of tasks in flight.
 	Queued, InFlight int
-	// UsableSlots is the number of slots that this entry can rely on, Rate the part of it
-	// that serves the client, Ejected the number of ejected endpoints, which receive
+	// UsableSlots is the number of slots that this entry can rely on, ClientSlots the part
+	// of it that serves the client, Ejected the number of ejected endpoints, which receive
 	// probes only.
 	UsableSlots, ClientSlots float64
 	Ejected                  int
@@ -207,11 +207,11 @@
 	// NextWakeup returns the next time at which a decision may change without any event (a
 	// deadline, a due probe); zero when there is none.
 	NextWakeup(now time.Time) time.Time
-	// QueueStats returns queue statistics for metrics and reports.
+	// Stats returns queue statistics for metrics and reports.
 	Stats() QueueStats
 }
 
-// QueueStats holds the queue and endpoint counts of a Decider.
+// QueueStats holds the queue and endpoint counts of a Policy.
 type QueueStats struct {
 	Jobs     int
 	Queued   int
--- a/dispatch/scheduler/settle.go
+++ b/dispatch/scheduler/settle.go
@@ -9,7 +9,7 @@
 	"almondstand.dev/dispatch/placement"
 )
 
-// Done implements Decider.
+// Done implements Policy.
 func (s *Scheduler) Done(now time.Time, a Assignment, r Result) (requeued bool) {
 	s.lastNow = now
 	ended := s.finish(a)
@@ -158,7 +158,7 @@
 	}
 }
 
-// Drop implements Decider.
+// Drop implements Policy.
 func (s *Scheduler) Drop(id JobID) []TaskRef {
 	job := s.jobs[id]
 	if job == nil {
@@ -174,7 +174,7 @@
 	return refs
 }
 
-// Expired implements Decider.
+// Expired implements Policy.
 func (s *Scheduler) Expired(now time.Time) []JobID {
 	var ids []JobID
 	for job := s.queue.Expired(now); job != nil; job = s.queue.Expired(now) {
@@ -185,7 +185,7 @@
 	return ids
 }
 
-// SetEndpoint implements Decider.
+// SetEndpoint implements Policy.
 func (s *Scheduler) SetEndpoint(now time.Time, e Endpoint) {
 	s.lastNow = now
 	known := s.endpoints[e.ID]
@@ -200,7 +200,7 @@
 	s.updateMonitored(now, known)
 }
 
-// RemoveEndpoint implements Decider. An endpoint with attempts in flight is kept,
+// RemoveEndpoint implements Policy. An endpoint with attempts in flight is kept,
 // hidden from placement, until they end: if it is added again before, its slots are
 // still taken.
 func (s *Scheduler) RemoveEndpoint(id EndpointID) {
@@ -251,7 +251,7 @@
 	}
 }
 
-// ApplyReport implements Decider.
+// ApplyReport implements Policy.
 func (s *Scheduler) ApplyReport(now time.Time, id EndpointID, r Report) {
 	e := s.endpoints[id]
 	if e == nil || e.removed {
@@ -287,7 +287,7 @@
 	}
 }
 
-// NextWakeup implements Decider.
+// NextWakeup implements Policy.
 func (s *Scheduler) NextWakeup(time.Time) time.Time {
 	next := s.queue.NextDeadline()
 	if s.queue.Waiting() == 0 {
@@ -311,7 +311,7 @@
 	return a
 }
 
-// QueueStats implements Decider.
+// Stats implements Policy.
 func (s *Scheduler) Stats() QueueStats {
 	b := QueueStats{
 		Jobs:     s.queue.Jobs(),
--- a/dispatch/work/account.go
+++ b/dispatch/work/account.go
@@ -11,7 +11,7 @@
 // EndState is the way in which a run ended at its runner.
 type EndState int
 
-// Values of How.
+// Values of EndState.
 const (
 	// Interrupted: ended before its work was done, because it was stopped, its lease expired, or it
 	// ended together with other runs.
