--- a/entry/burn/burn.go
+++ b/entry/burn/burn.go
@@ -22,7 +22,7 @@
 // Outcome classifies how a job ended.
 type Outcome int
 
-// Values of Kind.
+// Values of Outcome.
 const (
 	OnTime Outcome = iota
 	Late
--- a/entry/burn/report.go
+++ b/entry/burn/report.go
@@ -32,7 +32,7 @@
 	Late          float64 `json:"late"`
 	Failed        float64 `json:"failed"`
 	RefusedWithin float64 `json:"refused_within"`
-	// RejectedOverContract is the number of jobs rejected because the client exceeded its
+	// RefusedOver is the number of jobs rejected because the client exceeded its
 	// contract.
 	RefusedOver uint64 `json:"refused_over"`
 	// BudgetLeft is the fraction of the error budget that is left: negative if
--- a/entry/burn/snapshot.go
+++ b/entry/burn/snapshot.go
@@ -37,7 +37,7 @@
 	// AnswerTimeMs is the contract's answer time in milliseconds.
 	AnswerTimeMs int64 `json:"answer_time_ms"`
 	Revision     int64 `json:"revision"`
-	// Windows holds the counts of the short and the long window of each of Pairs,
+	// Windows holds the counts of the short and the long window of each of WindowPairs,
 	// in order.
 	Windows []Counts  `json:"windows"`
 	Latency Histogram `json:"latency"`
--- a/entry/explain/explain.go
+++ b/entry/explain/explain.go
@@ -30,8 +30,8 @@
 	Process string    `json:"process"`
 	Event   int       `json:"event"`
 	Name    string    `json:"name"`
-	// AboutRequest is true for a line that contains the request's id, and false for a
-	// line about an involved process during the same period.
+	// AboutRequest is true for an event that contains the request's id, and false for an
+	// event about an involved process during the same period.
 	AboutRequest bool              `json:"about_request"`
 	Fields       map[string]string `json:"fields"`
 }
@@ -45,7 +45,7 @@
 	Cause string `json:"cause"`
 }
 
-// FromLogs builds the Story of a request from logs, one reader for each file.
+// FromLogs builds the Timeline of a request from logs, one reader for each file.
 func FromLogs(request string, logs ...io.Reader) (Timeline, error) {
 	var allLines []LogEvent
 	for _, log := range logs {
--- a/entry/explain/explain_test.go
+++ b/entry/explain/explain_test.go
@@ -22,7 +22,7 @@
 {"time":"2026-01-01T00:00:01.500Z","level":"WARN","msg":"guard.look_failed","guard":"g9","event":2206,"error":"no answer"}
 `
 
-// A request ended without an answer. Given only its id, Read derives from the
+// A request ended without an answer. Given only its id, FromLogs derives from the
 // logs of an entry and a guard the order of events, the runs unfinished at the
 // deadline, and the problems that the guard logged in the same period.
 func TestStory(t *testing.T) {
--- a/entry/fleet/attach/attach.go
+++ b/entry/fleet/attach/attach.go
@@ -85,7 +85,7 @@
 
 // IntervalPolicy bounds the interval between two announcements of one endpoint.
 type IntervalPolicy struct {
-	// Min and Longest bound the interval.
+	// Min and Max bound the interval.
 	Min time.Duration
 	Max time.Duration
 	// BytesPerSecond is the bandwidth budget for all announcements at one entry.
--- a/entry/fleet/bare.go
+++ b/entry/fleet/bare.go
@@ -98,7 +98,7 @@
 	return min(next, b.TTL/announcesPerTTL), nil
 }
 
-// Bare returns the bare endpoints sorted by address, for the exchange with peers.
+// BareEndpoints returns the bare endpoints sorted by address, for the exchange with peers.
 func (f *Fleet) BareEndpoints() []*wirev1.BareEndpoint { return f.bare.snapshot(f.opts.Now()) }
 
 // ApplyBareEndpoints applies a peer's records of bare endpoints.
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -53,12 +53,12 @@
 	SpareSlots int
 	// PendingTasks returns the number of tasks of a service that wait at this entry.
 	PendingTasks func(service string) int
-	// OnChange is called when the results of Bare and Use should be sent to peers soon.
+	// OnChange is called when the results of BareEndpoints and BareUsage should be sent to peers soon.
 	// urgent is set when an endpoint was added or is leaving.
 	OnChange func(urgent bool)
 	// LiveEntries returns the live entries, including this one.
 	LiveEntries func() []*wirev1.EntryInfo
-	// AttachPolicy and Pace must be the same at every entry.
+	// AttachPolicy and AnnounceIntervals must be the same at every entry.
 	AttachPolicy      attach.Policy
 	AnnounceIntervals attach.IntervalPolicy
 	Timing            Timing
--- a/entry/fleet/greet_test.go
+++ b/entry/fleet/greet_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// connectHints calls Greet with the hints and requires it to finish within a minute.
+// connectHints calls ConnectHints with the hints and requires it to finish within a minute.
 func connectHints(t *testing.T, f *Fleet, hints ...*wirev1.GuardHint) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
@@ -28,7 +28,7 @@
 }
 
 // A peer gives a joining entry hints about its guards, more than may be contacted
-// concurrently. None of them has announced itself here. Once Greet returns, each of
+// concurrently. None of them has announced itself here. Once ConnectHints returns, each of
 // them accepts starts on one session, and an announcement that follows opens no second
 // one.
 func TestNamedGuardsTakeStartsAtOnce(t *testing.T) {
--- a/entry/fleet/limit/limit.go
+++ b/entry/fleet/limit/limit.go
@@ -19,10 +19,10 @@
 
 // Options configures a Limit. All fields are required.
 type Options struct {
-	// Initial is the initial limit; Least and Most bound it.
+	// Initial is the initial limit; Min and Max bound it.
 	Initial, Min, Max int
-	// A response that takes at most Fast raises the limit; one that takes at least Slow
-	// lowers it.
+	// A response that takes at most FastLatency raises the limit; one that takes at least
+	// SlowLatency lowers it.
 	FastLatency, SlowLatency time.Duration
 }
 
--- a/entry/fleet/link/once.go
+++ b/entry/fleet/link/once.go
@@ -12,7 +12,7 @@
 // aborted before any byte of the body was read.
 var errAborted = errors.New("request given up before it was sent")
 
-// States of a Sent.
+// States of a SendTracker.
 const (
 	stateUnsent uint32 = iota
 	stateSending
@@ -65,7 +65,7 @@
 	return c.transport.RoundTrip(req)
 }
 
-// trackedBody marks its Sent as sending before the first byte is read.
+// trackedBody marks its SendTracker as sending before the first byte is read.
 type trackedBody struct {
 	io.ReadCloser
 	sent *SendTracker
--- a/entry/member/member.go
+++ b/entry/member/member.go
@@ -25,7 +25,7 @@
 // Status is the state of one incarnation of an entry as far as this entry knows.
 type Status int
 
-// Values of Standing.
+// Values of Status.
 const (
 	// Silent means that the entry is unreachable now and not known to be gone; its jobs may be
 	// running.
--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -51,12 +51,12 @@
 	Endpoints() []fleet.Status
 }
 
-// BurnRecorder returns how the jobs of this entry ended.
+// BurnRecorder counts how the jobs of this entry ended.
 type BurnRecorder interface {
 	Snapshot(now time.Time, entry string, targets []burn.Target, withSeries bool) burn.Snapshot
 }
 
-// TrafficMeter returns the control traffic of this entry.
+// TrafficMeter measures the control traffic of this entry.
 type TrafficMeter interface {
 	Snapshot() []telemetry.Traffic
 }
--- a/entry/peer/guards_test.go
+++ b/entry/peer/guards_test.go
@@ -19,7 +19,7 @@
 	mu        sync.Mutex
 	known     []*wirev1.GuardHint
 	contacted []*wirev1.GuardHint
-	// hold keeps Greet from returning.
+	// hold keeps ConnectHints from returning.
 	hold chan struct{}
 }
 
--- a/entry/peer/peer.go
+++ b/entry/peer/peer.go
@@ -206,7 +206,7 @@
 	return p
 }
 
-// Standing returns what is known of one incarnation of an entry.
+// Status returns what is known of one incarnation of an entry.
 func (p *Peers) Status(entry string, incarnation uint64) member.Status {
 	return p.opts.Members.Status(entry, incarnation)
 }
--- a/entry/quota/holder.go
+++ b/entry/quota/holder.go
@@ -46,7 +46,7 @@
 	// Peers are the other entries that are not gone; Live marks those that respond.
 	Peers []PeerID
 	Live  map[PeerID]bool
-	// Rooted means that a listing of the store contained this entry's present registration.
+	// SelfListed means that a listing of the store contained this entry's present registration.
 	SelfListed bool
 	// NoOtherPeers means that no peer can be found besides those in Peers.
 	NoOtherPeers bool
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -192,7 +192,7 @@
 }
 
 // Demands returns what this entry requests from one peer, and how much it keeps of that peer's
-// earlier leases. The rest of those leases is already returned when Demand returns.
+// earlier leases. The rest of those leases is already returned when Demands returns.
 func (t *Table) Demands(now time.Time, to string) []*wirev1.Demand {
 	var all []*wirev1.Demand
 	for _, a := range *t.accounts.Load() {
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -94,7 +94,7 @@
 	return r
 }
 
-// Known returns the entries' addresses and a version number that changes with them.
+// Addresses returns the entries' addresses and a version number that changes with them.
 func (r *Registry) Addresses() ([]string, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/sessions/session.go
+++ b/entry/sessions/session.go
@@ -49,7 +49,7 @@
 	hasClockOffset bool
 }
 
-// Order implements jobs.Guard.
+// SendOrders implements jobs.Guard.
 func (s *session) SendOrders(starts []planner.Start, stops []planner.Stop) {
 	s.mu.Lock()
 	if len(s.starts) == 0 {
--- a/entry/sessions/sessions.go
+++ b/entry/sessions/sessions.go
@@ -55,7 +55,7 @@
 type Members interface {
 	// Addresses returns the addresses of the entries and a version that changes whenever they do.
 	Addresses() (addresses []string, version uint64)
-	// Hint suggests addresses at which entries may be found.
+	// AddConfirmed adds addresses at which a guard reports that it reaches entries.
 	AddConfirmed(addresses []string)
 }
 
--- a/entry/submission/table.go
+++ b/entry/submission/table.go
@@ -76,8 +76,8 @@
 	close(f.done)
 }
 
-// Lookup is the table's result for an id. Flight is set for Begun and Running, Answer
-// for Kept.
+// Lookup is the table's result for an id. Flight is set for Started and Running,
+// Response for Cached.
 type Lookup struct {
 	State    State
 	Flight   *Flight
