--- a/guard/node/node.go
+++ b/guard/node/node.go
@@ -32,7 +32,7 @@
 // ErrListen is returned if an address of the settings can't be listened on.
 var ErrListen = errors.New("guard: can't listen")
 
-// ErrDrainTimeout is returned if the drain limit passed before every task's result was
+// ErrDrainTimeout is returned if the drain timeout passed before every task's result was
 // returned.
 var ErrDrainTimeout = errors.New("guard: shutdown cut short")
 
--- a/guard/runs/sweep.go
+++ b/guard/runs/sweep.go
@@ -213,6 +213,6 @@
 	t.lastNumbers[task] = taskNumber{n.number + runNumberSkip, now}
 }
 
-// runNumberSkip is how far Old raises the number. It skips the numbers that previous guard
+// runNumberSkip is how far SkipRunNumbers raises the number. It skips the numbers that previous guard
 // processes may have used for the task; a task is attempted only a handful of times.
 const runNumberSkip = 8
--- a/guard/slots/slots.go
+++ b/guard/slots/slots.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// Admission is the result of offering a ticket.
+// Admission is the result of requesting a slot with a ticket.
 type Admission int
 
-// Verdicts of Offer.
+// Results of Enqueue.
 const (
 	// Granted means that the ticket holds a slot until Release.
 	Granted Admission = iota
@@ -30,7 +30,7 @@
 	Value T
 	// Owner is the session; Load counts its own tickets and those of others.
 	Owner string
-	// Priority and TasksLeft determine the queue order: higher urgency first, then fewer tasks
+	// Priority and TasksLeft determine the queue order: higher priority first, then fewer tasks
 	// left, then the oldest. A ticket that MaxBypassed younger ones have been granted before
 	// goes first.
 	Priority  uint32
--- a/guard/subset/subset.go
+++ b/guard/subset/subset.go
@@ -92,7 +92,7 @@
 
 // NextSize returns the new subset size, given the current one, the number of known
 // entries and the number of guards that each attached entry sees. With few guards
-// per entry, a subset of Size would leave some entries with hardly any guard.
+// per entry, a subset of DefaultSize would leave some entries with hardly any guard.
 func NextSize(size, entries int, guards []int) int {
 	if len(guards) == 0 || entries <= DefaultSize {
 		return DefaultSize
--- a/guard/subset/subset_test.go
+++ b/guard/subset/subset_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// With no more than Size entries, every guard must serve all of them in any
+// With no more than DefaultSize entries, every guard must serve all of them in any
 // order.
 func TestFewEntriesAreAllChosen(t *testing.T) {
 	assert.Equal(t, len(Choose(entriesFor("g", DefaultSize), DefaultSize)), DefaultSize)
--- a/guard/uplink/outbox.go
+++ b/guard/uplink/outbox.go
@@ -92,7 +92,7 @@
 	s.mu.Unlock()
 }
 
-// Unread implements advertise.Session.
+// Unacknowledged implements advertise.Session.
 func (s *session) Unacknowledged() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +103,7 @@
 // held.
 func (s *session) unread() bool { return s.readClock > 0 && s.capacityClock > s.readClock }
 
-// SendOnceRead implements advertise.Session.
+// SendOnceAcknowledged implements advertise.Session.
 func (s *session) SendOnceAcknowledged() {
 	s.mu.Lock()
 	s.capacityDue, s.deferred = time.Time{}, true
