--- a/bench/capacity/page.go
+++ b/bench/capacity/page.go
@@ -89,7 +89,7 @@
 	return b.String(), nil
 }
 
-// extrapolate returns a row's value at Hosts, extrapolated from the largest measured
+// extrapolate returns a row's value at TargetHosts, extrapolated from the largest measured
 // size by the row's power law.
 func (s Sweep) extrapolate(r Row) float64 {
 	last := len(s.Hosts) - 1
--- a/bench/replay/link.go
+++ b/bench/replay/link.go
@@ -101,10 +101,10 @@
 // Withhold implements advertise.Session.
 func (l *session) Withhold() { l.capacityDue = never }
 
-// Unread implements advertise.Session.
+// Unacknowledged implements advertise.Session.
 func (l *session) Unacknowledged() bool { return l.read < l.capacitySent }
 
-// SendOnceRead implements advertise.Session.
+// SendOnceAcknowledged implements advertise.Session.
 func (l *session) SendOnceAcknowledged() { l.capacityDue, l.awaitingRead = never, true }
 
 // confirmRead records up to which message the entry has received.
--- a/bench/replay/load.go
+++ b/bench/replay/load.go
@@ -34,7 +34,7 @@
 	// always uses the same entry, so that entries have uneven loads. Zero spreads the
 	// callers evenly.
 	Addresses int
-	// Share is the share of a core that each entry host has; zero disables the
+	// CPUShare is the share of a core that each entry host has; zero disables the
 	// simulation of processor time.
 	CPUShare float64
 }
--- a/bench/result/result.go
+++ b/bench/result/result.go
@@ -67,7 +67,7 @@
 	// response time.
 	Late int `json:"late"`
 	// Resubmitted is the number of jobs that were submitted again after a Retry-After,
-	// Honoured the number of those that were then admitted.
+	// AdmittedOnRetry the number of those that were then admitted.
 	Resubmitted     int `json:"returned"`
 	AdmittedOnRetry int `json:"honoured"`
 	// Goodput is the work of the completed jobs per second, in slots.
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -100,7 +100,7 @@
 }
 
 // SameTerms reports whether two contracts are equal apart from the order of their lists and
-// Change.
+// ChangeID.
 func (c Contract) SameTerms(other Contract) bool {
 	c.ChangeID, other.ChangeID = "", ""
 	a, errA := c.Encode()
--- a/contract/route/route.go
+++ b/contract/route/route.go
@@ -19,8 +19,8 @@
 	Priority int
 	// MaxAttempts is the maximum number of failed runs of a task; at least 1.
 	MaxAttempts int
-	// TargetFactor and Allowance give the target latency of a job: Stretch times the run time
-	// of its critical path, plus Allowance.
+	// TargetFactor and TargetMargin give the target latency of a job: TargetFactor times the run
+	// time of its critical path, plus TargetMargin.
 	TargetFactor float64
 	TargetMargin time.Duration
 	// Timeout is the timeout of a request; zero if the contract sets none.
--- a/standin/runner/record.go
+++ b/standin/runner/record.go
@@ -21,8 +21,8 @@
 	RejectedNoSlot int `json:"refused_full"`
 	// RejectedConnections is the number of connections closed because they exceeded the limit.
 	RejectedConnections int `json:"over_connections"`
-	// StartsAfterDrain is the number of starts since Leave was called; LastStartAfterDrainMs is the
-	// time from Leave to the last of them, in milliseconds.
+	// StartsAfterDrain is the number of starts since Drain was called; LastStartAfterDrainMs is the
+	// time from Drain to the last of them, in milliseconds.
 	StartsAfterDrain      int   `json:"after_leaving"`
 	LastStartAfterDrainMs int64 `json:"last_after_leaving_ms"`
 }
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -69,7 +69,7 @@
 	s.faults.loseResponses = n
 }
 
-// DelayedWrites closes the connection of each of the next n txn calls and commits the
+// DelayWrites closes the connection of each of the next n txn calls and commits the
 // transaction after the delay.
 func (s *Store) DelayWrites(n int, delay time.Duration) {
 	s.faults.mu.Lock()
--- a/standin/worker/judge.go
+++ b/standin/worker/judge.go
@@ -7,7 +7,7 @@
 )
 
 // Checker checks the platform's guarantees against the runs that the stand-in
-// runners observe. All runners of a test share one Judge.
+// runners observe. All runners of a test share one Checker.
 type Checker struct {
 	mu sync.Mutex
 	// running maps each task to its current runs.
@@ -30,7 +30,7 @@
 	Run          int
 }
 
-// NewChecker returns a Judge without any recorded runs.
+// NewChecker returns a Checker without any recorded runs.
 func NewChecker() *Checker {
 	return &Checker{running: map[string][]RunLocation{}, done: map[string]int{}, createdAt: time.Now(), rejectedJobs: map[string]bool{}, startedJobs: map[string]bool{}}
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -80,7 +80,7 @@
 	outcome string
 }
 
-// Runner is one stand-in runner; Reborn and Restart give it a new process.
+// Runner is one stand-in runner; RestartWithNewID and Restart give it a new process.
 type Runner struct {
 	Service    string
 	DataCentre string
@@ -244,7 +244,7 @@
 	return r.longestLease
 }
 
-// Crash ends the current incarnation: no request is answered until Reborn.
+// Crash ends the current incarnation: no request is answered until RestartWithNewID.
 func (r *Runner) Crash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -392,7 +392,7 @@
 }
 
 // addStartTime adds the start time of the process to a report or a run listing, unless
-// Unborn is set. The caller holds the lock.
+// OmitStartTime is set. The caller holds the lock.
 func (r *Runner) addStartTime(fields map[string]any) {
 	if !r.OmitStartTime {
 		fields["born"] = r.processStart.UnixMilli()
