--- a/dispatch/admission/admission_test.go
+++ b/dispatch/admission/admission_test.go
@@ -12,7 +12,7 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newGate() *admission.Controller {
+func newController() *admission.Controller {
 	return admission.New(admission.Options{MaxTasks: 1000, MaxBytes: 1000}, rand.New(rand.NewPCG(1, 2)))
 }
 
@@ -42,7 +42,7 @@
 		if c.demand != nil {
 			c.demand(&demand)
 		}
-		got, retryAfter := newGate().Decide(origin, load, demand)
+		got, retryAfter := newController().Decide(origin, load, demand)
 		assert.Equal(t, got, c.want, name)
 		assert.Equal(t, retryAfter > 0, c.want != admission.Admitted, name)
 	}
@@ -52,7 +52,7 @@
 // told to retry at the same time, most would be refused again; their retry times must spread
 // over about the time that their work takes.
 func TestRetryAfterSpreadsClients(t *testing.T) {
-	g := newGate()
+	g := newController()
 	load := admission.Load{Slots: 10, FairShare: 1, Ahead: 100 * time.Second}
 	demand := admission.Demand{Client: "c", Tasks: 1, Work: time.Second, AnswerTime: 5 * time.Second, Learnt: true}
 	// The backlog of 101 s on 10 slots is 6.6 s too long for 70 % of 5 s.
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -120,7 +120,7 @@
 	seen     evidence
 	streak   streak
 	reported OutcomeCounts
-	standing Status
+	status   Status
 	speed    float64
 	// probing is true while a probe is in flight; probeAt is when the next is due;
 	// successes is the number of consecutive successful probes.
@@ -173,12 +173,12 @@
 	}
 	m.forget(now, r)
 	m.records = slices.Delete(m.records, i, i+1)
-	m.setStanding(r, Healthy)
+	m.setStatus(r, Healthy)
 	for _, other := range m.records {
 		if m.degraded <= m.maxDegraded() {
 			return anyReset
 		}
-		if other.standing != Healthy {
+		if other.status != Healthy {
 			m.reset(now, other)
 			anyReset = true
 		}
@@ -187,21 +187,21 @@
 }
 
 // setStanding changes the health status of an endpoint.
-func (m *Monitor) setStanding(r *Record, standing Status) {
-	if r.standing != Healthy {
+func (m *Monitor) setStatus(r *Record, status Status) {
+	if r.status != Healthy {
 		m.degraded--
 	}
-	if standing != Healthy {
+	if status != Healthy {
 		m.degraded++
 	}
-	r.standing = standing
+	r.status = status
 }
 
 // Ejected returns the number of ejected endpoints.
 func (m *Monitor) Ejected() int {
 	n := 0
 	for _, r := range m.records {
-		if r.standing.Ejected() {
+		if r.status.Ejected() {
 			n++
 		}
 	}
@@ -247,38 +247,38 @@
 // its first answer. typical is the mean run time of the service. changed is true when
 // the status changed, resetOther when another endpoint was reset to Healthy in exchange.
 func (m *Monitor) Evaluate(now time.Time, r *Record, overdue, typical time.Duration) (changed, resetOther bool) {
-	if r.standing.Ejected() {
+	if r.status.Ejected() {
 		return false, false
 	}
 	r.speed = m.relativeSpeed(now, r, overdue, typical)
-	standing := m.assess(now, r)
-	if standing == r.standing {
+	status := m.assess(now, r)
+	if status == r.status {
 		return false, false
 	}
-	if r.standing == Healthy && m.degraded >= m.maxDegraded() {
-		if resetOther = m.resetMildest(now, standing); !resetOther {
+	if r.status == Healthy && m.degraded >= m.maxDegraded() {
+		if resetOther = m.resetMildest(now, status); !resetOther {
 			return false, false
 		}
 	}
-	m.setStanding(r, standing)
-	if standing.Ejected() {
+	m.setStatus(r, status)
+	if status.Ejected() {
 		m.eject(now, r)
 	}
 	return true, resetOther
 }
 
 // resetMildest resets the endpoint with the least severe status to Healthy, if that
-// status is less severe than standing. Of three endpoints only one may be degraded: if
+// status is less severe than the given one. Of three endpoints only one may be degraded: if
 // a slightly slow one held that place, another that fails at once would stay in use,
 // look free all the time and fail nearly all jobs.
-func (m *Monitor) resetMildest(now time.Time, standing Status) bool {
+func (m *Monitor) resetMildest(now time.Time, status Status) bool {
 	var mildest *Record
 	for _, r := range m.records {
-		if r.standing != Healthy && (mildest == nil || r.standing < mildest.standing) {
+		if r.status != Healthy && (mildest == nil || r.status < mildest.status) {
 			mildest = r
 		}
 	}
-	if mildest == nil || mildest.standing >= standing {
+	if mildest == nil || mildest.status >= status {
 		return false
 	}
 	m.reset(now, mildest)
@@ -287,17 +287,17 @@
 
 // assess returns the health status that the observations call for.
 func (m *Monitor) assess(now time.Time, r *Record) Status {
-	streakStanding := m.assessStreaks(now, r)
+	streakStatus := m.assessStreaks(now, r)
 	switch {
-	case streakStanding == EjectedFailing, m.failsMoreThanPeers(now, r):
+	case streakStatus == EjectedFailing, m.failsMoreThanPeers(now, r):
 		return EjectedFailing
 	case r.speed < ejectSpeed:
 		return EjectedSlow
-	case streakStanding == Suspect:
+	case streakStatus == Suspect:
 		return Suspect
 	case r.speed < slowSpeed:
 		return Slow
-	case r.speed < recoveredSpeed && r.standing == Slow:
+	case r.speed < recoveredSpeed && r.status == Slow:
 		return Slow
 	}
 	return Healthy
--- a/dispatch/health/health_test.go
+++ b/dispatch/health/health_test.go
@@ -28,7 +28,7 @@
 	return m, records
 }
 
-func judge(m *health.Monitor, now time.Time, r *health.Record) health.Status {
+func evaluate(m *health.Monitor, now time.Time, r *health.Record) health.Status {
 	m.Evaluate(now, r, 0, run)
 	return r.Status()
 }
@@ -41,8 +41,8 @@
 		m.TaskFailed(origin, r[0], task(i, 0, 0))
 		m.TaskCompleted(origin, r[1], task(i, run, run))
 	}
-	assert.Equal(t, judge(m, origin, r[0]), health.EjectedFailing)
-	assert.Equal(t, judge(m, origin, r[1]), health.Healthy)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.EjectedFailing)
+	assert.Equal(t, evaluate(m, origin, r[1]), health.Healthy)
 	m, r = newMonitor(6)
 	for i := range 10 {
 		for _, one := range r {
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, one := range r {
-		assert.Equal(t, judge(m, origin, one), health.Healthy)
+		assert.Equal(t, evaluate(m, origin, one), health.Healthy)
 	}
 }
 
@@ -67,7 +67,7 @@
 		for i := range 5 {
 			m.TaskFailed(origin, one, task(i, 0, 0))
 		}
-		judge(m, origin, one)
+		evaluate(m, origin, one)
 	}
 	assert.Equal(t, m.Ejected(), 2)
 	assert.Assert(t, m.Remove(origin, r[5]))
@@ -85,7 +85,7 @@
 		m.TaskCompleted(origin, r[1], task(i, run, run))
 		m.TaskCompleted(origin, r[2], task(i, run, run))
 	}
-	assert.Equal(t, judge(m, origin, r[0]), health.Slow)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.Slow)
 	for i := range 40 {
 		m.TaskFailed(origin, r[1], task(100+i, 0, 0))
 	}
@@ -97,8 +97,8 @@
 		m.TaskCompleted(origin, r[0], task(i, run, 9*run))
 		m.TaskFailed(origin, r[2], task(200+i, 0, 0))
 	}
-	assert.Equal(t, judge(m, origin, r[0]), health.Healthy)
-	assert.Equal(t, judge(m, origin, r[2]), health.Healthy)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.Healthy)
+	assert.Equal(t, evaluate(m, origin, r[2]), health.Healthy)
 	assert.Equal(t, m.Ejected(), 1)
 }
 
@@ -112,7 +112,7 @@
 		for i := range 4 {
 			m.TaskFailed(now, r[0], task(i, 0, 0))
 		}
-		assert.Equal(t, judge(m, now, r[0]), health.EjectedFailing)
+		assert.Equal(t, evaluate(m, now, r[0]), health.EjectedFailing)
 	}
 	fail()
 	pause := health.DefaultMinProbeInterval
@@ -143,9 +143,9 @@
 		m.TaskCompleted(origin, r[0], task(0, run, 3*run))
 		m.TaskCompleted(origin, r[1], task(0, run, run))
 	}
-	assert.Equal(t, judge(m, origin, r[0]), health.Slow)
-	assert.Equal(t, judge(m, origin, r[1]), health.Healthy)
-	assert.Equal(t, judge(m, origin.Add(time.Minute), r[0]), health.Healthy)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.Slow)
+	assert.Equal(t, evaluate(m, origin, r[1]), health.Healthy)
+	assert.Equal(t, evaluate(m, origin.Add(time.Minute), r[0]), health.Healthy)
 	// The slow endpoint halves the mean speed of the peers, so a quarter of that is an
 	// eighth.
 	m.Evaluate(origin, r[2], 60*run, run)
@@ -169,7 +169,7 @@
 		failed.StartedAt = broken.Add(time.Duration(i) * time.Millisecond)
 		m.TaskFailed(broken, r[0], failed)
 		m.TaskCompleted(broken, r[0], task(2000+i, run, run))
-		return judge(m, broken, r[0])
+		return evaluate(m, broken, r[0])
 	}
 	assert.Equal(t, fail(1), health.Suspect)
 	assert.Equal(t, fail(2), health.Suspect)
@@ -181,11 +181,11 @@
 func TestSuspectUntilASuccess(t *testing.T) {
 	m, r := newMonitor(6)
 	m.TaskFailed(origin, r[0], task(1, 0, 0))
-	assert.Equal(t, judge(m, origin, r[0]), health.Suspect)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.Suspect)
 	later := task(2, run, run)
 	later.StartedAt = origin.Add(run)
 	m.TaskCompleted(origin.Add(2*run), r[0], later)
-	assert.Equal(t, judge(m, origin.Add(2*run), r[0]), health.Healthy)
+	assert.Equal(t, evaluate(m, origin.Add(2*run), r[0]), health.Healthy)
 }
 
 // TestClientWhoseTasksFail: all tasks of one client fail wherever they run. Endpoints
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, one := range r {
-		assert.Equal(t, judge(m, origin.Add(time.Second), one), health.Healthy)
+		assert.Equal(t, evaluate(m, origin.Add(time.Second), one), health.Healthy)
 	}
 }
 
@@ -212,9 +212,9 @@
 func TestReportedFailures(t *testing.T) {
 	m, r := newMonitor(6)
 	m.ApplyOutcomeCounts(origin, r[0], health.OutcomeCounts{Completed: 100, Failed: 1, ConsecutiveFailedJobs: 1})
-	assert.Equal(t, judge(m, origin, r[0]), health.Suspect)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.Suspect)
 	m.ApplyOutcomeCounts(origin, r[0], health.OutcomeCounts{Completed: 100, Failed: 3, ConsecutiveFailedJobs: 3})
-	assert.Equal(t, judge(m, origin, r[0]), health.EjectedFailing)
+	assert.Equal(t, evaluate(m, origin, r[0]), health.EjectedFailing)
 	due := r[0].ProbeAt()
 	assert.Assert(t, !m.ApplyOutcomeCounts(origin, r[0], health.OutcomeCounts{Completed: 100, Failed: 4, ConsecutiveFailedJobs: 4}))
 	assert.Assert(t, m.ApplyOutcomeCounts(due, r[0], health.OutcomeCounts{Completed: 100, Failed: 5, ConsecutiveFailedJobs: 5}))
@@ -227,6 +227,6 @@
 		m.ApplyOutcomeCounts(origin, one, health.OutcomeCounts{Failed: 3, ConsecutiveFailedJobs: 3})
 	}
 	for _, one := range r {
-		assert.Equal(t, judge(m, origin, one), health.Healthy)
+		assert.Equal(t, evaluate(m, origin, one), health.Healthy)
 	}
 }
--- a/dispatch/health/probe.go
+++ b/dispatch/health/probe.go
@@ -32,7 +32,7 @@
 }
 
 func (m *Monitor) reset(now time.Time, r *Record) {
-	m.setStanding(r, Healthy)
+	m.setStatus(r, Healthy)
 	r.speed = 1
 	r.probing = false
 	r.resetAt = now
@@ -54,7 +54,7 @@
 }
 
 // Status returns the health status of the endpoint.
-func (r *Record) Status() Status { return r.standing }
+func (r *Record) Status() Status { return r.status }
 
 // RelativeSpeed returns the endpoint's speed relative to its peers, 1 when equal.
 func (r *Record) RelativeSpeed() float64 { return r.speed }
@@ -62,7 +62,7 @@
 // ProbeAt returns when the next probe is due; zero while one is in flight or none is
 // needed.
 func (r *Record) ProbeAt() time.Time {
-	if !r.standing.Ejected() || r.probing {
+	if !r.status.Ejected() || r.probing {
 		return time.Time{}
 	}
 	return r.probeAt
--- a/dispatch/health/streak.go
+++ b/dispatch/health/streak.go
@@ -164,7 +164,7 @@
 		return false
 	}
 	r.reported = p
-	if r.standing != EjectedFailing || r.probing {
+	if r.status != EjectedFailing || r.probing {
 		return false
 	}
 	switch {
@@ -206,7 +206,7 @@
 func (m *Monitor) peersMeanStreak(r *Record) float64 {
 	sum, peers := 0, 0
 	for _, other := range m.records {
-		if other != r && !other.standing.Ejected() {
+		if other != r && !other.status.Ejected() {
 			sum += min(other.reported.ConsecutiveFailedJobs, minEjectJobs)
 			peers++
 		}
--- a/dispatch/placement/endpoint.go
+++ b/dispatch/placement/endpoint.go
@@ -110,9 +110,9 @@
 
 // rank returns the level by which the endpoint is chosen, noLevel if it cannot be. A slow
 // endpoint comes after all normal ones, also after those that are full but have fewer own
-// starts than floor: a task waiting for a normal endpoint is mostly answered sooner. One on
+// starts than minInFlight: a task waiting for a normal endpoint is mostly answered sooner. One on
 // trial comes last.
-func (e *Endpoint) rank(floor int) int {
+func (e *Endpoint) rank(minInFlight int) int {
 	if e.excluded || e.Unavailable() {
 		return noLevel
 	}
@@ -126,7 +126,7 @@
 		return slowLevel
 	case e.slotWeight < 1:
 		return noLevel
-	case free <= 0 && (e.noQueue || e.own >= floor):
+	case free <= 0 && (e.noQueue || e.own >= minInFlight):
 		return noLevel
 	}
 	return min(max(lowestLevel, free), highestLevel)
--- a/dispatch/placement/placement_test.go
+++ b/dispatch/placement/placement_test.go
@@ -12,8 +12,8 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newSet(floor int) *placement.Set {
-	return placement.New(placement.Options{DataCentre: "near", MinInFlight: floor}, rand.New(rand.NewPCG(1, 2)))
+func newSet(minInFlight int) *placement.Set {
+	return placement.New(placement.Options{DataCentre: "near", MinInFlight: minInFlight}, rand.New(rand.NewPCG(1, 2)))
 }
 
 func add(s *placement.Set, id, dataCentre string, slots int) *placement.Endpoint {
@@ -23,7 +23,7 @@
 }
 
 // TestKnownFreeOrder: the endpoint with the most free slots goes first, one in the entry's
-// data centre on a tie, then a full one with fewer own starts than the floor, then a slow one.
+// data centre on a tie, then a full one with fewer own starts than MinInFlight, then a slow one.
 // The one to avoid is chosen only if there is no other.
 func TestKnownFreeOrder(t *testing.T) {
 	s := newSet(1)
@@ -107,7 +107,7 @@
 }
 
 // TestNoQueue: a start above the slots of an endpoint without a queue would be refused, so the
-// floor does not apply there.
+// MinInFlight does not apply there.
 func TestNoQueue(t *testing.T) {
 	s := newSet(1)
 	e := s.Add("a", "near")
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -167,7 +167,7 @@
 // Estimate changes the expected run times of the job's tasks, by index, and the run times that
 // count for them in the admission of other jobs. A started task keeps its estimate, because it
 // was charged with it.
-func (q *Queue) Estimate(now time.Time, j *Job, estimates, shown []time.Duration) {
+func (q *Queue) Estimate(now time.Time, j *Job, estimates, admissionEstimates []time.Duration) {
 	if j.removed {
 		return
 	}
@@ -177,12 +177,12 @@
 		j.Estimates[index] = estimates[index]
 	}
 	j.account.addArrivals(now, j, -1)
-	j.AdmissionEstimates = shown
+	j.AdmissionEstimates = admissionEstimates
 	j.sizeClass = sizeClassOf(sum(estimates))
 	j.sort()
 	j.account.addArrivals(now, j, 1)
 	for _, index := range j.waiting {
-		q.addWork(j, shown[index])
+		q.addWork(j, admissionEstimates[index])
 	}
 	j.key = q.opts.Order.Key(j)
 	j.account.heap(j).Fix(j)
--- a/dispatch/queue/shares.go
+++ b/dispatch/queue/shares.go
@@ -252,7 +252,7 @@
 			weights += a.weight
 		}
 	}
-	load := ClientLoad{FairShare: weight / weights, OthersSlots: s.othersRate(now, own), Idle: true}
+	load := ClientLoad{FairShare: weight / weights, OthersSlots: s.othersSlots(now, own), Idle: true}
 	if own == nil {
 		return load
 	}
@@ -267,11 +267,11 @@
 	return load
 }
 
-// othersRate returns the number of slots that all clients but one use: what they used
+// othersSlots returns the number of slots that all clients but one use: what they used
 // recently, or what they hold now if that is more. In the first seconds of a burst they have
 // used little; by recent use alone each client would count on nearly all slots, and more jobs
 // would be admitted than can be answered.
-func (s *shares) othersRate(now time.Time, own *account) float64 {
+func (s *shares) othersSlots(now time.Time, own *account) float64 {
 	used, startedTasks := s.total.Rate(now, rateHalfLife), s.startedTasks
 	if own != nil {
 		used -= own.used.Rate(now, rateHalfLife)
--- a/dispatch/scheduler/decide.go
+++ b/dispatch/scheduler/decide.go
@@ -27,9 +27,9 @@
 	timers    *indexed.Heap[*endpoint]
 	dueProbes []*endpoint
 
-	admissionGate   *admission.Controller
-	runTimes        *estimate.Table
-	provisionalJobs provisionalJobs
+	admissionController *admission.Controller
+	runTimes            *estimate.Table
+	provisionalJobs     provisionalJobs
 	// retest holds, by client, the retest schedule of clients whose jobs were rejected
 	// because of their learnt run times.
 	retest map[string]*retest
@@ -72,19 +72,19 @@
 // New returns a Scheduler with no endpoints.
 func New(o Options, rng *rand.Rand) *Scheduler {
 	return &Scheduler{
-		opts:            o,
-		jobs:            map[JobID]*jobState{},
-		inFlight:        map[TaskRef]*attempt{},
-		endpoints:       map[EndpointID]*endpoint{},
-		queue:           queue.New(o.queue()),
-		candidates:      placement.New(placement.Options{DataCentre: o.DataCentre, MinInFlight: o.floor(), Chooser: o.Placement}, rng),
-		timers:          newTimerHeap(),
-		admissionGate:   admission.New(o.Admission, rng),
-		runTimes:        estimate.New(o.Estimate),
-		provisionalJobs: provisionalJobs{},
-		retest:          map[string]*retest{},
-		health:          health.New(o.health(rng)),
-		budget:          retry.New(o.Retry),
+		opts:                o,
+		jobs:                map[JobID]*jobState{},
+		inFlight:            map[TaskRef]*attempt{},
+		endpoints:           map[EndpointID]*endpoint{},
+		queue:               queue.New(o.queue()),
+		candidates:          placement.New(placement.Options{DataCentre: o.DataCentre, MinInFlight: o.minInFlight(), Chooser: o.Placement}, rng),
+		timers:              newTimerHeap(),
+		admissionController: admission.New(o.Admission, rng),
+		runTimes:            estimate.New(o.Estimate),
+		provisionalJobs:     provisionalJobs{},
+		retest:              map[string]*retest{},
+		health:              health.New(o.health(rng)),
+		budget:              retry.New(o.Retry),
 	}
 }
 
@@ -97,9 +97,9 @@
 	state, demand := s.prepare(now, job)
 	load := s.load(now, state)
 	if s.usable == 0 {
-		return &AdmissionError{Err: ErrNoEndpoint, RetryAfter: s.admissionGate.RetryAfterNoEndpoint()}
+		return &AdmissionError{Err: ErrNoEndpoint, RetryAfter: s.admissionController.RetryAfterNoEndpoint()}
 	}
-	verdict, retryAfter := s.admissionGate.Decide(now, load, demand)
+	verdict, retryAfter := s.admissionController.Decide(now, load, demand)
 	switch {
 	case verdict == admission.QueueFull:
 		return &AdmissionError{Err: ErrQueueFull, RetryAfter: retryAfter}
@@ -124,7 +124,7 @@
 
 // assess returns the figures that explain why a job was rejected.
 func (s *Scheduler) assess(l admission.Load, d admission.Demand) *BacklogForecast {
-	forecast := s.admissionGate.Forecast(l, d)
+	forecast := s.admissionController.Forecast(l, d)
 	return &BacklogForecast{
 		Queued:      l.Waiting,
 		InFlight:    len(s.inFlight),
--- a/dispatch/scheduler/guess.go
+++ b/dispatch/scheduler/guess.go
@@ -68,19 +68,19 @@
 // are evaluated by it.
 func (s *Scheduler) reestimate(now time.Time, job *jobState, kind string) {
 	estimates := slices.Clone(job.Estimates)
-	shown := slices.Clone(job.AdmissionEstimates)
+	admissionEstimates := slices.Clone(job.AdmissionEstimates)
 	learnt := false
 	for i, of := range job.kinds {
 		if of != kind {
 			continue
 		}
 		e := s.runTimes.Estimate(job.Client, kind, job.declared[i], job.runLimit)
-		estimates[i], shown[i], learnt = e.Mean, e.Observed, e.FromSamples
+		estimates[i], admissionEstimates[i], learnt = e.Mean, e.Observed, e.FromSamples
 		if started := s.inFlight[TaskRef{Job: JobID(job.ID), Index: i}]; started != nil {
 			started.expected = e.Observed
 		}
 	}
-	s.queue.Estimate(now, &job.Job, estimates, shown)
+	s.queue.Estimate(now, &job.Job, estimates, admissionEstimates)
 	if learnt {
 		k := kindKey{job.Client, kind}
 		delete(job.provisionalKinds, k)
--- a/dispatch/scheduler/machine_test.go
+++ b/dispatch/scheduler/machine_test.go
@@ -143,9 +143,9 @@
 		job.Tasks[i].Kind = rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "kind")
 	}
 	err := m.s.Admit(m.now, job)
-	var refusal *scheduler.AdmissionError
-	if errors.As(err, &refusal) {
-		assert.Assert(t, refusal.RetryAfter > 0)
+	var rejection *scheduler.AdmissionError
+	if errors.As(err, &rejection) {
+		assert.Assert(t, rejection.RetryAfter > 0)
 		return
 	}
 	assert.NilError(t, err)
@@ -191,26 +191,26 @@
 	}
 	for range rapid.IntRange(1, len(m.open)).Draw(t, "ends") {
 		i := rapid.IntRange(0, len(m.open)-1).Draw(t, "which")
-		verdict := scheduler.Outcome(rapid.IntRange(0, int(scheduler.Cancelled)).Draw(t, "verdict"))
+		outcome := scheduler.Outcome(rapid.IntRange(0, int(scheduler.Cancelled)).Draw(t, "verdict"))
 		if m.open[i].Endpoint == "a" {
 			// One endpoint fails everything, so that it is ejected and probed.
-			verdict = scheduler.Failed
+			outcome = scheduler.Failed
 		}
-		m.done(t, i, verdict)
+		m.done(t, i, outcome)
 	}
 }
 
-func (m *machine) done(t *rapid.T, i int, verdict scheduler.Outcome) {
+func (m *machine) done(t *rapid.T, i int, outcome scheduler.Outcome) {
 	a := m.open[i]
 	m.open = slices.Delete(m.open, i, i+1)
 	m.ended = append(m.ended, a)
-	requeued := m.s.Done(m.now, a, scheduler.Result{Outcome: verdict})
+	requeued := m.s.Done(m.now, a, scheduler.Result{Outcome: outcome})
 	job := m.jobs[a.Task.Job]
 	if requeued {
 		assert.Assert(t, job != nil, "requeued a task of a job that is gone")
-		retryAllowed := verdict == scheduler.Refused
-		retryAllowed = retryAllowed || job.Idempotent && (verdict == scheduler.Failed || verdict == scheduler.Lost)
-		assert.Assert(t, retryAllowed, "retried after verdict %d", verdict)
+		retryAllowed := outcome == scheduler.Refused
+		retryAllowed = retryAllowed || job.Idempotent && (outcome == scheduler.Failed || outcome == scheduler.Lost)
+		assert.Assert(t, retryAllowed, "retried after verdict %d", outcome)
 		job.waiting[a.Task.Index] = true
 		return
 	}
--- a/dispatch/scheduler/model_cases_test.go
+++ b/dispatch/scheduler/model_cases_test.go
@@ -71,8 +71,8 @@
 	assert.Equal(t, shipped.failed, 0)
 	fifo := run(modelCase{FIFO: true, Variant: baseline.Variant{Placement: "two_choices", Order: "fifo"}})
 	assert.Assert(t, mean(fifo.slowdowns) > 1.5*mean(shipped.slowdowns), "%v", fifo)
-	noFloor := run(modelCase{Variant: baseline.Variant{MinInFlight: ptr(0)}})
-	assert.Assert(t, mean(noFloor.slowdowns) > 1.1*mean(shipped.slowdowns), "%v", noFloor)
+	noMinInFlight := run(modelCase{Variant: baseline.Variant{MinInFlight: ptr(0)}})
+	assert.Assert(t, mean(noMinInFlight.slowdowns) > 1.1*mean(shipped.slowdowns), "%v", noMinInFlight)
 }
 
 // TestModelSlowGuard: one guard runs everything at a tenth of the normal speed, and its
--- a/dispatch/scheduler/model_test.go
+++ b/dispatch/scheduler/model_test.go
@@ -151,25 +151,25 @@
 }
 
 type modelGuard struct {
-	m       *model
-	id      scheduler.EndpointID
-	faulty  bool
-	running int
-	queue   []*modelStart
-	open    []int // by entry
-	version uint64
-	past    scheduler.OutcomeCounts
+	m        *model
+	id       scheduler.EndpointID
+	faulty   bool
+	running  int
+	queue    []*modelStart
+	open     []int // by entry
+	version  uint64
+	outcomes scheduler.OutcomeCounts
 	// failures holds the jobs that failed since the last success, with the time at
 	// which the failed task began.
 	failures map[*modelJob]time.Time
 }
 
 type modelStart struct {
-	entry   *modelEntry
-	a       scheduler.Assignment
-	run     time.Duration
-	urgency int
-	job     *modelJob
+	entry    *modelEntry
+	a        scheduler.Assignment
+	run      time.Duration
+	priority int
+	job      *modelJob
 	// arrival and overtaken mirror the fields of a guard's queue ticket.
 	arrival, overtaken int
 }
@@ -324,8 +324,8 @@
 		m.result.submitted++
 	}
 	err := e.s.Admit(m.now, j.Job)
-	var refusal *scheduler.AdmissionError
-	if errors.As(err, &refusal) {
+	var rejection *scheduler.AdmissionError
+	if errors.As(err, &rejection) {
 		if measured {
 			m.result.rejected++
 			if m.protects(j) {
@@ -334,7 +334,7 @@
 		}
 		if m.ComeBack {
 			m.result.resubmitted++
-			m.after(refusal.RetryAfter, func() { e.submit(j) })
+			m.after(rejection.RetryAfter, func() { e.submit(j) })
 		}
 		return
 	}
@@ -356,7 +356,7 @@
 		j := e.jobs[a.Task.Job]
 		i, _ := strconv.Atoi(string(a.Endpoint))
 		g := m.guards[i]
-		st := &modelStart{entry: e, a: a, run: j.runs[a.Task.Index], urgency: j.Priority, job: j}
+		st := &modelStart{entry: e, a: a, run: j.runs[a.Task.Index], priority: j.Priority, job: j}
 		m.result.starts++
 		m.after(modelLatency, func() { g.receive(st) })
 	}
@@ -438,8 +438,8 @@
 	g.queue = append(g.queue, st)
 	if !g.m.FIFO {
 		slices.SortStableFunc(g.queue, func(a, b *modelStart) int {
-			if a.urgency != b.urgency {
-				return b.urgency - a.urgency
+			if a.priority != b.priority {
+				return b.priority - a.priority
 			}
 			return a.a.TasksLeft - b.a.TasksLeft
 		})
@@ -498,15 +498,15 @@
 
 func (g *modelGuard) count(st *modelStart, began time.Time, v scheduler.Outcome) {
 	if v == scheduler.Failed {
-		g.past.Failed++
+		g.outcomes.Failed++
 		g.failures[st.job] = began
 	} else {
-		g.past.Completed++
+		g.outcomes.Completed++
 		maps.DeleteFunc(g.failures, func(_ *modelJob, failed time.Time) bool { return failed.Before(began) })
 	}
-	g.past.ConsecutiveFailedJobs = 0
+	g.outcomes.ConsecutiveFailedJobs = 0
 	for _, n := range g.failuresByClient() {
-		g.past.ConsecutiveFailedJobs += min(2, n)
+		g.outcomes.ConsecutiveFailedJobs += min(2, n)
 	}
 }
 
@@ -533,7 +533,7 @@
 	g.version++
 	r := scheduler.Report{Version: g.version, OthersInFlight: others, Slots: modelSlots}
 	if !g.m.Mute {
-		r.Outcomes = g.past
+		r.Outcomes = g.outcomes
 	}
 	return r
 }
--- a/dispatch/scheduler/options.go
+++ b/dispatch/scheduler/options.go
@@ -81,7 +81,7 @@
 	Retry     retry.Options
 }
 
-func (o Options) floor() int {
+func (o Options) minInFlight() int {
 	switch {
 	case o.MinInFlight == 0:
 		return DefaultMinInFlight
@@ -91,7 +91,7 @@
 	return o.MinInFlight
 }
 
-func (o Options) fairSlack() time.Duration {
+func (o Options) fairnessSlack() time.Duration {
 	switch {
 	case o.FairnessSlack == 0:
 		return DefaultFairnessSlack
@@ -122,7 +122,7 @@
 	return queue.Options{
 		Order:          o.Order,
 		NoFairQueueing: o.DisableFairQueueing,
-		Slack:          o.fairSlack(),
+		Slack:          o.fairnessSlack(),
 		Ageing:         o.ageing(),
 	}
 }
--- a/dispatch/scheduler/retest.go
+++ b/dispatch/scheduler/retest.go
@@ -24,7 +24,7 @@
 // admission. While all such jobs are rejected, nothing runs that could correct the
 // learnt run times.
 func (s *Scheduler) retestDue(now time.Time, job *jobState, l admission.Load, d admission.Demand) (due bool, wait time.Duration) {
-	if !d.Learnt || s.admissionGate.Feasible(l, d) {
+	if !d.Learnt || s.admissionController.Feasible(l, d) {
 		return false, 0
 	}
 	r := s.retest[job.Client]
@@ -33,7 +33,7 @@
 		s.retest[job.Client] = r
 	}
 	if now.Before(r.due) {
-		return false, s.admissionGate.AddJitter(r.due.Sub(now))
+		return false, s.admissionController.AddJitter(r.due.Sub(now))
 	}
 	r.due = now.Add(r.interval)
 	r.interval = min(2*r.interval, maxRetest)
--- a/dispatch/scheduler/retest_test.go
+++ b/dispatch/scheduler/retest_test.go
@@ -62,10 +62,10 @@
 	for n := range 600 {
 		now = now.Add(100 * time.Millisecond)
 		err := s.Admit(now, retestJob(now, n))
-		var refusal *scheduler.AdmissionError
-		if errors.As(err, &refusal) {
+		var rejection *scheduler.AdmissionError
+		if errors.As(err, &rejection) {
 			assert.ErrorIs(t, err, scheduler.ErrBacklog)
-			assert.Assert(t, refusal.RetryAfter > 0 && refusal.RetryAfter < 40*time.Second, "%s", refusal.RetryAfter)
+			assert.Assert(t, rejection.RetryAfter > 0 && rejection.RetryAfter < 40*time.Second, "%s", rejection.RetryAfter)
 			continue
 		}
 		admitted++
--- a/dispatch/scheduler/scheduler_test.go
+++ b/dispatch/scheduler/scheduler_test.go
@@ -57,10 +57,10 @@
 func TestAdmissionWithoutEndpoints(t *testing.T) {
 	s := newScheduler(scheduler.Options{})
 	err := s.Admit(start, newJob("j", 1))
-	var refusal *scheduler.AdmissionError
-	assert.Assert(t, errors.As(err, &refusal))
+	var rejection *scheduler.AdmissionError
+	assert.Assert(t, errors.As(err, &rejection))
 	assert.ErrorIs(t, err, scheduler.ErrNoEndpoint)
-	assert.Assert(t, refusal.RetryAfter > 0)
+	assert.Assert(t, rejection.RetryAfter > 0)
 }
 
 // TestRetries checks that a refused task is retried elsewhere and that a task that may
@@ -68,7 +68,7 @@
 // only once, since a task that exceeds its run limit would take as long to fail again.
 func TestRetries(t *testing.T) {
 	for _, c := range []struct {
-		verdict    scheduler.Outcome
+		outcome    scheduler.Outcome
 		idempotent bool
 		starts     int
 	}{
@@ -92,9 +92,9 @@
 			for ; !ok; a, ok = s.Next(now) {
 				now = s.NextWakeup(now)
 			}
-			assert.Assert(t, a.Endpoint != last || c.verdict == scheduler.Refused)
+			assert.Assert(t, a.Endpoint != last || c.outcome == scheduler.Refused)
 			last = a.Endpoint
-			requeued = s.Done(now, a, scheduler.Result{Outcome: c.verdict})
+			requeued = s.Done(now, a, scheduler.Result{Outcome: c.outcome})
 		}
 		assert.Equal(t, starts, c.starts, "%+v", c)
 		assert.Equal(t, s.Stats(), scheduler.QueueStats{Endpoints: 2})
