--- a/entry/burn/burn.go
+++ b/entry/burn/burn.go
@@ -62,7 +62,7 @@
 	bucketWidth = 30 * time.Second
 	// BudgetWindow is the longest window, over which the error budget is computed.
 	BudgetWindow = 6 * time.Hour
-	// ringSize is the number of buckets in the horizon, and one for the bucket
+	// ringSize is the number of buckets in BudgetWindow, and one for the bucket
 	// being filled.
 	ringSize = int(BudgetWindow/bucketWidth) + 1
 	// pointWidth is the time covered by one point of a plot.
@@ -70,7 +70,7 @@
 	pointCount = int(BudgetWindow / pointWidth)
 )
 
-// Counts holds the number of jobs of each kind. It is encoded in JSON as an array
+// Counts holds the number of jobs with each outcome. It is encoded in JSON as an array
 // in the order of the kinds.
 type Counts [kindCount]uint64
 
@@ -92,7 +92,7 @@
 	return c[Late] + c[Failed] + c[RejectedWithinContract]
 }
 
-// Ratio returns the fraction of answers that are of kind k; 0 without answers.
+// Ratio returns the fraction of answers with the outcome k; 0 without answers.
 func (c Counts) Ratio(k Outcome) float64 { return ratio(c[k], c.Answers()) }
 
 // BurnRate returns the ratio of bad answers divided by the error budget. It returns
--- a/entry/burn/burn_test.go
+++ b/entry/burn/burn_test.go
@@ -130,9 +130,9 @@
 func report(t *testing.T) burn.Report {
 	t.Helper()
 	r := burn.NewRecorder(start)
-	record := func(client string, kind burn.Outcome, n int) {
+	record := func(client string, outcome burn.Outcome, n int) {
 		for range n {
-			r.Record(start, burn.Observation{Client: client, Outcome: kind, Latency: 40 * time.Millisecond})
+			r.Record(start, burn.Observation{Client: client, Outcome: outcome, Latency: 40 * time.Millisecond})
 		}
 	}
 	record("broken", burn.Failed, 1)
--- a/entry/burn/page.go
+++ b/entry/burn/page.go
@@ -47,7 +47,7 @@
 	}{r.footer(), rows})
 }
 
-// burnPlot plots the burn rate over the horizon on a logarithmic scale, with the
+// burnPlot plots the burn rate over BudgetWindow on a logarithmic scale, with the
 // latest value on the right. The line at 1 marks the burn rate that the objective
 // allows.
 func burnPlot(row Row) template.HTML {
--- a/entry/burn/recorder.go
+++ b/entry/burn/recorder.go
@@ -69,7 +69,7 @@
 	mu      sync.Mutex // serialises the change of a bucket's epoch
 	buckets [ringSize]bucket
 	// latencyHalves holds the latency histograms of the current and the previous
-	// half horizon, so that old latencies expire without a ring of histograms.
+	// half of BudgetWindow, so that old latencies expire without a ring of histograms.
 	latencyHalves [2]latencyBucket
 }
 
@@ -113,7 +113,7 @@
 	h.counts[bucketOf(o.Latency)].Add(1)
 }
 
-// epochsPerHalf is the length of a half horizon, in epochs.
+// epochsPerHalf is the length of half of BudgetWindow, in epochs.
 const epochsPerHalf = int64(ringSize / 2)
 
 // resetIfStale clears a bucket for a new epoch if it holds an older one. A count
--- a/entry/burn/report.go
+++ b/entry/burn/report.go
@@ -24,7 +24,7 @@
 }
 
 // Row is the part of a report about one client. Ratios, Answers and BudgetLeft are
-// computed over the horizon of six hours.
+// computed over BudgetWindow, six hours.
 type Row struct {
 	Customer      string  `json:"customer"`
 	Objective     float64 `json:"objective"`
@@ -79,16 +79,16 @@
 }
 
 func newRow(c ClientCounts) Row {
-	horizon := c.Windows[len(c.Windows)-1]
+	budgetWindow := c.Windows[len(c.Windows)-1]
 	row := Row{
 		Customer:      c.Name,
 		Objective:     c.Objective,
-		Answers:       horizon.Answers(),
-		Late:          horizon.Ratio(Late),
-		Failed:        horizon.Ratio(Failed),
-		RefusedWithin: horizon.Ratio(RejectedWithinContract),
-		RefusedOver:   horizon[RejectedOverContract],
-		BudgetLeft:    1 - horizon.BurnRate(c.Objective),
+		Answers:       budgetWindow.Answers(),
+		Late:          budgetWindow.Ratio(Late),
+		Failed:        budgetWindow.Ratio(Failed),
+		RefusedWithin: budgetWindow.Ratio(RejectedWithinContract),
+		RefusedOver:   budgetWindow[RejectedOverContract],
+		BudgetLeft:    1 - budgetWindow.BurnRate(c.Objective),
 		P50Ms:         milliseconds(c.Latency.Quantile(0.5)),
 		P99Ms:         milliseconds(c.Latency.Quantile(0.99)),
 		latency:       c.Latency,
--- a/entry/burn/snapshot.go
+++ b/entry/burn/snapshot.go
@@ -41,7 +41,7 @@
 	// in order.
 	Windows []Counts  `json:"windows"`
 	Latency Histogram `json:"latency"`
-	// Series holds the counts of the horizon in steps of five minutes, the latest
+	// Series holds the counts of BudgetWindow in steps of five minutes, the latest
 	// first. It ends at the oldest step with a count.
 	Series []Counts `json:"series,omitempty"`
 }
--- a/entry/contracts/machine_test.go
+++ b/entry/contracts/machine_test.go
@@ -86,8 +86,8 @@
 
 func client(t *rapid.T) string { return rapid.SampledFrom(clients).Draw(t, "customer") }
 
-// expect draws the revision in force, none, or any.
-func expect(t *rapid.T, b *testEntry, name string) contracts.Precondition {
+// precondition draws the revision in force, none, or any.
+func precondition(t *rapid.T, b *testEntry, name string) contracts.Precondition {
 	switch rapid.IntRange(0, 3).Draw(t, "expect") {
 	case 0:
 		return contracts.Precondition{Revision: 0}
@@ -123,7 +123,7 @@
 
 func (m *machine) Apply(t *rapid.T) {
 	b, c := m.node(t), m.change(client(t))
-	written, err := b.writer.Apply(context.Background(), c, expect(t, b, c.Client))
+	written, err := b.writer.Apply(context.Background(), c, precondition(t, b, c.Client))
 	m.recordResult(t, c, written, err)
 }
 
--- a/entry/contracts/registry_test.go
+++ b/entry/contracts/registry_test.go
@@ -84,10 +84,10 @@
 
 func tokenDigest(token string) [32]byte { return sha256.Sum256([]byte(token)) }
 
-func sample(customer string, rate float64) contract.Contract {
-	digest := tokenDigest("token of " + customer)
+func sample(client string, rate float64) contract.Contract {
+	digest := tokenDigest("token of " + client)
 	return contract.Contract{
-		Client:       customer,
+		Client:       client,
 		State:        contract.Active,
 		Rate:         rate,
 		Burst:        100,
@@ -122,10 +122,10 @@
 }
 
 // waitForRate waits until the client's contract has the rate at the entry.
-func (b *testEntry) waitForRate(t *testing.T, customer string, rate float64) {
+func (b *testEntry) waitForRate(t *testing.T, client string, rate float64) {
 	t.Helper()
-	eventually(t, "contract of "+customer+" in force", func() bool {
-		c, found := b.registry.ByClient(customer)
+	eventually(t, "contract of "+client+" in force", func() bool {
+		c, found := b.registry.ByClient(client)
 		return found && c.Rate == rate
 	})
 }
--- a/entry/contracts/writer.go
+++ b/entry/contracts/writer.go
@@ -101,7 +101,7 @@
 // *contract.InvalidError, a *ConflictError, ErrStoreUnavailable (nothing was changed) or
 // ErrUnknownOutcome. Repeating a change that was made succeeds with the revision of the
 // first time.
-func (w *Writer) Apply(ctx context.Context, c contract.Contract, expect Precondition) (WriteResult, error) {
+func (w *Writer) Apply(ctx context.Context, c contract.Contract, precondition Precondition) (WriteResult, error) {
 	if err := c.Check(); err != nil {
 		return WriteResult{}, err
 	}
@@ -109,12 +109,12 @@
 		return WriteResult{}, err
 	}
 	edit := func(*record) (contract.Contract, error) { return c, nil }
-	return w.write(ctx, c.Client, expect, edit)
+	return w.write(ctx, c.Client, precondition, edit)
 }
 
 // Retire ends a client's contract.
-func (w *Writer) Retire(ctx context.Context, client string, expect Precondition) (WriteResult, error) {
-	return w.write(ctx, client, expect, func(base *record) (contract.Contract, error) {
+func (w *Writer) Retire(ctx context.Context, client string, precondition Precondition) (WriteResult, error) {
+	return w.write(ctx, client, precondition, func(base *record) (contract.Contract, error) {
 		if base == nil {
 			return contract.Contract{}, ErrNotFound
 		}
@@ -221,7 +221,7 @@
 // without a new version (by a repair).
 const maxTries = 4
 
-func (w *Writer) write(ctx context.Context, client string, expect Precondition, edit func(*record) (contract.Contract, error)) (WriteResult, error) {
+func (w *Writer) write(ctx context.Context, client string, precondition Precondition, edit func(*record) (contract.Contract, error)) (WriteResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Timeout)
 	defer cancel()
 	change := w.opts.NewChangeID()
@@ -234,7 +234,7 @@
 		if err != nil {
 			return WriteResult{}, err
 		}
-		if written, done, err := b.precheck(c, expect); done {
+		if written, done, err := b.precheck(c, precondition); done {
 			return written, err
 		}
 		c.ChangeID = change
@@ -259,19 +259,19 @@
 
 // precheck reports whether a change is decided before anything is written: the store
 // already holds the content, or doesn't hold the expected version.
-func (b *base) precheck(c contract.Contract, expect Precondition) (written WriteResult, done bool, err error) {
+func (b *base) precheck(c contract.Contract, precondition Precondition) (written WriteResult, done bool, err error) {
 	// The newer value may be an accepted change made at an entry of a newer release: the
 	// operator has to agree explicitly to replace it.
-	if b.unreadableRevision > 0 && !expect.AnyRevision {
-		return WriteResult{}, true, &ConflictError{Expected: expect.Revision, Current: Version{Revision: b.unreadableRevision}}
+	if b.unreadableRevision > 0 && !precondition.AnyRevision {
+		return WriteResult{}, true, &ConflictError{Expected: precondition.Revision, Current: Version{Revision: b.unreadableRevision}}
 	}
-	expected := expect.AnyRevision || expect.Revision == b.revision()
+	expected := precondition.AnyRevision || precondition.Revision == b.revision()
 	same := b.stored && b.record.Contract.SameTerms(c)
 	switch {
-	case (same && expected) || b.isRepeat(c, expect.Revision):
+	case (same && expected) || b.isRepeat(c, precondition.Revision):
 		return WriteResult{Revision: b.revision(), Unchanged: true}, true, nil
 	case !expected:
-		return WriteResult{}, true, conflictError(expect.Revision, b.record)
+		return WriteResult{}, true, conflictError(precondition.Revision, b.record)
 	}
 	return WriteResult{}, false, nil
 }
@@ -284,10 +284,10 @@
 	return b.stored && b.record.Contract.SameTerms(c) && b.record.Previous == previous
 }
 
-func conflictError(expected int64, winner *record) error {
+func conflictError(expected int64, current *record) error {
 	e := &ConflictError{Expected: expected}
-	if winner != nil {
-		e.Current = winner.Version
+	if current != nil {
+		e.Current = current.Version
 	}
 	return e
 }
--- a/entry/engine/engine_test.go
+++ b/entry/engine/engine_test.go
@@ -363,12 +363,12 @@
 }
 
 // faultyDecider assigns every task twice and requeues each one.
-type faultyDecider struct {
+type faultyPolicy struct {
 	scheduler.Policy
 	queue []scheduler.TaskRef
 }
 
-func (d *faultyDecider) Admit(_ time.Time, j scheduler.Job) error {
+func (d *faultyPolicy) Admit(_ time.Time, j scheduler.Job) error {
 	for i := range j.Tasks {
 		ref := scheduler.TaskRef{Job: j.ID, Index: i}
 		d.queue = append(d.queue, ref, ref)
@@ -376,7 +376,7 @@
 	return nil
 }
 
-func (d *faultyDecider) Next(now time.Time) (scheduler.Assignment, bool) {
+func (d *faultyPolicy) Next(now time.Time) (scheduler.Assignment, bool) {
 	if len(d.queue) == 0 {
 		return scheduler.Assignment{}, false
 	}
@@ -385,24 +385,24 @@
 	return scheduler.Assignment{Task: ref, Endpoint: "a#1", DecidedAt: now}, true
 }
 
-func (d *faultyDecider) Done(_ time.Time, a scheduler.Assignment, r scheduler.Result) bool {
+func (d *faultyPolicy) Done(_ time.Time, a scheduler.Assignment, r scheduler.Result) bool {
 	if r.Outcome != scheduler.Cancelled {
 		d.queue = append(d.queue, a.Task)
 	}
 	return true
 }
 
-func (d *faultyDecider) SetEndpoint(time.Time, scheduler.Endpoint)  {}
-func (d *faultyDecider) Drop(scheduler.JobID) []scheduler.TaskRef   { return nil }
-func (d *faultyDecider) NextWakeup(time.Time) (none time.Time)      { return none }
-func (d *faultyDecider) Expired(time.Time) (none []scheduler.JobID) { return none }
+func (d *faultyPolicy) SetEndpoint(time.Time, scheduler.Endpoint)  {}
+func (d *faultyPolicy) Drop(scheduler.JobID) []scheduler.TaskRef   { return nil }
+func (d *faultyPolicy) NextWakeup(time.Time) (none time.Time)      { return none }
+func (d *faultyPolicy) Expired(time.Time) (none []scheduler.JobID) { return none }
 
-// A scheduler error must not make a task run twice. The decider assigns each task twice and
+// A scheduler error must not make a task run twice. The policy assigns each task twice and
 // requeues each after it may have run; the engine must start each once and fail the job.
 func TestFaultyDeciderDoesNotRunTaskTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStarter()
-		e := New(Options{Starter: f, NewDecider: func(string) scheduler.Policy { return &faultyDecider{} }})
+		e := New(Options{Starter: f, NewDecider: func(string) scheduler.Policy { return &faultyPolicy{} }})
 		e.SetEndpoint(serviceName, scheduler.Endpoint{ID: "a#1"})
 		s := submit(e, f, "j", 2, true)
 		synctest.Wait()
--- a/entry/engine/service.go
+++ b/entry/engine/service.go
@@ -12,16 +12,16 @@
 	"almondstand.dev/entry/task"
 )
 
-// service runs the jobs of one service. Its lock guards the decider and every job; no blocking
+// service runs the jobs of one service. Its lock guards the policy and every job; no blocking
 // call is made while it is held.
 type service struct {
 	engine *Engine
 	name   string
 
-	mu      sync.Mutex
-	decider scheduler.Policy
-	jobs    map[scheduler.JobID]*job
-	timer   *time.Timer
+	mu     sync.Mutex
+	policy scheduler.Policy
+	jobs   map[scheduler.JobID]*job
+	timer  *time.Timer
 	// timerAt is when the timer fires; zero if it is not set.
 	timerAt    time.Time
 	stopped    bool
@@ -32,10 +32,10 @@
 
 func newService(e *Engine, name string) *service {
 	return &service{
-		engine:  e,
-		name:    name,
-		decider: e.opts.NewDecider(name),
-		jobs:    map[scheduler.JobID]*job{},
+		engine: e,
+		name:   name,
+		policy: e.opts.NewDecider(name),
+		jobs:   map[scheduler.JobID]*job{},
 	}
 }
 
@@ -59,7 +59,7 @@
 	if s.jobs[j.id] != nil {
 		return &scheduler.AdmissionError{Err: scheduler.ErrDuplicateJob, RetryAfter: s.engine.opts.DrainRetry}
 	}
-	if err := s.decider.Admit(j.accepted, j.schedulerJob()); err != nil {
+	if err := s.policy.Admit(j.accepted, j.schedulerJob()); err != nil {
 		s.logRejection(j, err)
 		return err
 	}
@@ -76,19 +76,19 @@
 	s.dispatch(s.now())
 }
 
-// update changes the decider and starts the tasks that can start as a result.
+// update changes the policy's state and starts the tasks that can start as a result.
 func (s *service) update(change func(scheduler.Policy, time.Time)) {
 	s.mu.Lock()
 	defer s.unlock()
 	now := s.now()
-	change(s.decider, now)
+	change(s.policy, now)
 	s.dispatch(now)
 }
 
 func (s *service) backlog() scheduler.QueueStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.decider.Stats()
+	return s.policy.Stats()
 }
 
 // tick answers the jobs whose answer time has passed.
@@ -100,7 +100,7 @@
 	}
 	s.timerAt = time.Time{}
 	now := s.now()
-	for _, id := range s.decider.Expired(now) {
+	for _, id := range s.policy.Expired(now) {
 		if j := s.jobs[id]; j != nil {
 			s.failJob(j, task.CodeDeadline, "the answer time of the contract passed")
 		}
@@ -111,15 +111,15 @@
 // dispatch starts every task that can start now. The caller holds the lock.
 func (s *service) dispatch(now time.Time) {
 	for {
-		a, ok := s.decider.Next(now)
+		a, ok := s.policy.Next(now)
 		if !ok {
 			break
 		}
 		j := s.jobs[a.Task.Job]
 		if j == nil || !j.start(a.Task.Index) {
-			// The decider assigned a task that is not pending. Starting it could run
+			// The policy assigned a task that is not pending. Starting it could run
 			// the task twice, so the assignment ends here.
-			s.decider.Done(now, a, scheduler.Result{Outcome: scheduler.Cancelled})
+			s.policy.Done(now, a, scheduler.Result{Outcome: scheduler.Cancelled})
 			eventBadAssignment.Log(context.Background(), s.engine.opts.Logger,
 				slog.String("service", s.name), slog.String("job", string(a.Task.Job)), slog.Int("task", a.Task.Index))
 			continue
@@ -129,11 +129,11 @@
 	s.armTimer(now)
 }
 
-// armTimer sets the timer for the next time at which the decider must run without an event. A
+// armTimer sets the timer for the next time at which the policy must run without an event. A
 // timer that fires too early only causes an extra check, so the timer is moved to an earlier time
 // but never to a later one.
 func (s *service) armTimer(now time.Time) {
-	nextWake := s.decider.NextWakeup(now)
+	nextWake := s.policy.NextWakeup(now)
 	if s.stopped || nextWake.IsZero() {
 		return
 	}
@@ -149,7 +149,7 @@
 	s.timer.Reset(wait)
 }
 
-// minTimerDelay prevents a busy loop with a decider that always requests the current time.
+// minTimerDelay prevents a busy loop with a policy that always requests the current time.
 const minTimerDelay = time.Millisecond
 
 func (s *service) stop() {
@@ -205,7 +205,7 @@
 	s.mu.Lock()
 	defer s.unlock()
 	now := s.now()
-	requeued := s.decider.Done(now, a, scheduler.Result{Outcome: verdictOf(j, o), RunTime: o.RunTime})
+	requeued := s.policy.Done(now, a, scheduler.Result{Outcome: outcomeOf(j, o), RunTime: o.RunTime})
 	s.recordOutcome(j, a.Task.Index, o, requeued)
 	s.dispatch(now)
 }
@@ -235,7 +235,7 @@
 	if j.answer != nil {
 		return
 	}
-	s.decider.Drop(j.id)
+	s.policy.Drop(j.id)
 	j.resolveUnfinished(code)
 	s.answerJob(j, code, message)
 	j.cancel()
@@ -267,7 +267,7 @@
 
 // verdictOf translates an outcome for the scheduler. A task of a cancelled or failed job says
 // nothing about the endpoint.
-func verdictOf(j *job, o task.Outcome) scheduler.Outcome {
+func outcomeOf(j *job, o task.Outcome) scheduler.Outcome {
 	switch {
 	case o.OK():
 		return scheduler.Completed
--- a/entry/fleet/bare/client.go
+++ b/entry/fleet/bare/client.go
@@ -125,10 +125,10 @@
 
 // Client calls one runner.
 type Client struct {
-	url       string
-	maxAnswer int64
-	stalled   func() time.Duration
-	transport *http.Transport
+	url         string
+	maxResponse int64
+	stalled     func() time.Duration
+	transport   *http.Transport
 }
 
 // New returns a client of one runner. It dials on the first call.
@@ -154,10 +154,10 @@
 		IdleConnTimeout:     o.IdleTimeout,
 	}
 	return &Client{
-		url:       "http://" + o.Address + "/v1/run",
-		maxAnswer: o.MaxResponseBytes,
-		stalled:   o.StalledTime,
-		transport: transport,
+		url:         "http://" + o.Address + "/v1/run",
+		maxResponse: o.MaxResponseBytes,
+		stalled:     o.StalledTime,
+		transport:   transport,
 	}
 }
 
@@ -232,7 +232,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Response{}, statusError(resp)
 	}
-	if resp.ContentLength > c.maxAnswer {
+	if resp.ContentLength > c.maxResponse {
 		return Response{}, eris.Wrapf(ErrTruncated, "answer of %d bytes is over the limit", resp.ContentLength)
 	}
 	payload, err := readAll(resp)
--- a/entry/member/known.go
+++ b/entry/member/known.go
@@ -21,7 +21,7 @@
 		all = append(all, v.self.Wire())
 	}
 	for _, r := range v.entries {
-		if t.standing(v, r, now) == Live {
+		if t.status(v, r, now) == Live {
 			all = append(all, r.info.Wire())
 		}
 	}
@@ -46,7 +46,7 @@
 	all := make([]Peer, 0, len(v.entries))
 	for _, r := range v.entries {
 		if r.goneAt.IsZero() {
-			all = append(all, Peer{Info: r.info, Status: t.standing(v, r, now), CountedSince: r.countedSince})
+			all = append(all, Peer{Info: r.info, Status: t.status(v, r, now), CountedSince: r.countedSince})
 		}
 	}
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(a.Info.ID, b.Info.ID) })
@@ -60,7 +60,7 @@
 	if !known || !r.goneAt.IsZero() {
 		return Peer{}, false
 	}
-	return Peer{Info: r.info, Status: t.standing(v, r, t.opts.Now()), CountedSince: r.countedSince}, true
+	return Peer{Info: r.info, Status: t.status(v, r, t.opts.Now()), CountedSince: r.countedSince}, true
 }
 
 // GossipEntries returns the entries to send in an exchange: if all is set, every entry that is not gone;
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func (e entry) standingOf(o entry) Status { return e.Status(o.Info().ID, o.Info().Incarnation) }
+func (e entry) statusOf(o entry) Status { return e.Status(o.Info().ID, o.Info().Incarnation) }
 
 // An entry is paused while it has open jobs. While its lease is valid it is at most silent; it is
 // gone only after the grace period that follows the lease's expiry. When it resumes, its lease has
@@ -154,25 +154,25 @@
 	step(t, a)
 	step(t, b)
 	step(t, a)
-	assert.Equal(t, a.standingOf(b), Live)
+	assert.Equal(t, a.statusOf(b), Live)
 	assert.Assert(t, b.MayAdmit(s.clock.now))
 
 	for second := 1; second <= 30; second++ {
 		s.runSeconds(1, a)
 		a.RecordFailedCall("b", b.Info().Incarnation)
-		standing := a.standingOf(b)
+		status := a.statusOf(b)
 		if second < int((DefaultTTL+DefaultGrace)/time.Second) {
-			assert.Equal(t, standing, Silent, "after %d s", second)
+			assert.Equal(t, status, Silent, "after %d s", second)
 		}
 	}
-	assert.Equal(t, a.standingOf(b), Gone)
+	assert.Equal(t, a.statusOf(b), Gone)
 	assert.Equal(t, len(a.Peers()), 0)
 
 	assert.Assert(t, !b.MayAdmit(s.clock.now))
 	step(t, b)
 	assert.Assert(t, b.MayAdmit(s.clock.now))
 	step(t, a)
-	assert.Equal(t, a.standingOf(b), Live)
+	assert.Equal(t, a.statusOf(b), Live)
 }
 
 // The store is down for ten minutes and every lease expires. No entry may be considered gone
@@ -186,17 +186,17 @@
 	s.runSeconds(20, a, b)
 	s.err = platform.ErrUnavailable
 	s.runSeconds(600, a, b)
-	assert.Equal(t, a.standingOf(b), Silent)
+	assert.Equal(t, a.statusOf(b), Silent)
 	assert.Equal(t, len(a.Peers()), 1)
 	assert.Assert(t, a.MayAdmit(s.clock.now))
 	a.RecordContact(b.Self(), s.clock.now)
-	assert.Equal(t, a.standingOf(b), Live)
+	assert.Equal(t, a.statusOf(b), Live)
 
 	s.err = nil
 	s.runSeconds(5, a)
-	assert.Assert(t, a.standingOf(b) != Gone)
+	assert.Assert(t, a.statusOf(b) != Gone)
 	s.runSeconds(2, a, b)
-	assert.Equal(t, a.standingOf(b), Live)
+	assert.Equal(t, a.statusOf(b), Live)
 }
 
 // One entry is cut off from the store, and its lease expires there. Another entry has contact with
@@ -211,12 +211,12 @@
 		heard := b.Self()
 		heard.HeardMs = 1500
 		a.MergeGossip([]*wirev1.EntryInfo{heard})
-		assert.Assert(t, a.standingOf(b) != Gone)
+		assert.Assert(t, a.statusOf(b) != Gone)
 	}
 	s.runSeconds(10, a)
-	assert.Equal(t, a.standingOf(b), Gone)
+	assert.Equal(t, a.statusOf(b), Gone)
 	a.RecordContact(b.Self(), s.clock.now)
-	assert.Equal(t, a.standingOf(b), Live, "direct contact restores it")
+	assert.Equal(t, a.statusOf(b), Live, "direct contact restores it")
 }
 
 // A crashed entry is replaced by a process with the same id. The replacement takes over the key
@@ -231,9 +231,9 @@
 	replacement := s.entry("b")
 	step(t, replacement)
 	step(t, a)
-	assert.Equal(t, a.standingOf(old), Gone)
-	assert.Equal(t, a.standingOf(replacement), Live)
-	assert.Equal(t, replacement.standingOf(old), Gone)
+	assert.Equal(t, a.statusOf(old), Gone)
+	assert.Equal(t, a.statusOf(replacement), Live)
+	assert.Equal(t, replacement.statusOf(old), Gone)
 
 	s.clock.advance(DefaultTTL)
 	step(t, a)
@@ -285,7 +285,7 @@
 	b.SetLeft()
 	step(t, b)
 	step(t, a)
-	assert.Equal(t, a.standingOf(b), Gone)
+	assert.Equal(t, a.statusOf(b), Gone)
 	assert.Equal(t, len(a.Peers()), 0)
 }
 
--- a/entry/member/table.go
+++ b/entry/member/table.go
@@ -138,12 +138,12 @@
 func (t *Table) Status(entry string, incarnation uint64) Status {
 	v := t.view.Load()
 	if entry == v.self.ID {
-		return v.ownStanding(incarnation)
+		return v.ownStatus(incarnation)
 	}
 	now := t.opts.Now()
 	r, known := v.entries[entry]
 	if !known {
-		return t.unknownEntryStanding(v, incarnation, now)
+		return t.unknownEntryStatus(v, incarnation, now)
 	}
 	if incarnation < r.info.Incarnation {
 		return Gone
@@ -151,10 +151,10 @@
 	if incarnation > r.info.Incarnation {
 		return Silent
 	}
-	return t.standing(v, r, now)
+	return t.status(v, r, now)
 }
 
-func (v *view) ownStanding(incarnation uint64) Status {
+func (v *view) ownStatus(incarnation uint64) Status {
 	switch {
 	case incarnation == v.self.Incarnation:
 		return Live
@@ -169,7 +169,7 @@
 // long ago, or have started just now. It is Gone only if this entry has had an unbroken view of
 // the store for the grace period, a list at the end of that period did not contain the entry, and
 // the entry did not start within that time.
-func (t *Table) unknownEntryStanding(v *view, incarnation uint64, now time.Time) Status {
+func (t *Table) unknownEntryStatus(v *view, incarnation uint64, now time.Time) Status {
 	if !t.inContact(v, now) || v.lastList.Sub(v.contactSince) < t.opts.Grace {
 		return Silent
 	}
@@ -183,7 +183,7 @@
 	return !v.lastContact.IsZero() && Elapsed(v.lastContact, now) <= t.opts.ContactGap
 }
 
-func (t *Table) standing(v *view, r record, now time.Time) Status {
+func (t *Table) status(v *view, r record, now time.Time) Status {
 	if !r.goneAt.IsZero() {
 		return Gone
 	}
--- a/entry/quota/giveback.go
+++ b/entry/quota/giveback.go
@@ -60,8 +60,8 @@
 func (a *account) returnUnused(lessor string, requested amounts, v view) (kept amounts, returned bool) {
 	i := slices.IndexFunc(a.allowance.leased, func(l quotaLease) bool { return l.peer == lessor })
 	if i < 0 {
-		span := a.last.Add(a.opts.LeaseDuration + leaseMargin)
-		return amounts{}.replaceWhereNegative(a.unused(span, span.Add(a.answerTime)), unbounded), false
+		leaseEnd := a.last.Add(a.opts.LeaseDuration + leaseMargin)
+		return amounts{}.replaceWhereNegative(a.unused(leaseEnd, leaseEnd.Add(a.answerTime)), unbounded), false
 	}
 	l := &a.allowance.leased[i]
 	unused := a.unused(l.expires.Add(-1), l.inFlightExpires.Add(-1))
--- a/entry/quota/holder_test.go
+++ b/entry/quota/holder_test.go
@@ -14,7 +14,7 @@
 
 // surroundings returns the view of a holder whose last contact with its peers was at the given
 // time.
-func surroundings(contact time.Time, peers ...PeerID) MembershipView {
+func membershipView(contact time.Time, peers ...PeerID) MembershipView {
 	s := MembershipView{Peers: peers, Live: map[PeerID]bool{}, SelfListed: true, LastContact: contact}
 	for _, p := range peers {
 		s.Live[p] = true
@@ -31,15 +31,15 @@
 func TestNewEntryWaitsForEveryPeer(t *testing.T) {
 	h := NewHolder(0, nil)
 	h.Confirm(peerA, countedSince(start, 0))
-	assert.Assert(t, !h.Decide(start, surroundings(start, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(start, membershipView(start, peerA, peerB)).Holding)
 	c := countedSince(start, 0)
 	c.Unsettled = []string{client}
 	h.Confirm(peerB, c)
-	s := h.Decide(start, surroundings(start, peerA, peerB))
+	s := h.Decide(start, membershipView(start, peerA, peerB))
 	assert.Assert(t, s.Holding && s.PendingClients[client] && s.Entries == 3)
 	later := start.Add(time.Second)
 	h.Confirm(peerB, countedSince(later, time.Second))
-	s = h.Decide(later, surroundings(later, peerA, peerB))
+	s = h.Decide(later, membershipView(later, peerA, peerB))
 	assert.Assert(t, s.Holding && !s.PendingClients[client])
 	assert.Assert(t, h.Joined())
 }
@@ -50,14 +50,14 @@
 func TestPausedEntryRejoins(t *testing.T) {
 	h := NewHolder(0, nil)
 	h.Confirm(peerA, countedSince(start, time.Minute))
-	assert.Assert(t, h.Decide(start, surroundings(start, peerA)).Holding)
+	assert.Assert(t, h.Decide(start, membershipView(start, peerA)).Holding)
 	resumeAt := start.Add(30 * time.Second)
-	assert.Assert(t, !h.Decide(resumeAt, surroundings(start, peerA)).Holding, "no contact since")
-	assert.Assert(t, !h.Decide(resumeAt, surroundings(resumeAt, peerA)).Holding, "contact, but no reply yet")
+	assert.Assert(t, !h.Decide(resumeAt, membershipView(start, peerA)).Holding, "no contact since")
+	assert.Assert(t, !h.Decide(resumeAt, membershipView(resumeAt, peerA)).Holding, "contact, but no reply yet")
 	c := countedSince(resumeAt, 0)
 	c.Unsettled = []string{client}
 	h.Confirm(peerA, c)
-	s := h.Decide(resumeAt, surroundings(resumeAt, peerA))
+	s := h.Decide(resumeAt, membershipView(resumeAt, peerA))
 	assert.Assert(t, !s.Holding || s.PendingClients[client], "counted again, but not settled")
 }
 
@@ -66,12 +66,12 @@
 func TestPausedEntryStillCountedResumes(t *testing.T) {
 	h := NewHolder(0, nil)
 	h.Confirm(peerA, countedSince(start, time.Minute))
-	assert.Assert(t, h.Decide(start, surroundings(start, peerA, peerB)).Holding == false)
+	assert.Assert(t, h.Decide(start, membershipView(start, peerA, peerB)).Holding == false)
 	h.Confirm(peerB, countedSince(start, time.Minute))
-	assert.Assert(t, h.Decide(start, surroundings(start, peerA, peerB)).Holding)
+	assert.Assert(t, h.Decide(start, membershipView(start, peerA, peerB)).Holding)
 	resumeAt := start.Add(30 * time.Second)
 	h.Confirm(peerA, countedSince(resumeAt, 90*time.Second))
-	s := surroundings(resumeAt, peerA, peerB)
+	s := membershipView(resumeAt, peerA, peerB)
 	s.Live[peerB] = false
 	assert.Assert(t, h.Decide(resumeAt, s).Holding)
 }
@@ -83,9 +83,9 @@
 	h := NewHolder(0, nil)
 	h.Confirm(peerA, countedSince(start, time.Minute))
 	h.Confirm(peerB, countedSince(start, time.Minute))
-	assert.Assert(t, h.Decide(start, surroundings(start, peerA, peerB)).Holding)
+	assert.Assert(t, h.Decide(start, membershipView(start, peerA, peerB)).Holding)
 	now := start.Add(DefaultIsolation + time.Second)
-	assert.Assert(t, !h.Decide(now, surroundings(start, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(now, membershipView(start, peerA, peerB)).Holding)
 	return h, now
 }
 
@@ -95,22 +95,22 @@
 	h, now := isolatedHolder(t)
 	first, second := now.Add(time.Millisecond), now.Add(2*time.Millisecond)
 	h.Confirm(peerA, countedSince(first, 2*time.Minute))
-	assert.Assert(t, !h.Decide(first, surroundings(first, peerA, peerB)).Holding, "one of two replies")
+	assert.Assert(t, !h.Decide(first, membershipView(first, peerA, peerB)).Holding, "one of two replies")
 	h.Confirm(peerB, countedSince(second, 2*time.Minute))
-	assert.Assert(t, h.Decide(second, surroundings(second, peerA, peerB)).Holding)
+	assert.Assert(t, h.Decide(second, membershipView(second, peerA, peerB)).Holding)
 }
 
 // Guards against resuming a share because of replies from before a second isolation.
 func TestRepliesBeforeASecondIsolationDoNotCount(t *testing.T) {
 	h, now := isolatedHolder(t)
 	h.Confirm(peerA, countedSince(now, 2*time.Minute))
-	assert.Assert(t, !h.Decide(now, surroundings(now, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(now, membershipView(now, peerA, peerB)).Holding)
 	again := now.Add(DefaultIsolation + time.Second)
-	assert.Assert(t, !h.Decide(again, surroundings(now, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(again, membershipView(now, peerA, peerB)).Holding)
 	h.Confirm(peerB, countedSince(again, 2*time.Minute))
-	assert.Assert(t, !h.Decide(again, surroundings(again, peerA, peerB)).Holding)
+	assert.Assert(t, !h.Decide(again, membershipView(again, peerA, peerB)).Holding)
 	h.Confirm(peerA, countedSince(again, 2*time.Minute))
-	assert.Assert(t, h.Decide(again, surroundings(again, peerA, peerB)).Holding)
+	assert.Assert(t, h.Decide(again, membershipView(again, peerA, peerB)).Holding)
 }
 
 // A lessor is replaced by a new process with the same id, which joins with a full share and does
