--- a/guard/advertise/advertise.go
+++ b/guard/advertise/advertise.go
@@ -73,11 +73,11 @@
 	// runs, and reading them would take all its CPU time. Limiting it to one unacknowledged
 	// message sends it no more than it reads.
 	pending = slices.DeleteFunc(pending, func(s S) bool {
-		unread := s.Unacknowledged()
-		if unread {
+		unacknowledged := s.Unacknowledged()
+		if unacknowledged {
 			s.SendOnceAcknowledged()
 		}
-		return unread
+		return unacknowledged
 	})
 	if !free {
 		// Advertising zero capacity helps no scheduler.
--- a/guard/advertise/advertise_test.go
+++ b/guard/advertise/advertise_test.go
@@ -12,14 +12,14 @@
 
 // session records what is scheduled for an entry.
 type session struct {
-	pending, changed     bool
-	demand               int64
-	sent                 time.Time
-	at                   time.Time
-	interval             time.Duration
-	contended            bool
-	withheld             bool
-	unread, sendOnceRead bool
+	pending, changed                     bool
+	demand                               int64
+	sent                                 time.Time
+	at                                   time.Time
+	interval                             time.Duration
+	contended                            bool
+	withheld                             bool
+	unacknowledged, sendOnceAcknowledged bool
 }
 
 func (l *session) PendingDemand() int64              { return l.demand }
@@ -29,8 +29,8 @@
 func (l *session) SendAt(at time.Time)               { l.at = at }
 func (l *session) SendAfter(d time.Duration, c bool) { l.interval, l.contended = d, c }
 func (l *session) Withhold()                         { l.withheld = true }
-func (l *session) Unacknowledged() bool              { return l.unread }
-func (l *session) SendOnceAcknowledged()             { l.sendOnceRead = true }
+func (l *session) Unacknowledged() bool              { return l.unacknowledged }
+func (l *session) SendOnceAcknowledged()             { l.sendOnceAcknowledged = true }
 
 var now = time.Unix(1000, 0)
 
@@ -75,10 +75,10 @@
 // acknowledged the previous message. An entry that reads promptly has the first turn in the
 // meantime.
 func TestSlowEntryIsSentNoMoreThanItReads(t *testing.T) {
-	slow := &session{pending: true, demand: 90_000, sent: now.Add(-time.Second), unread: true}
+	slow := &session{pending: true, demand: 90_000, sent: now.Add(-time.Second), unacknowledged: true}
 	prompt := &session{pending: true, demand: 1000, sent: now.Add(-time.Millisecond)}
 	Schedule(now, capacityUsed(29_000), true, []*session{slow, prompt})
-	assert.Assert(t, slow.sendOnceRead && slow.at.IsZero())
+	assert.Assert(t, slow.sendOnceAcknowledged && slow.at.IsZero())
 	assert.Equal(t, prompt.at, now)
 	slow.changed = true
 	Schedule(now, capacityUsed(29_000), true, []*session{slow, prompt})
--- a/guard/host/adopt.go
+++ b/guard/host/adopt.go
@@ -146,16 +146,16 @@
 	target := runner.Target{Address: c.Address, Incarnation: c.Incarnation(), Token: token}
 	api := h.opt.Dial(target)
 	asked := uptime.Now()
-	account, err := h.firstPoll(api)
-	if errors.Is(err, runner.ErrFenced) && account.Clock > 0 {
+	listing, err := h.firstPoll(api)
+	if errors.Is(err, runner.ErrFenced) && listing.Clock > 0 {
 		// A previous guard process has used a higher fencing token than the report's clock
 		// yields.
 		api.Close()
-		c.Clock = account.Clock + time.Millisecond
+		c.Clock = listing.Clock + time.Millisecond
 		target.Token = h.nextToken(c)
 		api = h.opt.Dial(target)
 		asked = uptime.Now()
-		account, err = h.firstPoll(api)
+		listing, err = h.firstPoll(api)
 	}
 	if err != nil {
 		api.Close()
@@ -165,8 +165,8 @@
 		Incarnation:  c.Incarnation(),
 		api:          api,
 		requestedAt:  asked,
-		listingClock: account.Clock,
-	}, target.Token, account)
+		listingClock: listing.Clock,
+	}, target.Token, listing)
 	return true
 }
 
@@ -210,7 +210,7 @@
 }
 
 // install makes a confirmed process the current one.
-func (h *Host) install(c runner.Report, p *process, token int64, account work.Listing) {
+func (h *Host) install(c runner.Report, p *process, token int64, listing work.Listing) {
 	h.mu.Lock()
 	if h.candidate != nil && h.candidate.Incarnation() == c.Incarnation() {
 		// A newer report may have arrived in the meantime.
@@ -220,20 +220,20 @@
 	now := uptime.Now()
 	p.lastReport = c.Seq
 	p.readAt = now
-	p.clock = clockSample{account.Clock, h.monotonic()}
+	p.clock = clockSample{listing.Clock, h.monotonic()}
 	old := h.process
 	h.process = p
-	reports := h.table.Adopt(now, runs.Process{Incarnation: c.Incarnation(), Service: c.Service, Address: c.Address, Token: token}, listedRuns(account)...)
+	reports := h.table.Adopt(now, runs.Process{Incarnation: c.Incarnation(), Service: c.Service, Address: c.Address, Token: token}, listedRuns(listing)...)
 	if c.Seq > 0 {
 		h.table.SetCapacity(c.Capacity, c.Labels, c.Draining)
 	}
-	reports = append(reports, h.table.ApplyListing(now, p.requestedAt, account)...)
+	reports = append(reports, h.table.ApplyListing(now, p.requestedAt, listing)...)
 	h.mu.Unlock()
 	if old != nil {
 		old.api.Close()
 	}
 	runnerAdopted.Log(h.ctx, h.logger, slog.String("runner", c.Instance), slog.Int64("born_ms", c.StartedMilli), slog.String("service", c.Service),
-		slog.Int64("token", token), slog.Int64("cpu_milli", c.Capacity.CPUMilli), slog.Int("left_running", len(account.Running)))
+		slog.Int64("token", token), slog.Int64("cpu_milli", c.Capacity.CPUMilli), slog.Int("left_running", len(listing.Running)))
 	notify(h.poll)
 	notify(h.sweep)
 	h.deliver(reports)
--- a/guard/host/loops.go
+++ b/guard/host/loops.go
@@ -167,7 +167,7 @@
 	}
 	h.mu.Unlock()
 	called, cancel := context.WithTimeout(ctx, wait+pollMargin)
-	account, err := p.api.Poll(called, until, seen, wait)
+	listing, err := p.api.Poll(called, until, seen, wait)
 	cancel()
 	h.opt.Metrics.poll(err)
 	if err != nil {
@@ -175,7 +175,7 @@
 	}
 	now := uptime.Now()
 	h.mu.Lock()
-	if h.process != p || asked <= p.requestedAt || p.outdated(asked, account, err) {
+	if h.process != p || asked <= p.requestedAt || p.outdated(asked, listing, err) {
 		// The answer is of another process, or a poll that was requested later has been read
 		// already: run listings are read in the order of their requests.
 		h.mu.Unlock()
@@ -190,14 +190,14 @@
 	switch {
 	case err == nil:
 		pause = 0
-		p.syncClock(account.Clock, h.monotonic())
+		p.syncClock(listing.Clock, h.monotonic())
 		p.requestedAt = asked
-		p.readAt, p.listingClock = now, account.Clock
+		p.readAt, p.listingClock = now, listing.Clock
 		p.ackedEnd = max(p.ackedEnd, seen)
 		h.recordPollTime(now - asked)
-		reports = h.table.ApplyListing(now, asked, account)
+		reports = h.table.ApplyListing(now, asked, listing)
 	case errors.Is(err, runner.ErrRestarted):
-		h.handleRestart(account)
+		h.handleRestart(listing)
 	case errors.Is(err, runner.ErrReplaced):
 		reports = h.table.ReplaceProcess(now)
 		h.process = nil
--- a/guard/side/side.go
+++ b/guard/side/side.go
@@ -60,11 +60,11 @@
 func New(s Settings, o Options) *Guard {
 	g := &Guard{opts: o}
 	g.settings.Store(&s)
-	resend := s.Bounds.ResubmitDelay.Std()
+	resubmitDelay := s.Bounds.ResubmitDelay.Std()
 	g.host = host.New(host.Options{
 		Runs: runs.Options{
-			EntryTimeout:   fraction(resend, entryTimeoutShare),
-			EndTimeout:     fraction(resend, endBoundShare),
+			EntryTimeout:   fraction(resubmitDelay, entryTimeoutShare),
+			EndTimeout:     fraction(resubmitDelay, endBoundShare),
 			LeaseExtension: fraction(s.Bounds.MaxLease.Std(), leaseShare),
 		},
 		MaxLease: s.Bounds.MaxLease.Std(),
--- a/guard/slots/slots_test.go
+++ b/guard/slots/slots_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func (o *oracle) offer(t *rapid.T) {
+func (o *oracle) enqueue(t *rapid.T) {
 	o.lastValue++
 	k := &ticket{
 		Value:     o.lastValue,
@@ -126,7 +126,7 @@
 // churn offers and releases tickets until some have been bypassed MaxBypassed times.
 func (o *oracle) churn(t *rapid.T) {
 	for range 2 * slots.MaxBypassed {
-		o.offer(t)
+		o.enqueue(t)
 		o.release(t)
 	}
 }
@@ -192,9 +192,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{table: slots.New[int](queueLen), bypassed: map[int]int{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"offer":  o.offer,
-			"offer2": o.offer,
-			"offer3": o.offer,
+			"offer":  o.enqueue,
+			"offer2": o.enqueue,
+			"offer3": o.enqueue,
 			"free":   o.release,
 			"churn":  o.churn,
 			"remove": o.remove,
