--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -69,7 +69,7 @@
 		Bare:        e.Bare,
 		Slots:       e.Slots,
 		Connections: e.Connections,
-		Zones:       e.zones(),
+		Zones:       e.dataCentres(),
 		Delay:       e.Delay.Std(),
 		NoRelays:    e.Delay == 0,
 		EntryEnv:    []string{VariantEnv + "=" + string(variant)},
@@ -81,7 +81,7 @@
 	}
 }
 
-func (e Experiment) zones() []string {
+func (e Experiment) dataCentres() []string {
 	var names []string
 	for i := range max(1, e.DataCentres) {
 		names = append(names, fmt.Sprintf("zone-%d", i+1))
--- a/bench/replay/guard.go
+++ b/bench/replay/guard.go
@@ -51,7 +51,7 @@
 	g.running = map[work.RunnerRunID]bool{}
 	g.deliver(g.table.Adopt(g.sim.now, runs.Process{Incarnation: g.incarnation(), Service: service}))
 	g.table.SetCapacity(work.Amounts{CPUMilli: g.cpu}, nil, false)
-	g.applyAccount(nil)
+	g.applyListing(nil)
 }
 
 // incarnation returns the identity of the runner process. Every other process keeps the
@@ -178,12 +178,12 @@
 		}
 		delete(g.running, name)
 		g.endSeq++
-		g.applyAccount([]work.End{{Seq: g.endSeq, Run: name, State: how}})
+		g.applyListing([]work.End{{Seq: g.endSeq, Run: name, State: how}})
 	})
 }
 
 // applyAccount passes the runner's state and the ended runs to the run table.
-func (g *guard) applyAccount(ends []work.End) {
+func (g *guard) applyListing(ends []work.End) {
 	reports := g.table.ApplyListing(g.sim.now, g.sim.now, work.Listing{Running: slices.Collect(maps.Keys(g.running)), Ends: ends})
 	g.deliver(sortByTask(reports))
 }
--- a/bench/replay/replay_test.go
+++ b/bench/replay/replay_test.go
@@ -22,7 +22,7 @@
 }
 
 // play simulates a load with the production policy.
-func play(t *testing.T, name string) *replay.Result {
+func simulate(t *testing.T, name string) *replay.Result {
 	t.Helper()
 	r := replay.Simulate(load(t, name), replay.Policies()[0], 1)
 	t.Logf("%s: on time %.3f; late %d, rejected %d, failed %d of %d", name, r.All.OnTimeShare(), r.All.Late, r.All.Rejected, r.All.Failed, r.All.Submitted)
@@ -32,7 +32,7 @@
 
 // playSimple simulates a load in order of arrival, without rejections before the
 // deadline.
-func playSimple(t *testing.T, name string) *replay.Result {
+func simulateSimple(t *testing.T, name string) *replay.Result {
 	t.Helper()
 	r := replay.Simulate(load(t, name), replay.Policies()[1], 1)
 	t.Logf("%s, the simple policy: on time %.3f", name, r.All.OnTimeShare())
@@ -42,7 +42,7 @@
 // TestCalmDay: without faults no job is rejected, late or failed.
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
-	ours := play(t, "calm")
+	ours := simulate(t, "calm")
 	assert.Assert(t, ours.All.OnTimeShare() > 0.995)
 	assert.Equal(t, ours.All.Rejected+ours.All.Failed, 0)
 }
@@ -53,7 +53,7 @@
 // within a second.
 func TestBurst(t *testing.T) {
 	t.Parallel()
-	ours, simple := play(t, "burst"), playSimple(t, "burst")
+	ours, simple := simulate(t, "burst"), simulateSimple(t, "burst")
 	assert.Assert(t, ours.All.OnTimeShare() > 2*simple.All.OnTimeShare())
 	assert.Assert(t, ours.All.OnTimeShare() > 0.8)
 	assert.Assert(t, ours.All.Late < ours.All.Submitted/40)
@@ -71,7 +71,7 @@
 // takes the capacity of a job that would have been on time.
 func TestNarrowBurst(t *testing.T) {
 	t.Parallel()
-	ours, simple := play(t, "narrow-burst"), playSimple(t, "narrow-burst")
+	ours, simple := simulate(t, "narrow-burst"), simulateSimple(t, "narrow-burst")
 	assert.Assert(t, ours.All.OnTimeShare() > 0.85)
 	assert.Assert(t, ours.Kinds["narrow"].OnTimeShare() > 0.75)
 	assert.Assert(t, ours.All.Late < ours.All.Submitted/50)
@@ -87,7 +87,7 @@
 	for _, name := range []string{"slow", "failing", "hanging"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ours := play(t, name)
+			ours := simulate(t, name)
 			assert.Assert(t, ours.All.OnTimeShare() > 0.955)
 			assert.Assert(t, ours.All.Failed < ours.All.Submitted/200)
 		})
@@ -98,7 +98,7 @@
 // runs.
 func TestRunnersGone(t *testing.T) {
 	t.Parallel()
-	ours, simple := play(t, "gone"), playSimple(t, "gone")
+	ours, simple := simulate(t, "gone"), simulateSimple(t, "gone")
 	assert.Assert(t, ours.All.OnTimeShare() > 0.9)
 	assert.Assert(t, ours.All.OnTimeShare() > simple.All.OnTimeShare()+0.1)
 	assert.Assert(t, ours.Windows["  10 s"].OnTimeShare() > 0.97)
@@ -131,7 +131,7 @@
 func TestOverloadThatLasts(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"over-1.2", "over-1.5"} {
-		ours := play(t, name)
+		ours := simulate(t, name)
 		share := shareOfOracle(ours, load(t, name))
 		assert.Assert(t, share > 0.93 && share <= 1, "%s: %.3f of the oracle", name, share)
 		assert.Assert(t, ours.Kinds["hold"].OnTimeShare() >= ours.Kinds["quote"].OnTimeShare()-0.05, "the urgent jobs are served worse than the others")
@@ -143,7 +143,7 @@
 // they would get no answer.
 func TestRestartAtFullLoad(t *testing.T) {
 	t.Parallel()
-	ours := play(t, "restart")
+	ours := simulate(t, "restart")
 	assert.Assert(t, ours.All.AnsweredShare() > 0.83, "%.3f served", ours.All.AnsweredShare())
 	assert.Assert(t, ours.Windows["  10 s"].OnTimeShare() > 0.8)
 }
@@ -227,7 +227,7 @@
 	for _, name := range []string{"poison-5", "poison-late-5"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, name)
+			r := simulate(t, name)
 			mean, most := r.CrashesEach()
 			t.Logf("runners crashed: %.2f by each, %d at most; other jobs failed: %d", mean, most, r.FailedByCrashes)
 			assert.Assert(t, most <= 3)
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -59,9 +59,9 @@
 	kinds           []Kind
 }
 
-func newResult(l Load, way string) *Result {
+func newResult(l Load, policy string) *Result {
 	return &Result{
-		Load: l.Name, Policy: way, kinds: l.Kinds,
+		Load: l.Name, Policy: policy, kinds: l.Kinds,
 		Kinds: map[string]*Count{}, Sizes: map[string]*Count{}, DataCentres: map[string]*Count{}, Windows: map[string]*Count{}, DataCentreWindows: map[string]*Count{},
 		RefusedOrders: map[string]int{}, Crashes: map[*pendingJob]int{},
 	}
@@ -185,10 +185,10 @@
 	_, _ = fmt.Fprintln(t, "load\ton time\tserved\tworst kind\tof oracle: on time\tserved\tworst 2 s\trejected after\torders refused\tidle\t")
 	for _, p := range pairs {
 		ours, best := p[0], p[1:]
-		inAim := ours.All.OnTimeShare() / Best(ours, best, func(r *Result) float64 { return r.All.OnTimeShare() })
-		served := ours.All.AnsweredShare() / Best(ours, best, func(r *Result) float64 { return r.All.AnsweredShare() })
+		onTime := ours.All.OnTimeShare() / Best(ours, best, func(r *Result) float64 { return r.All.OnTimeShare() })
+		answered := ours.All.AnsweredShare() / Best(ours, best, func(r *Result) float64 { return r.All.AnsweredShare() })
 		_, _ = fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%s\t%.1f %%\t%d\t\n", ours.Load, ours.All.OnTimeShare(), ours.All.AnsweredShare(),
-			ours.worstKind(), inAim, served, worstWindow(ours, best), quantile(ours.RejectionTimes, 0.5), 100*ours.RefusedOrderShare(), ours.RejectedWithCapacity)
+			ours.worstKind(), onTime, answered, worstWindow(ours, best), quantile(ours.RejectionTimes, 0.5), 100*ours.RefusedOrderShare(), ours.RejectedWithCapacity)
 	}
 	return t.Flush()
 }
--- a/bench/result/result.go
+++ b/bench/result/result.go
@@ -110,9 +110,9 @@
 // counts as late.
 const lateRatio = 5
 
-// ratio returns response time / ideal response time, infinite for a job that did not
+// slowdown returns response time / ideal response time, infinite for a job that did not
 // complete.
-func (o Observation) ratio() float64 {
+func (o Observation) slowdown() float64 {
 	if o.Outcome != Complete {
 		return math.Inf(1)
 	}
@@ -135,22 +135,22 @@
 	clients map[string]*tally
 	// arrivals holds the ratios of all jobs with their arrival times, infinite without
 	// an answer.
-	arrivals []arrival
-	cancels  *Cancellations
+	arrivals      []arrival
+	cancellations *Cancellations
 }
 
 type tally struct {
-	group                    Group
-	ratio, response, refusal *hdrhistogram.Histogram
-	work                     time.Duration
+	group                         Group
+	slowdown, response, rejection *hdrhistogram.Histogram
+	work                          time.Duration
 }
 
 func newTally() *tally {
 	return &tally{
-		group:    Group{Outcomes: map[Outcome]int{}, Codes: map[string]int{}},
-		ratio:    hdrhistogram.New(1, maxRecorded, digits),
-		response: hdrhistogram.New(1, maxRecorded, digits),
-		refusal:  hdrhistogram.New(1, maxRecorded, digits),
+		group:     Group{Outcomes: map[Outcome]int{}, Codes: map[string]int{}},
+		slowdown:  hdrhistogram.New(1, maxRecorded, digits),
+		response:  hdrhistogram.New(1, maxRecorded, digits),
+		rejection: hdrhistogram.New(1, maxRecorded, digits),
 	}
 }
 
@@ -170,7 +170,7 @@
 	}
 	c.all.add(o)
 	clientTally.add(o)
-	c.arrivals = append(c.arrivals, arrival{at: o.At, ratio: o.ratio()})
+	c.arrivals = append(c.arrivals, arrival{at: o.At, slowdown: o.slowdown()})
 }
 
 func (t *tally) add(o Observation) {
@@ -189,21 +189,21 @@
 	switch o.Outcome {
 	case Complete:
 		t.work += o.Work
-		if o.ratio() > lateRatio {
+		if o.slowdown() > lateRatio {
 			t.group.Late++
 		}
-		_ = t.ratio.RecordValue(int64(ratioScale * o.ratio()))
+		_ = t.slowdown.RecordValue(int64(ratioScale * o.slowdown()))
 		_ = t.response.RecordValue(o.Took.Microseconds())
 	case Refused, Rejected:
-		_ = t.refusal.RecordValue(o.LastSubmissionTook.Microseconds())
+		_ = t.rejection.RecordValue(o.LastSubmissionTook.Microseconds())
 	}
 }
 
 func (t *tally) finish(duration time.Duration) Group {
 	g := t.group
-	g.Slowdown = spread(t.ratio, ratioScale)
+	g.Slowdown = spread(t.slowdown, ratioScale)
 	g.ResponseMs = spread(t.response, 1000)
-	g.RejectionMs = spread(t.refusal, 1000)
+	g.RejectionMs = spread(t.rejection, 1000)
 	g.Goodput = t.work.Seconds() / duration.Seconds()
 	return g
 }
@@ -222,7 +222,7 @@
 func (c *Collector) Result(name string, duration time.Duration) *Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &Result{Name: name, All: c.all.finish(duration), Clients: map[string]Group{}, Cancels: c.cancels}
+	r := &Result{Name: name, All: c.all.finish(duration), Clients: map[string]Group{}, Cancels: c.cancellations}
 	for client, t := range c.clients {
 		r.Clients[client] = t.finish(duration)
 	}
--- a/bench/result/timeline.go
+++ b/bench/result/timeline.go
@@ -7,8 +7,8 @@
 
 // arrival is one job with its time of arrival.
 type arrival struct {
-	at    time.Duration
-	ratio float64
+	at       time.Duration
+	slowdown float64
 }
 
 // Recovery describes the recovery of response times after a burst, in seconds.
@@ -44,13 +44,13 @@
 	return b
 }
 
-// median returns the median ratio of the jobs that arrived in the interval, zero when
+// median returns the median slowdown of the jobs that arrived in the interval, zero when
 // there were none.
 func (c *Collector) median(from, to time.Duration) float64 {
 	var ratios []float64
 	for _, a := range c.arrivals {
 		if a.at >= from && a.at < to {
-			ratios = append(ratios, a.ratio)
+			ratios = append(ratios, a.slowdown)
 		}
 	}
 	if len(ratios) == 0 {
@@ -71,12 +71,12 @@
 func (c *Collector) AddCancellation(took time.Duration, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cancels == nil {
-		c.cancels = &Cancellations{}
+	if c.cancellations == nil {
+		c.cancellations = &Cancellations{}
 	}
-	c.cancels.Calls++
+	c.cancellations.Calls++
 	if answered {
-		c.cancels.Answered++
+		c.cancellations.Answered++
 	}
-	c.cancels.MaxMs = max(c.cancels.MaxMs, took.Seconds()*1000)
+	c.cancellations.MaxMs = max(c.cancellations.MaxMs, took.Seconds()*1000)
 }
--- a/contract/check.go
+++ b/contract/check.go
@@ -41,7 +41,7 @@
 	allowRate      = fmt.Sprintf("a number above 0 and at most %d, in tasks per second", MaxRate)
 	allowBurst     = fmt.Sprintf("a whole number from 1 to %d, in tasks", MaxBurst)
 	allowInFlight  = fmt.Sprintf("a whole number from 1 to %d, in tasks", MaxInFlight)
-	allowUrgency   = fmt.Sprintf("a whole number from 1 to %d", MaxPriority)
+	allowPriority  = fmt.Sprintf("a whole number from 1 to %d", MaxPriority)
 	allowAnswer    = fmt.Sprintf(`a duration from "%s" to "%s"`, MinAnswerTime, MaxAnswerTime)
 	allowRunLimit  = fmt.Sprintf(`a duration from "%s" to "%s"`, MinRunLimit, MaxRunLimit)
 	allowObjective = "a number above 0 and below 1"
@@ -91,7 +91,7 @@
 		p.add("in_flight", strconv.Itoa(c.InFlight), allowInFlight)
 	}
 	if c.Priority < 1 || c.Priority > MaxPriority {
-		p.add("urgency", strconv.Itoa(c.Priority), allowUrgency)
+		p.add("urgency", strconv.Itoa(c.Priority), allowPriority)
 	}
 	if !(c.Objective > 0 && c.Objective < 1) {
 		p.add("objective", strconv.FormatFloat(c.Objective, 'g', -1, 64), allowObjective)
--- a/contract/decode.go
+++ b/contract/decode.go
@@ -108,7 +108,7 @@
 	read(r, "rate", &c.Rate, required, allowRate)
 	read(r, "burst", &c.Burst, required, allowBurst)
 	read(r, "in_flight", &c.InFlight, required, allowInFlight)
-	read(r, "urgency", &c.Priority, optional, allowUrgency)
+	read(r, "urgency", &c.Priority, optional, allowPriority)
 	read(r, "answer_time", &c.AnswerTime, required, allowAnswer)
 	read(r, "run_limit", &c.RunLimit, optional, allowRunLimit)
 	read(r, "objective", &c.Objective, optional, allowObjective)
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -41,8 +41,8 @@
 	if err := l.UnmarshalText([]byte(level)); err != nil {
 		return nil, nil, fmt.Errorf("%w: level %q: write debug, info, warn or error", ErrLogSettings, level)
 	}
-	queue := NewBufferedWriter(w)
-	budget := NewRateLimiter(slog.NewJSONHandler(queue, &slog.HandlerOptions{Level: l}))
-	m.droppedLines = func() int64 { return queue.Dropped() + budget.Dropped() }
-	return slog.New(budget), queue.Close, nil
+	buffered := NewBufferedWriter(w)
+	limiter := NewRateLimiter(slog.NewJSONHandler(buffered, &slog.HandlerOptions{Level: l}))
+	m.droppedLines = func() int64 { return buffered.Dropped() + limiter.Dropped() }
+	return slog.New(limiter), buffered.Close, nil
 }
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -32,7 +32,7 @@
 	dropped  atomic.Int64
 }
 
-// NewBufferedWriter returns a queue that writes to w in the background until it is closed.
+// NewBufferedWriter returns a BufferedWriter that writes to w in the background until it is closed.
 func NewBufferedWriter(w io.Writer) *BufferedWriter {
 	q := &BufferedWriter{out: w, notEmpty: make(chan struct{}, 1), done: make(chan struct{}), closing: make(chan struct{})}
 	go q.run()
