--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -186,7 +186,7 @@
 	return anyReset
 }
 
-// setStanding changes the health status of an endpoint.
+// setStatus changes the health status of an endpoint.
 func (m *Monitor) setStatus(r *Record, status Status) {
 	if r.status != Healthy {
 		m.degraded--
--- a/dispatch/placement/placement_test.go
+++ b/dispatch/placement/placement_test.go
@@ -88,7 +88,7 @@
 	assert.Assert(t, slots == 4 && usable == 1, "%v", slots)
 }
 
-// TestProbing: an endpoint on trial comes after all others and has at most one own task,
+// TestProbing: an endpoint that is probed comes after all others and has at most one own task,
 // including those started before the trial.
 func TestProbing(t *testing.T) {
 	s := newSet(1)
--- a/dispatch/planner/endpoint.go
+++ b/dispatch/planner/endpoint.go
@@ -50,8 +50,9 @@
 
 // AttachEndpoint adds an endpoint, or marks it reachable again, and returns the runs whose state its
 // guard is to be asked for. newGuard is true for a new incarnation of the guard: it knows
-// nothing of the runs that the earlier one was given, and these may go on until it has cleared
-// its runner. Starting one of their tasks elsewhere before that would run it twice.
+// nothing of the runs that the earlier one was given, and these may go on until it reports that
+// its runner is reconciled (EndpointStatus.Reconciled). Starting one of their tasks elsewhere
+// before that would run it twice.
 func (p *Planner) AttachEndpoint(id, dataCentre string, newGuard bool) []work.RunID {
 	e := p.endpoints[id]
 	if e == nil {
--- a/dispatch/planner/job.go
+++ b/dispatch/planner/job.go
@@ -64,7 +64,7 @@
 	stopping   bool
 	stopReason Reason
 	// orphaned is true when the guard that got the open run is gone and its successor has not
-	// cleared the runner yet.
+	// reported the runner as reconciled yet.
 	orphaned bool
 	// avoid is the endpoint where the last run failed or was refused.
 	avoid *endpoint
--- a/dispatch/planner/types.go
+++ b/dispatch/planner/types.go
@@ -10,7 +10,7 @@
 type Terms struct {
 	Contract string
 	Service  string
-	// Priority is the priority of jobs that must start at the same time; 0 goes first.
+	// Priority orders jobs that must start at the same time; 0 goes first.
 	Priority    int
 	MaxAttempts int
 	// The response-time target is TargetFactor times the run time of the job's critical path,
@@ -109,6 +109,7 @@
 	Ended  []Ended
 	// Settled lists jobs that ended earlier and whose last run is now over.
 	Settled []string
-	// NotifyWaiting lists endpoints whose guards must be notified that tasks are waiting for capacity.
+	// NotifyWaiting lists endpoints whose guards must be notified that tasks are waiting for
+	// capacity.
 	NotifyWaiting []string
 }
--- a/dispatch/queue/job.go
+++ b/dispatch/queue/job.go
@@ -21,8 +21,8 @@
 	Idempotent bool
 	// Estimates are the expected run times of the tasks, by index.
 	Estimates []time.Duration
-	// AdmissionEstimates are the run times that count for the tasks in the admission of other jobs, by
-	// index; nil takes Estimates. The order of jobs uses Estimates.
+	// AdmissionEstimates are the run times that count for the tasks in the admission of other jobs,
+	// by index; nil takes Estimates. The order of jobs uses Estimates.
 	AdmissionEstimates []time.Duration
 
 	// left counts the unfinished tasks, work is the sum of their estimates.
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -252,8 +252,8 @@
 	// Ahead is the run time that counts for the client's waiting tasks in jobs of the same size
 	// class or smaller, which go first.
 	Ahead time.Duration
-	// SmallerArrivalRate is the rate at which work of the client's smaller jobs arrives, in seconds of
-	// work per second: these jobs will go first too.
+	// SmallerArrivalRate is the rate at which work of the client's smaller jobs arrives, in seconds
+	// of work per second: these jobs will go first too.
 	SmallerArrivalRate float64
 	// FairShare is the share of the service that the client's weight gives it among the clients
 	// with waiting tasks, itself included.
--- a/dispatch/scheduler/model_new_entry_test.go
+++ b/dispatch/scheduler/model_new_entry_test.go
@@ -57,7 +57,7 @@
 // keep all guards full. Every report shows it full guards, and in the guards' queues
 // the tasks of smaller jobs go first. Its jobs must not wait long, neither when the
 // other entries' jobs are large, nor when more entries than a guard has slots submit
-// only jobs of one task. Without the minimum number of tasks in flight (Floor) the
+// only jobs of one task. Without the minimum number of tasks in flight (MinInFlight) the
 // first case starves.
 func TestModelNewEntry(t *testing.T) {
 	mixed := func(caller, n int) int { return 1 + (caller+4*n)%10 }
