--- a/entry/engine/engine_test.go
+++ b/entry/engine/engine_test.go
@@ -362,7 +362,7 @@
 	})
 }
 
-// faultyDecider assigns every task twice and requeues each one.
+// faultyPolicy assigns every task twice and requeues each one.
 type faultyPolicy struct {
 	scheduler.Policy
 	queue []scheduler.TaskRef
--- a/entry/engine/service.go
+++ b/entry/engine/service.go
@@ -265,7 +265,7 @@
 	e.open.done()
 }
 
-// verdictOf translates an outcome for the scheduler. A task of a cancelled or failed job says
+// outcomeOf translates an outcome for the scheduler. A task of a cancelled or failed job says
 // nothing about the endpoint.
 func outcomeOf(j *job, o task.Outcome) scheduler.Outcome {
 	switch {
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -53,8 +53,8 @@
 	SpareSlots int
 	// PendingTasks returns the number of tasks of a service that wait at this entry.
 	PendingTasks func(service string) int
-	// OnChange is called when the results of BareEndpoints and BareUsage should be sent to peers soon.
-	// urgent is set when an endpoint was added or is leaving.
+	// OnChange is called when the results of BareEndpoints and BareUsage should be sent to peers
+	// soon. urgent is set when an endpoint was added or is leaving.
 	OnChange func(urgent bool)
 	// LiveEntries returns the live entries, including this one.
 	LiveEntries func() []*wirev1.EntryInfo
--- a/entry/jobs/jobs.go
+++ b/entry/jobs/jobs.go
@@ -321,16 +321,16 @@
 	return e.plan.ReportRun(now, id, r.Run, r.Change, r.Ran)
 }
 
-// RemoveEndpoint removes the endpoint of an unreachable guard. It returns false if the endpoint has open
-// runs.
+// RemoveEndpoint removes the endpoint of an unreachable guard. It returns false if the endpoint has
+// open runs.
 func (e *Engine) RemoveEndpoint(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.plan.RemoveEndpoint(id)
 }
 
-// PendingDemand reports whether tasks of the endpoint's service are waiting for capacity, and how much
-// CPU they need in total, in thousandths of a core.
+// PendingDemand reports whether tasks of the endpoint's service are waiting for capacity, and how
+// much CPU they need in total, in thousandths of a core.
 func (e *Engine) PendingDemand(id string) (pending bool, milliCPU int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/lag/lag.go
+++ b/entry/lag/lag.go
@@ -61,8 +61,8 @@
 	}}
 }
 
-// ObserveMessage counts a message from a guard that was processed. age is how long it was in transit or
-// waited unread, beyond the smallest such delay of its session.
+// ObserveMessage counts a message from a guard that was processed. age is how long it was in
+// transit or waited unread, beyond the smallest such delay of its session.
 func (m *Meter) ObserveMessage(age time.Duration) {
 	m.messageAge.observe(age)
 	m.read.Add(1)
@@ -78,8 +78,8 @@
 	}
 }
 
-// CountRejectedStart counts a start that its guard rejected because the order was late, or for another reason
-// unrelated to the runner.
+// CountRejectedStart counts a start that its guard rejected because the order was late, or for
+// another reason unrelated to the runner.
 func (m *Meter) CountRejectedStart() { m.rejected.Add(1) }
 
 // Run takes samples and reports them until the context ends.
--- a/entry/member/known.go
+++ b/entry/member/known.go
@@ -33,8 +33,8 @@
 type Peer struct {
 	Info   Info
 	Status Status
-	// CountedSince is the time since when this entry has counted the peer, without interruption, among
-	// those that may hold a share of the limits.
+	// CountedSince is the time since when this entry has counted the peer, without interruption,
+	// among those that may hold a share of the limits.
 	CountedSince time.Time
 }
 
@@ -63,8 +63,8 @@
 	return Peer{Info: r.info, Status: t.status(v, r, t.opts.Now()), CountedSince: r.countedSince}, true
 }
 
-// GossipEntries returns the entries to send in an exchange: if all is set, every entry that is not gone;
-// otherwise only those whose state others may not know, that is, entries that are counted but
+// GossipEntries returns the entries to send in an exchange: if all is set, every entry that is not
+// gone; otherwise only those whose state others may not know, that is, entries that are counted but
 // absent from the store, and entries that have left.
 func (t *Table) GossipEntries(all bool) []*wirev1.EntryInfo {
 	v := t.view.Load()
--- a/entry/member/storeview.go
+++ b/entry/member/storeview.go
@@ -9,9 +9,9 @@
 	"almondstand.dev/platform"
 )
 
-// RecordStoreContact records that the store answered a call started at the given time. A gap of more than
-// ContactGap breaks the view and restarts the measurement of absences, because an entry could not
-// renew its lease during an outage, and this process may have been paused.
+// RecordStoreContact records that the store answered a call started at the given time. A gap of
+// more than ContactGap breaks the view and restarts the measurement of absences, because an entry
+// could not renew its lease during an outage, and this process may have been paused.
 func (t *Table) RecordStoreContact(at time.Time) {
 	t.change(func(v *view, now time.Time) {
 		t.recordContact(v, at, now)
--- a/entry/member/table.go
+++ b/entry/member/table.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// unknownEntryStanding returns the state of an entry that is not in the table. It may have ended
+// unknownEntryStatus returns the state of an entry that is not in the table. It may have ended
 // long ago, or have started just now. It is Gone only if this entry has had an unbroken view of
 // the store for the grace period, a list at the end of that period did not contain the entry, and
 // the entry did not start within that time.
@@ -209,8 +209,8 @@
 	return Silent
 }
 
-// RecordContact records direct contact with an entry at the given time: it answered a call started then,
-// or called this entry.
+// RecordContact records direct contact with an entry at the given time: it answered a call started
+// then, or called this entry.
 func (t *Table) RecordContact(e *wirev1.EntryInfo, at time.Time) {
 	info, ok := FromWire(e)
 	if !ok {
@@ -234,12 +234,12 @@
 	}
 	t.change(func(v *view, now time.Time) {
 		for _, e := range known {
-			t.learn(v, e, now)
+			t.mergeEntry(v, e, now)
 		}
 	})
 }
 
-func (t *Table) learn(v *view, e *wirev1.EntryInfo, now time.Time) {
+func (t *Table) mergeEntry(v *view, e *wirev1.EntryInfo, now time.Time) {
 	info, ok := FromWire(e)
 	if !ok {
 		return
--- a/entry/quota/holder.go
+++ b/entry/quota/holder.go
@@ -114,8 +114,8 @@
 // it again.
 func (h *Holder) Suspended() bool { return h.holding && h.suspended }
 
-// LacksHolder reports whether this entry has no usable share and knows no holder that could grant it a
-// lease.
+// LacksHolder reports whether this entry has no usable share and knows no holder that could grant
+// it a lease.
 func (h *Holder) LacksHolder() bool { return !h.Holding() && !h.peerHoldsShare() }
 
 func (h *Holder) peerHoldsShare() bool {
--- a/entry/quota/holder_test.go
+++ b/entry/quota/holder_test.go
@@ -12,7 +12,7 @@
 	peerB = PeerID{ID: "b", Incarnation: 1}
 )
 
-// surroundings returns the view of a holder whose last contact with its peers was at the given
+// membershipView returns the view of a holder whose last contact with its peers was at the given
 // time.
 func membershipView(contact time.Time, peers ...PeerID) MembershipView {
 	s := MembershipView{Peers: peers, Live: map[PeerID]bool{}, SelfListed: true, LastContact: contact}
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -25,8 +25,9 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// DefaultLeaseDuration is the duration of a lease of rate or burst. A lease of tasks in flight lasts longer
-// by the client's answer time, so that the tasks admitted on it have ended when it expires.
+// DefaultLeaseDuration is the duration of a lease of rate or burst. A lease of tasks in flight
+// lasts longer by the client's answer time, so that the tasks admitted on it have ended when it
+// expires.
 const DefaultLeaseDuration = 3 * time.Second
 
 // ExchangePause is the usual interval between two exchanges with a peer. A client that only a
@@ -217,8 +218,8 @@
 	return false
 }
 
-// GrantLeases grants leases for as much of a peer's demands as this entry can spare. The granted amounts
-// are deducted from this entry's share before the reply is sent.
+// GrantLeases grants leases for as much of a peer's demands as this entry can spare. The granted
+// amounts are deducted from this entry's share before the reply is sent.
 func (t *Table) GrantLeases(now time.Time, from string, demands []*wirev1.Demand) []*wirev1.Loan {
 	accounts := *t.accounts.Load()
 	addressed := len(demands) > 0 && demands[0].GetLender() == lessorKey(t.opts.Self)
@@ -254,16 +255,16 @@
 	t.metrics.leased.Inc(int64(len(loans)))
 }
 
-// DropLeases discards the leases from a peer that was replaced or has left, because the entry that takes
-// over its share does not know of them.
+// DropLeases discards the leases from a peer that was replaced or has left, because the entry that
+// takes over its share does not know of them.
 func (t *Table) DropLeases(now time.Time, from string) {
 	for _, a := range *t.accounts.Load() {
 		a.drop(now, from)
 	}
 }
 
-// UnsettledClients names the clients of whose limits this entry still holds, uses or has leased out more
-// than its present share.
+// UnsettledClients names the clients of whose limits this entry still holds, uses or has leased out
+// more than its present share.
 func (t *Table) UnsettledClients(now time.Time) []string {
 	var all []string
 	for name, a := range *t.accounts.Load() {
