--- a/guard/host/loops.go
+++ b/guard/host/loops.go
@@ -214,8 +214,8 @@
 	return pause
 }
 
-// HandleMalformedReport counts a malformed report. Log lines are rate-limited, because a faulty program
-// may send many.
+// HandleMalformedReport counts a malformed report. Log lines are rate-limited, because a faulty
+// program may send many.
 func (h *Host) HandleMalformedReport(instance string, err error) {
 	h.mu.Lock()
 	now := uptime.Now()
--- a/guard/runs/process.go
+++ b/guard/runs/process.go
@@ -14,9 +14,9 @@
 	described bool
 	// draining is true once the process has reported that it is shutting down.
 	draining bool
-	// checked is true once a run listing of the process has been read: from then on the runs
+	// listingRead is true once a run listing of the process has been read: from then on the runs
 	// that a previous guard process left there are known.
-	checked bool
+	listingRead bool
 	// orphans are runs at the runner that this table does not hold; the value is true while a
 	// stop of the run is in flight.
 	orphans map[work.RunnerRunID]bool
--- a/guard/runs/runs.go
+++ b/guard/runs/runs.go
@@ -131,7 +131,7 @@
 }
 
 func (k *processState) acceptsStarts() bool {
-	return k.described && k.checked && !k.draining && len(k.orphans) == 0
+	return k.described && k.listingRead && !k.draining && len(k.orphans) == 0
 }
 
 // Capacity returns the runner's capacity and the part of it that is reserved.
@@ -139,7 +139,7 @@
 	if t.runner == nil {
 		return Capacity{}
 	}
-	return Capacity{Process: t.runner.Process, AcceptsStarts: t.AcceptsStarts(), Reconciled: t.runner.checked && len(t.runner.orphans) == 0, Used: t.used}
+	return Capacity{Process: t.runner.Process, AcceptsStarts: t.AcceptsStarts(), Reconciled: t.runner.listingRead && len(t.runner.orphans) == 0, Used: t.used}
 }
 
 // HasCapacity reports whether another run of the size that was requested last fits.
@@ -162,7 +162,7 @@
 func (t *Table) HasRuns() bool { return len(t.runs) > 0 }
 
 // ListingRead reports whether a run listing of the current process has been read.
-func (t *Table) ListingRead() bool { return t.runner != nil && t.runner.checked }
+func (t *Table) ListingRead() bool { return t.runner != nil && t.runner.listingRead }
 
 // LastEndSeq returns the highest sequence number of an ended run that has been read from the current
 // process.
--- a/guard/runs/sweep.go
+++ b/guard/runs/sweep.go
@@ -11,9 +11,9 @@
 // and the clock's granularity of a millisecond.
 const clockMargin = 50 * time.Millisecond
 
-// ApplyListing applies a run listing of the runner that was requested at the uptime asked, and returns
-// reports on the runs whose state changed. Listings must be read one at a time in the order of
-// their requests; the moments at which the runner took them may be in another order.
+// ApplyListing applies a run listing of the runner that was requested at the uptime asked, and
+// returns reports on the runs whose state changed. Listings must be read one at a time in the order
+// of their requests; the moments at which the runner took them may be in another order.
 func (t *Table) ApplyListing(now, asked time.Duration, v work.Listing) []Report {
 	if t.runner == nil {
 		return nil
@@ -51,7 +51,7 @@
 		}
 		reports = append(reports, t.end(now, r, state)...)
 	}
-	t.runner.checked = true
+	t.runner.listingRead = true
 	return reports
 }
 
--- a/guard/slots/slots.go
+++ b/guard/slots/slots.go
@@ -30,8 +30,8 @@
 	Value T
 	// Owner is the session; Load counts its own tickets and those of others.
 	Owner string
-	// Priority and TasksLeft determine the queue order: higher priority first, then fewer tasks
-	// left, then the oldest. A ticket that MaxBypassed younger ones have been granted before
+	// Priority and TasksLeft determine the queue order: the larger Priority first, then fewer
+	// tasks left, then the oldest. A ticket that MaxBypassed younger ones have been granted before
 	// goes first.
 	Priority  uint32
 	TasksLeft uint32
