--- a/bench/experiment/experiment.go
+++ b/bench/experiment/experiment.go
@@ -102,7 +102,7 @@
 	For    settings.Duration `json:"for,omitempty"`
 	Kind   FaultKind         `json:"kind"`
 	Target int               `json:"target"`
-	// Factor is how many times longer runs take on a straggler.
+	// Factor is how many times longer runs take on a slow runner.
 	Factor float64 `json:"factor,omitempty"`
 }
 
--- a/bench/replay/guard.go
+++ b/bench/replay/guard.go
@@ -182,7 +182,7 @@
 	})
 }
 
-// applyAccount passes the runner's state and the ended runs to the run table.
+// applyListing passes the runner's state and the ended runs to the run table.
 func (g *guard) applyListing(ends []work.End) {
 	reports := g.table.ApplyListing(g.sim.now, g.sim.now, work.Listing{Running: slices.Collect(maps.Keys(g.running)), Ends: ends})
 	g.deliver(sortByTask(reports))
--- a/bench/replay/replay_test.go
+++ b/bench/replay/replay_test.go
@@ -21,7 +21,7 @@
 	return replay.Load{}
 }
 
-// play simulates a load with the production policy.
+// simulate simulates a load with the production policy.
 func simulate(t *testing.T, name string) *replay.Result {
 	t.Helper()
 	r := replay.Simulate(load(t, name), replay.Policies()[0], 1)
@@ -30,7 +30,7 @@
 	return r
 }
 
-// playSimple simulates a load in order of arrival, without rejections before the
+// simulateSimple simulates a load in order of arrival, without rejections before the
 // deadline.
 func simulateSimple(t *testing.T, name string) *replay.Result {
 	t.Helper()
--- a/bench/workload/workload.go
+++ b/bench/workload/workload.go
@@ -22,7 +22,7 @@
 	Bursts []Burst
 	// Clients lists the clients that share the stream by weight.
 	Clients []ClientShare
-	// Entries is the number of entries. Lumpy is the fraction of all jobs that is sent
+	// Entries is the number of entries. FirstEntryShare is the fraction of all jobs that is sent
 	// to the first one in addition to its equal share.
 	Entries         int
 	FirstEntryShare float64
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -25,8 +25,8 @@
 	LoseShare float64
 	// ExpireLeases lets leases expire during an outage, too.
 	ExpireLeases bool
-	// Callers lists the names of the callers that the fault applies to, see Store.HandlerFor; nil means
-	// all.
+	// Callers lists the names of the callers that the fault applies to, see Store.HandlerFor; nil
+	// means all.
 	Callers []string
 }
 
--- a/standin/worker/orders.go
+++ b/standin/worker/orders.go
@@ -160,7 +160,7 @@
 	}
 	x := &run{number: b.Run, cpu: spec.CPU}
 	r.runs[b.Task] = x
-	r.Checker.runStarted(b.Task, r.where(x))
+	r.Checker.runStarted(b.Task, r.location(x))
 	if used, limit := r.used(), r.capacityLimit(); used > limit {
 		r.Checker.ReportViolation("runner %s uses %d of %d millicores", r.instance, used, limit)
 	}
@@ -183,7 +183,7 @@
 	return response{status: http.StatusOK}
 }
 
-func (r *Runner) where(x *run) RunLocation {
+func (r *Runner) location(x *run) RunLocation {
 	return RunLocation{r.address, r.instance, r.processStart, x.number}
 }
 
@@ -199,7 +199,7 @@
 	r.rejectedUpTo[task] = max(r.rejectedUpTo[task], x.number)
 	r.lastEndedSeq++
 	r.endedRuns = append(r.endedRuns, endedRun{r.lastEndedSeq, task, x.number, outcome})
-	r.Checker.runEnded(task, r.where(x), outcome)
+	r.Checker.runEnded(task, r.location(x), outcome)
 	close(r.runEndedCh)
 	r.runEndedCh = make(chan struct{})
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -255,7 +255,7 @@
 	r.dead = true
 	for task, x := range r.runs {
 		x.timer.Stop()
-		r.Checker.runEnded(task, r.where(x), "lost")
+		r.Checker.runEnded(task, r.location(x), "lost")
 	}
 	r.runs = map[string]*run{}
 }
