--- a/dispatch/planner/planner.go
+++ b/dispatch/planner/planner.go
@@ -244,30 +244,30 @@
 }
 
 // end sets the outcome of a job and stops its open runs.
-func (p *Planner) end(now time.Duration, j *job, o Outcome, why Reason) {
+func (p *Planner) end(now time.Duration, j *job, o Outcome, reason Reason) {
 	j.outcome = o
 	j.service.remove(j)
 	waited := now - j.arrived
 	if j.started {
 		waited = j.firstStart - j.arrived
 	}
-	ended := Ended{Job: j.work.ID, Outcome: o, Reason: why, Waited: waited}
+	ended := Ended{Job: j.work.ID, Outcome: o, Reason: reason, Waited: waited}
 	if o == Refused {
 		ended.RetryAfter = p.retryAfter(j.service)
 	}
 	p.out.Ended = append(p.out.Ended, ended)
 	for _, t := range j.tasks {
 		if t.open() && !t.stopping {
-			p.stop(t, why)
+			p.stop(t, reason)
 		}
 	}
 	p.settle(j)
 }
 
 // stop orders the stop of a task's open run.
-func (p *Planner) stop(t *task, why Reason) {
-	t.stopping, t.stopReason = true, why
-	p.out.Stops = append(p.out.Stops, Stop{t.endpoint.id, t.run(), why})
+func (p *Planner) stop(t *task, reason Reason) {
+	t.stopping, t.stopReason = true, reason
+	p.out.Stops = append(p.out.Stops, Stop{t.endpoint.id, t.run(), reason})
 }
 
 // settle removes a job that has ended once all its runs are over.
@@ -359,11 +359,11 @@
 }
 
 func (p *Planner) refuse(now time.Duration, j *job) {
-	why := ReasonOverload
+	reason := ReasonOverload
 	if len(j.service.endpoints) == 0 {
-		why = ReasonNoRunner
+		reason = ReasonNoRunner
 	}
-	p.end(now, j, Refused, why)
+	p.end(now, j, Refused, reason)
 }
 
 // checkStarted ends started jobs whose caller's deadline is due, and stops runs that take too
@@ -375,13 +375,13 @@
 			continue
 		}
 		if now >= j.deadline-answerMargin {
-			why := ReasonDeadline
+			reason := ReasonDeadline
 			for _, t := range j.tasks {
 				if t.open() && !t.endpoint.attached {
-					why = ReasonGuardUnreachable
+					reason = ReasonGuardUnreachable
 				}
 			}
-			p.end(now, j, Expired, why)
+			p.end(now, j, Expired, reason)
 			continue
 		}
 		next = min(next, j.deadline-answerMargin, p.stopLongRuns(now, j))
--- a/dispatch/planner/restart_test.go
+++ b/dispatch/planner/restart_test.go
@@ -13,13 +13,13 @@
 func TestCrashesUnderOneIDAreCountedSeparately(t *testing.T) {
 	f := newFleet(t, 8)
 	s := f.submitLongWait("poison", 1).Starts[0]
-	for born := int64(1); born <= 2; born++ {
-		p := work.Incarnation{ID: "i", StartedMilli: born}
+	for startedMilli := int64(1); startedMilli <= 2; startedMilli++ {
+		p := work.Incarnation{ID: "i", StartedMilli: startedMilli}
 		f.ReportCrash(f.now, s.Endpoint, s.Run, 0, Crash{Runner: p, OtherCount: 7, Newest: true})
-		f.UpdateEndpoint(f.now, s.Endpoint, EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "i", StartedMilli: born + 1}, AcceptsStarts: true, Total: work.Amounts{CPUMilli: 8000, MemoryMB: 512}})
-		assert.Equal(t, len(f.crashes), int(born))
+		f.UpdateEndpoint(f.now, s.Endpoint, EndpointStatus{Service: "teardown", Runner: work.Incarnation{ID: "i", StartedMilli: startedMilli + 1}, AcceptsStarts: true, Total: work.Amounts{CPUMilli: 8000, MemoryMB: 512}})
+		assert.Equal(t, len(f.crashes), int(startedMilli))
 		a := f.after(300 * ms)
-		if born == 1 {
+		if startedMilli == 1 {
 			s = a.Starts[0]
 		} else {
 			assert.Equal(t, a.Ended[0].Reason, ReasonCrashes)
--- a/guard/host/host.go
+++ b/guard/host/host.go
@@ -286,7 +286,7 @@
 	h.mu.Lock()
 	p.recordReply(answer, h.monotonic())
 	var reports []runs.Report
-	switch why, known := startRefusal(err); {
+	switch reason, known := startRefusal(err); {
 	case err == nil:
 		if report, changed := h.table.Started(now, s.Name); changed {
 			reports = append(reports, report)
@@ -301,7 +301,7 @@
 		if errors.Is(err, runner.ErrStaleRun) {
 			h.table.SkipRunNumbers(now, s.Run.Task)
 		}
-		reports = h.table.StartRejected(now, s.Name, why)
+		reports = h.table.StartRejected(now, s.Name, reason)
 	default:
 		h.table.StartUnanswered(now, s.Name)
 	}
@@ -318,7 +318,7 @@
 
 // startRefusal returns the reason for which a start was not executed. definite is false if the
 // runner may have executed it, or may still do so.
-func startRefusal(err error) (why runs.Refusal, definite bool) {
+func startRefusal(err error) (reason runs.Refusal, definite bool) {
 	switch {
 	case errors.Is(err, runner.ErrUnreachable), errors.Is(err, runner.ErrUnhealthy), errors.Is(err, runner.ErrRejected):
 		return runs.RunnerFailed, true
--- a/guard/host/host_test.go
+++ b/guard/host/host_test.go
@@ -84,14 +84,14 @@
 }
 
 // end ends a run if it is running.
-func (f *fakeRunner) end(run work.RunnerRunID, how work.EndState) {
+func (f *fakeRunner) end(run work.RunnerRunID, state work.EndState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.running[run] {
 		return
 	}
 	delete(f.running, run)
-	f.ends = append(f.ends, work.End{Seq: int64(len(f.ends) + 1), Run: run, State: how})
+	f.ends = append(f.ends, work.End{Seq: int64(len(f.ends) + 1), Run: run, State: state})
 	f.ended <- struct{}{}
 }
 
--- a/guard/host/metrics.go
+++ b/guard/host/metrics.go
@@ -37,8 +37,8 @@
 		crashes:     s.Counter("runner_crashes_total"),
 		refusals:    map[runs.Refusal]tally.Counter{},
 	}
-	for _, why := range []runs.Refusal{runs.InsufficientCapacity, runs.StaleOrder, runs.NotAccepting, runs.RunnerFailed, runs.UnknownRun} {
-		m.refusals[why] = s.Tagged(map[string]string{"reason": why.String()}).Counter("orders_refused_total")
+	for _, reason := range []runs.Refusal{runs.InsufficientCapacity, runs.StaleOrder, runs.NotAccepting, runs.RunnerFailed, runs.UnknownRun} {
+		m.refusals[reason] = s.Tagged(map[string]string{"reason": reason.String()}).Counter("orders_refused_total")
 	}
 	return m
 }
@@ -65,4 +65,4 @@
 
 func (m *Metrics) countMalformed() { m.malformed.Inc(1) }
 
-func (m *Metrics) countRefusal(why runs.Refusal) { m.refusals[why].Inc(1) }
+func (m *Metrics) countRefusal(reason runs.Refusal) { m.refusals[reason].Inc(1) }
--- a/guard/runs/runs.go
+++ b/guard/runs/runs.go
@@ -184,8 +184,8 @@
 // that rejects the order. sent is the earliest uptime at which the owner can have sent the
 // order.
 func (t *Table) Admit(now, sent time.Duration, owner Owner, o Order) (*Start, *Report) {
-	if why := t.refuse(now, sent, owner, o); why != NoRefusal {
-		return nil, &Report{Owner: owner, Run: o.Run, State: NotStarted, Refusal: why}
+	if reason := t.refuse(now, sent, owner, o); reason != NoRefusal {
+		return nil, &Report{Owner: owner, Run: o.Run, State: NotStarted, Refusal: reason}
 	}
 	return t.add(now, sent, owner, o), nil
 }
@@ -257,12 +257,12 @@
 }
 
 // StartRejected records that the runner has not started the run and will not start it.
-func (t *Table) StartRejected(now time.Duration, name work.RunnerRunID, why Refusal) []Report {
+func (t *Table) StartRejected(now time.Duration, name work.RunnerRunID, reason Refusal) []Report {
 	r := t.find(name)
 	if r == nil || r.started {
 		return nil
 	}
-	return t.endWithReason(now, r, NotStarted, why)
+	return t.endWithReason(now, r, NotStarted, reason)
 }
 
 // StartUnanswered records that a start was not answered. The runner may execute it later, so the run
@@ -351,21 +351,21 @@
 	return t.endWithReason(now, r, s, RunnerFailed)
 }
 
-func (t *Table) endWithReason(now time.Duration, r *run, s State, why Refusal) []Report {
+func (t *Table) endWithReason(now time.Duration, r *run, s State, reason Refusal) []Report {
 	delete(t.runs, r.id.Task)
 	t.used = t.used.Sub(r.need)
-	return t.report(now, r, s, why)
+	return t.report(now, r, s, reason)
 }
 
 // reportEnd makes the final report on a run, once.
-func (t *Table) report(now time.Duration, r *run, s State, why Refusal) []Report {
+func (t *Table) report(now time.Duration, r *run, s State, reason Refusal) []Report {
 	if r.endReported {
 		return nil
 	}
 	r.endReported = true
 	report := Report{Owner: r.owner, Run: r.id, State: s, StartedAt: r.startedAt, EndedAt: now}
 	if s == NotStarted {
-		report.Refusal = why
+		report.Refusal = reason
 	}
 	t.endedRuns[r.id] = endedRun{report, now}
 	t.endedOrder = append(t.endedOrder, r.id)
