--- a/bench/replay/guard.go
+++ b/bench/replay/guard.go
@@ -170,7 +170,7 @@
 }
 
 // end ends a run after a delay, unless it has ended by then.
-func (g *guard) end(name work.RunnerRunID, in time.Duration, how work.EndState) {
+func (g *guard) end(name work.RunnerRunID, in time.Duration, state work.EndState) {
 	generation := g.generation
 	g.sim.after(in, func() {
 		if g.generation != generation || !g.running[name] {
@@ -178,7 +178,7 @@
 		}
 		delete(g.running, name)
 		g.endSeq++
-		g.applyListing([]work.End{{Seq: g.endSeq, Run: name, State: how}})
+		g.applyListing([]work.End{{Seq: g.endSeq, Run: name, State: state}})
 	})
 }
 
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func (r *Result) countRefusedOrder(why runs.Refusal) { r.RefusedOrders[why.String()]++ }
+func (r *Result) countRefusedOrder(reason runs.Refusal) { r.RefusedOrders[reason.String()]++ }
 
 func (r *Result) countCrash(by *pendingJob) { r.Crashes[by]++ }
 
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -172,9 +172,9 @@
 
 // rejectEarly rejects a request before its body is read: none of its tasks has run. The log
 // record takes the job ID from the end of the path, as the contract may not be known.
-func (f *Handler) rejectEarly(w http.ResponseWriter, req *http.Request, why string) {
-	rejectedEarly.Log(req.Context(), f.logger, slog.String("job", path.Base(req.URL.Path)), slog.String("why", why))
-	ingress.WriteError(w, http.StatusServiceUnavailable, why, soon)
+func (f *Handler) rejectEarly(w http.ResponseWriter, req *http.Request, reason string) {
+	rejectedEarly.Log(req.Context(), f.logger, slog.String("job", path.Base(req.URL.Path)), slog.String("why", reason))
+	ingress.WriteError(w, http.StatusServiceUnavailable, reason, soon)
 }
 
 // rejectInvalid rejects an invalid or unsupported request.
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -43,7 +43,7 @@
 func TestEarlyRejectionsAreLogged(t *testing.T) {
 	known := route.NewTable(1, route.Limits{}, []*route.Contract{{Name: "c", Host: "h.example", Prefix: "/q/", Service: "s"}})
 	for _, c := range []struct {
-		why    string
+		reason string
 		config config
 		path   string
 		closed bool
@@ -52,7 +52,7 @@
 		{"configuration may be out of date", config{table: known}, "/new/", false},
 		{"this entry is ending", config{table: known, fresh: true}, "/q/", true},
 	} {
-		t.Run(c.why, func(t *testing.T) {
+		t.Run(c.reason, func(t *testing.T) {
 			var log bytes.Buffer
 			f := New(&c.config, noJobs{}, slog.New(slog.NewJSONHandler(&log, nil)).With(slog.String("entry", "e1")))
 			if c.closed {
@@ -68,7 +68,7 @@
 			assert.Equal(t, line["job"], "00000000000000a7")
 			explanation, err := explain.FromLogs("00000000000000a7", &log)
 			assert.NilError(t, err)
-			assert.Assert(t, strings.Contains(explanation.Cause, c.why), explanation.Cause)
+			assert.Assert(t, strings.Contains(explanation.Cause, c.reason), explanation.Cause)
 		})
 	}
 }
