--- a/e2e/harness/balancer.go
+++ b/e2e/harness/balancer.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Balancer picks ready entries in turn, as the platform's balancer does that
-// looks at /readyz now and then.
+// Balancer picks ready entries round-robin, as the platform's load balancer does,
+// which checks /readyz periodically.
 type Balancer struct {
 	entries []*Entry
 	ready   []atomic.Bool
 	next    atomic.Uint64
 }
 
-// checkPause is the time between two checks of one entry.
-const checkPause = 100 * time.Millisecond
+// checkInterval is the time between two readiness checks of one entry.
+const checkInterval = 100 * time.Millisecond
 
-// NewBalancer returns a balancer that checks the entries until ctx ends.
+// NewBalancer returns a balancer that checks the entries' readiness until ctx is done.
 func NewBalancer(ctx context.Context, entries []*Entry) *Balancer {
 	b := &Balancer{entries: entries, ready: make([]atomic.Bool, len(entries))}
 	for i := range entries {
 		b.check(i)
-		go b.follow(ctx, i)
+		go b.checkPeriodically(ctx, i)
 	}
 	return b
 }
 
-func (b *Balancer) follow(ctx context.Context, i int) {
-	ticker := time.NewTicker(checkPause)
+func (b *Balancer) checkPeriodically(ctx context.Context, i int) {
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -42,7 +42,7 @@
 
 func (b *Balancer) check(i int) { b.ready[i].Store(isReady(b.entries[i].Operators)) }
 
-// Pick returns the next ready entry; nil when none is.
+// Pick returns the next ready entry, or nil if no entry is ready.
 func (b *Balancer) Pick() *Entry {
 	for range b.entries {
 		i := int(b.next.Add(1) % uint64(len(b.entries)))
@@ -53,16 +53,16 @@
 	return nil
 }
 
-// StartBalanced is StartLoad through a balancer: only ready entries get jobs.
-func StartBalanced(ctx context.Context, customer string, callers int, b *Balancer, job func(n int) Job) *Load {
+// StartBalanced is StartLoad with a balancer: callers submit jobs to ready entries only.
+func StartBalanced(ctx context.Context, account string, callers int, b *Balancer, job func(n int) Job) *Load {
 	ctx, stop := context.WithCancel(ctx)
 	l := &Load{stop: stop}
-	var number atomic.Int64
+	var sequence atomic.Int64
 	for range callers {
-		l.done.Go(func() {
-			client := NewClient(customer)
+		l.callers.Go(func() {
+			client := NewClient(account)
 			for ctx.Err() == nil {
-				l.submitBalanced(ctx, client, b, job(int(number.Add(1))))
+				l.submitBalanced(ctx, client, b, job(int(sequence.Add(1))))
 			}
 		})
 	}
@@ -72,12 +72,12 @@
 func (l *Load) submitBalanced(ctx context.Context, client *Client, b *Balancer, j Job) {
 	e := b.Pick()
 	if e == nil {
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 		return
 	}
 	answer, err := client.Run(context.WithoutCancel(ctx), e.Callers, j)
 	l.add(Reply{Answer: answer, Err: err, Job: j})
 	if err != nil || !answer.OK() {
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
--- a/e2e/harness/client.go
+++ b/e2e/harness/client.go
@@ -12,42 +12,42 @@
 	"almondstand.dev/contract"
 )
 
-// Task is one task of a job as a caller sends it.
+// Task is one task of a Job, as encoded in the request.
 type Task struct {
 	Kind    string `json:"kind"`
 	Payload []byte `json:"payload"`
 	RunTime string `json:"run_time,omitempty"`
 }
 
-// Job is a job as a caller sends it.
+// Job is the request body with which a caller submits a job.
 type Job struct {
 	Service    string `json:"service"`
 	Idempotent bool   `json:"idempotent,omitempty"`
 	Tasks      []Task `json:"tasks"`
 }
 
-// TaskAnswer is the answer or the failure of one task.
+// TaskAnswer is the result or the error of one task.
 type TaskAnswer struct {
 	Payload []byte `json:"payload"`
 	Ran     string `json:"ran"`
 	Code    string `json:"code"`
 }
 
-// Failure is the error part of an answer.
+// Failure is the error field of an answer.
 type Failure struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Ran     string `json:"ran"`
 }
 
-// Answer is what a caller got.
+// Answer is the response to a caller's request.
 type Answer struct {
 	Status     int           `json:"-"`
 	RetryAfter string        `json:"-"`
 	Next       string        `json:"-"`
 	Entry      string        `json:"-"`
 	Took       time.Duration `json:"-"`
-	// Body is the answer as it came.
+	// Body is the response body before decoding.
 	Body       []byte       `json:"-"`
 	Submission string       `json:"submission"`
 	Outcome    string       `json:"outcome"`
@@ -58,7 +58,7 @@
 // OK reports whether the job completed.
 func (a *Answer) OK() bool { return a.Status == http.StatusOK }
 
-// Ran is what the answer says of the job as a whole.
+// Ran returns whether the job as a whole ran, according to the answer: yes, no or unknown.
 func (a *Answer) Ran() string {
 	if a.Error == nil {
 		return "yes"
@@ -66,21 +66,21 @@
 	return a.Error.Ran
 }
 
-// Client is one customer's caller.
+// Client is a caller that submits jobs for one client account.
 type Client struct {
 	Customer string
 	HTTP     *http.Client
 }
 
-// NewClient returns a caller of a customer with connections of its own.
-func NewClient(customer string) *Client {
+// NewClient returns a Client of the account with its own connection pool.
+func NewClient(account string) *Client {
 	return &Client{
-		Customer: customer,
+		Customer: account,
 		HTTP:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
 	}
 }
 
-// Mint asks an entry for n submission ids.
+// Mint has an entry create n submission ids.
 func (c *Client) Mint(ctx context.Context, address string, n int) ([]string, error) {
 	var out struct {
 		Submissions []string `json:"submissions"`
@@ -90,33 +90,33 @@
 		return nil, err
 	}
 	if status.StatusCode/100 != 2 {
-		return nil, fmt.Errorf("harness: mint: %d %s", status.StatusCode, body)
+		return nil, fmt.Errorf("harness: mint submission ids: status %d: %s", status.StatusCode, body)
 	}
 	return out.Submissions, json.Unmarshal(body, &out)
 }
 
-// Run submits a job without an id of its own.
+// Run submits a job without a submission id.
 func (c *Client) Run(ctx context.Context, address string, j Job) (*Answer, error) {
-	return c.job(ctx, http.MethodPost, address, "/v1/jobs", j)
+	return c.requestJob(ctx, http.MethodPost, address, "/v1/jobs", j)
 }
 
-// Put submits a job under an id.
+// Put submits a job under a submission id, so that the request can be repeated.
 func (c *Client) Put(ctx context.Context, address, id string, j Job) (*Answer, error) {
-	return c.job(ctx, http.MethodPut, address, "/v1/submissions/"+id, j)
+	return c.requestJob(ctx, http.MethodPut, address, "/v1/submissions/"+id, j)
 }
 
-// Get fetches a submission's answer.
+// Get fetches the answer to a submission.
 func (c *Client) Get(ctx context.Context, address, id string) (*Answer, error) {
-	return c.job(ctx, http.MethodGet, address, "/v1/submissions/"+id, nil)
+	return c.requestJob(ctx, http.MethodGet, address, "/v1/submissions/"+id, nil)
 }
 
 // Cancel cancels a submission.
 func (c *Client) Cancel(ctx context.Context, address, id string) (*Answer, error) {
-	return c.job(ctx, http.MethodDelete, address, "/v1/submissions/"+id, nil)
+	return c.requestJob(ctx, http.MethodDelete, address, "/v1/submissions/"+id, nil)
 }
 
-func (c *Client) job(ctx context.Context, method, address, path string, body any) (*Answer, error) {
-	begin := time.Now()
+func (c *Client) requestJob(ctx context.Context, method, address, path string, body any) (*Answer, error) {
+	start := time.Now()
 	text, response, err := c.call(ctx, method, address, path, body)
 	if err != nil {
 		return nil, err
@@ -126,11 +126,11 @@
 		RetryAfter: response.Header.Get("Retry-After"),
 		Next:       response.Header.Get("Almond-Next-Submission"),
 		Entry:      response.Header.Get("Almond-Entry"),
-		Took:       time.Since(begin),
+		Took:       time.Since(start),
 		Body:       text,
 	}
 	if err := json.Unmarshal(text, a); err != nil {
-		return nil, fmt.Errorf("harness: answer %d %q: %w", a.Status, text, err)
+		return nil, fmt.Errorf("harness: decode answer with status %d %q: %w", a.Status, text, err)
 	}
 	return a, nil
 }
@@ -140,17 +140,17 @@
 }
 
 func call(ctx context.Context, h *http.Client, method, address, path, token string, body any) ([]byte, *http.Response, error) {
-	var in io.Reader
+	var requestBody io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
-			return nil, nil, fmt.Errorf("harness: call: %w", err)
+			return nil, nil, fmt.Errorf("harness: request: %w", err)
 		}
-		in = bytes.NewReader(text)
+		requestBody = bytes.NewReader(text)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, in)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, requestBody)
 	if err != nil {
-		return nil, nil, fmt.Errorf("harness: call: %w", err)
+		return nil, nil, fmt.Errorf("harness: request: %w", err)
 	}
 	request.Header.Set("Authorization", "Bearer "+token)
 	request.Header.Set("Content-Type", "application/json")
@@ -163,20 +163,21 @@
 	return text, response, err
 }
 
-// Operate calls an entry's operators' interface and decodes the answer.
-func Operate(ctx context.Context, address, method, path string, body, into any) (int, error) {
+// Operate calls an entry's operator API, decodes the response into result and returns its
+// status. It leaves result unchanged if the status isn't 2xx.
+func Operate(ctx context.Context, address, method, path string, body, result any) (int, error) {
 	text, response, err := call(ctx, http.DefaultClient, method, address, path, OperatorToken, body)
 	if err != nil {
 		return 0, err
 	}
-	if into == nil || response.StatusCode/100 != 2 {
+	if result == nil || response.StatusCode/100 != 2 {
 		return response.StatusCode, nil
 	}
-	return response.StatusCode, json.Unmarshal(text, into)
+	return response.StatusCode, json.Unmarshal(text, result)
 }
 
-// Apply puts a contract in force through an entry and waits until all live
-// entries of the cluster hold it.
+// Apply sets a client account's contract through the first entry, and returns once all
+// live entries of the cluster have it.
 func (c *Cluster) Apply(ctx context.Context, k contract.Contract) error {
 	text, err := json.Marshal(k)
 	if err != nil {
--- a/e2e/harness/cluster.go
+++ b/e2e/harness/cluster.go
@@ -21,43 +21,43 @@
 	"almondstand.dev/standin/store"
 )
 
-// Tokens of the harness.
+// Credentials of the harness, and the service of its runners.
 const (
 	OperatorToken = "operator-token"
 	Secret        = "cluster-secret"
 	Service       = "teardown"
 )
 
-// ErrNotReady means that a process did not become ready in time.
+// ErrNotReady is returned when a process did not become ready in time.
 var ErrNotReady = errors.New("harness: not ready")
 
-// readyLimit bounds every wait for a process to start.
-const readyLimit = 30 * time.Second
+// readyTimeout is the maximum time to wait for a process to become ready.
+const readyTimeout = 30 * time.Second
 
-// Options of a Cluster.
+// Options configures a Cluster.
 type Options struct {
 	Binaries Binaries
-	// Dir is for settings files.
+	// Dir is the folder of the processes' settings files.
 	Dir     string
 	Entries int
-	// Spare counts entries that have their settings and are not started.
+	// Spare is the number of further entries that are configured and not started.
 	Spare int
-	// StoreRelays puts a relay of its own between each entry and the store.
+	// StoreRelays adds a separate relay between each entry and the store.
 	StoreRelays bool
-	// Guards counts guarded endpoints, Bare the others.
+	// Guards is the number of endpoints with a guard, Bare that of endpoints without one.
 	Guards      int
 	Bare        int
 	Slots       int
 	Connections int
-	// Delay is added by the relays in each direction.
+	// Delay is the latency that the relays add in each direction.
 	Delay time.Duration
-	// NoRelays connects the processes directly.
+	// NoRelays connects the processes without relays.
 	NoRelays bool
-	// Zones are given to entries and endpoints in turn.
+	// Zones are the data centres, assigned to entries and endpoints round-robin.
 	Zones []string
 	// EntryEnv is added to the entries' environment.
 	EntryEnv []string
-	// EntrySettings and GuardSettings change the settings before a start.
+	// EntrySettings and GuardSettings modify the settings before they are written.
 	EntrySettings func(*node.Settings)
 	GuardSettings func(*config.Settings)
 }
@@ -67,7 +67,8 @@
 	Store      *store.Store
 	StoreRelay *relay.Relay
 	Entries    []*Entry
-	// Spare are entries that LaunchSpare starts; the others know their addresses.
+	// Spare holds the entries that LaunchSpare starts. Their addresses are in the settings
+	// of all other processes from the beginning.
 	Spare   []*Entry
 	Guards  []*Guard
 	Runners []*Runner
@@ -85,33 +86,33 @@
 	Callers   string
 	Internal  string
 	Operators string
-	// Relay is in front of the internal interface; nil without relays.
+	// Relay forwards to the internal API; nil if the cluster has no relays.
 	Relay *relay.Relay
-	// StoreRelay is this entry's own way to the store; nil without StoreRelays.
-	StoreRelay *relay.Relay
-	file       string
+	// StoreRelay forwards from this entry alone to the store; nil without Options.StoreRelays.
+	StoreRelay   *relay.Relay
+	settingsFile string
 }
 
-// Guard is one guard process and the relays around it.
+// Guard is one guard process and the relay in front of it.
 type Guard struct {
 	*Process
 	ID       string
 	Internal string
 	Local    string
-	// Relay is in front of the guard, RunnerRelay between it and its runner.
-	Relay *relay.Relay
-	file  string
+	// Relay forwards to the guard; Runner.Relay is between the guard and its runner.
+	Relay        *relay.Relay
+	settingsFile string
 }
 
-// Runner is one runner stand-in, in the harness's own process.
+// Runner is one simulated runner, which runs within the harness's process.
 type Runner struct {
 	*runner.Runner
 	Address string
-	// Relay is in front of the runner; nil without relays.
+	// Relay forwards to the runner; nil if the cluster has no relays.
 	Relay *relay.Relay
 }
 
-// Start starts everything and waits until it is ready.
+// Start starts all processes and stand-ins, and waits until the entries are ready.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	o = withDefaults(o)
 	ctx, stop := context.WithCancel(ctx)
@@ -159,16 +160,16 @@
 		}
 	}
 	for i := range c.options.Bare {
-		if err := c.addBare(i); err != nil {
+		if err := c.addUnguarded(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Stop ends all processes and stand-ins.
+// Stop kills all processes and stops the stand-ins.
 func (c *Cluster) Stop() {
-	for _, e := range c.known() {
+	for _, e := range c.allEntries() {
 		if e.Process != nil {
 			e.Kill()
 		}
@@ -189,11 +190,11 @@
 		return err
 	}
 	c.storeAddr = address
-	c.StoreRelay, c.storeAddr, err = c.relayTo(address)
+	c.StoreRelay, c.storeAddr, err = c.startRelay(address)
 	return err
 }
 
-// serve serves a handler until the cluster stops and returns its address.
+// serve starts an HTTP server that runs until the cluster stops, and returns its address.
 func (c *Cluster) serve(host string, h http.Handler, wrap func(net.Listener) net.Listener) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -203,14 +204,15 @@
 	if wrap != nil {
 		l = wrap(l)
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: readyLimit}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: readyTimeout}
 	go func() { _ = server.Serve(l) }()
 	context.AfterFunc(c.ctx, func() { _ = server.Close() })
 	return address, nil
 }
 
-// relayTo puts a relay in front of an address and returns the address to use.
-func (c *Cluster) relayTo(target string) (*relay.Relay, string, error) {
+// startRelay starts a relay to an address and returns the address to connect to, which
+// is the target itself if the cluster has no relays.
+func (c *Cluster) startRelay(target string) (*relay.Relay, string, error) {
 	if c.options.NoRelays {
 		return nil, target, nil
 	}
@@ -226,44 +228,45 @@
 	return r, l.Addr().String(), nil
 }
 
-// waitReady waits until the address's /readyz says so.
+// waitReady waits until /readyz at the address reports that the process is ready.
 func (c *Cluster) waitReady(p *Process, address string) error {
-	deadline := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if isReady(address) {
 			return nil
 		}
 		select {
 		case <-p.Done():
-			return fmt.Errorf("%w: %s ended: %v\n%s", ErrNotReady, p.Name, p.Err(), p.Log())
-		case <-time.After(pollPause):
+			return fmt.Errorf("%w: %s exited: %v\n%s", ErrNotReady, p.Name, p.Err(), p.Log())
+		case <-time.After(pollInterval):
 		}
 	}
 	return fmt.Errorf("%w: %s\n%s", ErrNotReady, p.Name, p.Log())
 }
 
-const pollPause = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
 func isReady(address string) bool {
 	client := http.Client{Timeout: time.Second}
-	answer, err := client.Get("http://" + address + "/readyz")
+	response, err := client.Get("http://" + address + "/readyz")
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// Digest is the SHA-256 of a token, in hex.
+// Digest returns the SHA-256 of a token in hexadecimal.
 func Digest(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// Contract returns a generous contract for a customer whose token is Token(customer).
-func Contract(customer string) contract.Contract {
+// Contract returns a contract with high limits for a client account whose bearer token
+// is Token(account).
+func Contract(account string) contract.Contract {
 	return contract.Contract{
-		Client:       customer,
+		Client:       account,
 		State:        contract.Active,
 		Rate:         20000,
 		Burst:        20000,
@@ -273,12 +276,12 @@
 		RunLimit:     contract.Duration(15 * time.Second),
 		Objective:    0.999,
 		Services:     []string{Service},
-		TokenDigests: []string{Digest(Token(customer))},
+		TokenDigests: []string{Digest(Token(account))},
 	}
 }
 
-// Token is the bearer token of a customer of the harness.
-func Token(customer string) string { return "token-of-" + customer }
+// Token returns the bearer token of a client account.
+func Token(account string) string { return "token-of-" + account }
 
 func writeJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
--- a/e2e/harness/front.go
+++ b/e2e/harness/front.go
@@ -6,13 +6,13 @@
 	"almondstand.dev/standin/relay"
 )
 
-// FrontCallers puts a relay in front of an entry's callers' interface. The entry
-// returned stands for the way through it: only its ID and Callers are set.
+// FrontCallers starts a relay in front of an entry's caller API. The returned Entry
+// has the relay's address in Callers; of its other fields only ID is set.
 func (c *Cluster) FrontCallers(e *Entry) (*relay.Relay, *Entry, error) {
 	if c.options.NoRelays {
 		return nil, nil, fmt.Errorf("harness: %s: this cluster has no relays", e.ID)
 	}
-	r, address, err := c.relayTo(e.Callers)
+	r, address, err := c.startRelay(e.Callers)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/e2e/harness/judge.go
+++ b/e2e/harness/judge.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// Reply is what became of one submission, as its caller saw it.
+// Reply is the outcome of one submission as observed by its caller.
 type Reply struct {
 	Answer *Answer
-	// Err is set when no answer came: the caller knows nothing.
+	// Err is set if no answer arrived: the caller doesn't know whether the job ran.
 	Err error
 	Job Job
 }
 
-// Load submits jobs from several callers at once until it is stopped, and
-// keeps every reply.
+// Load submits jobs from concurrent callers until it is stopped, and records
+// every reply.
 type Load struct {
 	mu      sync.Mutex
 	replies []Reply
 	stop    context.CancelFunc
-	done    sync.WaitGroup
+	callers sync.WaitGroup
 }
 
-// StartLoad starts callers that submit one job after another to the entries in
-// turn. A caller that gets no answer goes on with a new job.
-func StartLoad(ctx context.Context, customer string, callers int, entries []*Entry, job func(n int) Job) *Load {
+// StartLoad starts callers that submit jobs sequentially to the entries, round-robin.
+// A caller that gets no answer continues with a new job.
+func StartLoad(ctx context.Context, account string, callers int, entries []*Entry, job func(n int) Job) *Load {
 	ctx, stop := context.WithCancel(ctx)
 	l := &Load{stop: stop}
 	for i := range callers {
-		l.done.Go(func() { l.caller(ctx, NewClient(customer), i, callers, entries, job) })
+		l.callers.Go(func() { l.runCaller(ctx, NewClient(account), i, callers, entries, job) })
 	}
 	return l
 }
 
-func (l *Load) caller(ctx context.Context, client *Client, i, step int, entries []*Entry, job func(n int) Job) {
+func (l *Load) runCaller(ctx context.Context, client *Client, i, step int, entries []*Entry, job func(n int) Job) {
 	for n := i; ctx.Err() == nil; n += step {
 		j := job(n)
-		// A started submission is always waited for, so that the judge knows it.
+		// Stopping the load does not cancel a pending submission, so that Judge checks
+		// its reply, too.
 		answer, err := client.Run(context.WithoutCancel(ctx), entries[n%len(entries)].Callers, j)
 		l.add(Reply{Answer: answer, Err: err, Job: j})
 		if err != nil || !answer.OK() {
-			time.Sleep(pollPause)
+			time.Sleep(pollInterval)
 		}
 	}
 }
@@ -60,48 +61,48 @@
 	return len(l.replies)
 }
 
-// Stop lets every caller finish its job and returns all replies.
+// Stop waits until every caller has finished its current job, and returns all replies.
 func (l *Load) Stop() []Reply {
 	l.stop()
-	l.done.Wait()
+	l.callers.Wait()
 	return l.replies
 }
 
-// Verdict is what the record of starts says of a set of replies.
+// Verdict is the result of checking a set of replies against the recorded starts.
 type Verdict struct {
 	Complete int
 	Failed   int
 	Refused  int
 	NoAnswer int
-	// Unknown counts tasks said to have perhaps run.
+	// Unknown counts the tasks for which the answer says that they may have run.
 	Unknown int
-	// Codes counts the answers that were not complete, by their code.
+	// Codes counts the answers with an error, by error code.
 	Codes map[string]int
-	// Faults lists broken promises.
+	// Faults lists the violations found.
 	Faults []string
 }
 
-// Judge holds replies against the runners' record: no task started twice, every
-// task of a complete job started once, no task said not to have run started,
-// and every answer is whole.
+// Judge checks replies against the starts that the runners recorded: no task started
+// twice, every task of a completed job started exactly once, no task reported as not
+// run was started, and every answer to a completed job has a result for each task.
 func Judge(starts Starts, replies []Reply) Verdict {
 	v := Verdict{Codes: map[string]int{}}
 	for task, n := range starts.Tasks {
 		if n > 1 {
-			v.fault("task %s started %d times", task, n)
+			v.addViolation("task %s started %d times", task, n)
 		}
 	}
 	for _, r := range replies {
-		v.judge(starts, r)
+		v.checkReply(starts, r)
 	}
 	return v
 }
 
-func (v *Verdict) fault(format string, args ...any) {
+func (v *Verdict) addViolation(format string, args ...any) {
 	v.Faults = append(v.Faults, fmt.Sprintf(format, args...))
 }
 
-func (v *Verdict) judge(starts Starts, r Reply) {
+func (v *Verdict) checkReply(starts Starts, r Reply) {
 	if r.Answer != nil && r.Answer.Error != nil {
 		v.Codes[r.Answer.Error.Code]++
 	}
@@ -110,52 +111,52 @@
 		v.NoAnswer++
 	case r.Answer.OK():
 		v.Complete++
-		v.judgeComplete(starts, r)
+		v.checkCompleted(starts, r)
 	case r.Answer.Ran() == "no":
 		v.Refused++
-		v.judgeNotRun(starts, r)
+		v.checkNotRun(starts, r)
 	default:
 		v.Failed++
-		v.judgeFailed(starts, r)
+		v.checkFailed(starts, r)
 	}
 }
 
-func (v *Verdict) judgeComplete(starts Starts, r Reply) {
+func (v *Verdict) checkCompleted(starts Starts, r Reply) {
 	if len(r.Answer.Tasks) != len(r.Job.Tasks) {
-		v.fault("%s: %d answers of %d tasks", r.Answer.Submission, len(r.Answer.Tasks), len(r.Job.Tasks))
+		v.addViolation("%s: %d results for %d tasks", r.Answer.Submission, len(r.Answer.Tasks), len(r.Job.Tasks))
 		return
 	}
 	for i := range r.Job.Tasks {
 		if n := starts.Tasks[taskKey(r, i)]; n != 1 {
-			v.fault("%s complete but started %d times", taskKey(r, i), n)
+			v.addViolation("%s reported as completed but started %d times", taskKey(r, i), n)
 		}
 	}
 }
 
-func (v *Verdict) judgeNotRun(starts Starts, r Reply) {
+func (v *Verdict) checkNotRun(starts Starts, r Reply) {
 	for i := range r.Job.Tasks {
 		if starts.Tasks[taskKey(r, i)] > 0 {
-			v.fault("%s said not run (%s) but started", taskKey(r, i), r.Answer.Error.Code)
+			v.addViolation("%s reported as not run (%s) but started", taskKey(r, i), r.Answer.Error.Code)
 		}
 	}
 }
 
-func (v *Verdict) judgeFailed(starts Starts, r Reply) {
-	for i, one := range r.Answer.Tasks {
+func (v *Verdict) checkFailed(starts Starts, r Reply) {
+	for i, task := range r.Answer.Tasks {
 		n := starts.Tasks[taskKey(r, i)]
-		switch one.Ran {
+		switch task.Ran {
 		case "no":
 			if n > 0 {
-				v.fault("%s said not run (%s) but started", taskKey(r, i), one.Code)
+				v.addViolation("%s reported as not run (%s) but started", taskKey(r, i), task.Code)
 			}
 		case "yes":
 			if n == 0 {
-				v.fault("%s said run (%s) but did not start", taskKey(r, i), one.Code)
+				v.addViolation("%s reported as run (%s) but not started", taskKey(r, i), task.Code)
 			}
 		case "unknown":
 			v.Unknown++
 		default:
-			v.fault("%s: ran is %q", taskKey(r, i), one.Ran)
+			v.addViolation("%s: invalid value of ran: %q", taskKey(r, i), task.Ran)
 		}
 	}
 }
--- a/e2e/harness/launch.go
+++ b/e2e/harness/launch.go
@@ -1,6 +1,6 @@
 package harness
 
-// Launch runs another program beside the cluster; its end is the caller's to see to.
+// Launch starts a program outside a Cluster. The caller must end the process.
 func Launch(name, path string, args ...string) (*Process, error) {
 	return start(name, nil, path, args...)
 }
--- a/e2e/harness/operate.go
+++ b/e2e/harness/operate.go
@@ -8,32 +8,32 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-// operators is shared, so that all calls use the same connections.
-var operators = client.New(client.Options{Token: OperatorToken})
+// operatorClient is shared, so that all calls use the same connection pool.
+var operatorClient = client.New(client.Options{Token: OperatorToken})
 
-// Operator returns an operator's client of one entry.
-func (e *Entry) Operator() *client.Client { return operators.WithAddress(e.Operators) }
+// Operator returns a client of the entry's operator API.
+func (e *Entry) Operator() *client.Client { return operatorClient.WithAddress(e.Operators) }
 
-// Ready reports whether the entry says that it may be sent work.
+// Ready reports whether the entry's readiness check succeeds.
 func (e *Entry) Ready() bool { return isReady(e.Operators) }
 
-// WaitInForce waits until each entry has the revision of the customer's contract
-// in force, or a later one, and returns how long the last took.
-func WaitInForce(ctx context.Context, entries []*Entry, customer string, revision int64) (time.Duration, error) {
-	begin := time.Now()
-	ctx, stop := context.WithTimeout(ctx, readyLimit)
+// WaitInForce waits until each entry applies the given or a later revision of the client
+// account's contract, and returns how long it took until the last entry did.
+func WaitInForce(ctx context.Context, entries []*Entry, account string, revision int64) (time.Duration, error) {
+	start := time.Now()
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	for _, e := range entries {
 		for {
-			v, err := e.Operator().Contract(ctx, customer)
+			v, err := e.Operator().Contract(ctx, account)
 			if err == nil && v.Revision >= revision {
 				break
 			}
 			if ctx.Err() != nil {
-				return 0, fmt.Errorf("%w: %s has revision %d of %s and not %d: %v", ErrNotReady, e.ID, v.Revision, customer, revision, err)
+				return 0, fmt.Errorf("%w: %s has revision %d of the contract of %s, want %d: %v", ErrNotReady, e.ID, v.Revision, account, revision, err)
 			}
-			time.Sleep(pollPause)
+			time.Sleep(pollInterval)
 		}
 	}
-	return time.Since(begin), nil
+	return time.Since(start), nil
 }
--- a/e2e/harness/prepare.go
+++ b/e2e/harness/prepare.go
@@ -12,19 +12,20 @@
 	"almondstand.dev/standin/runner"
 )
 
-func (c *Cluster) zone(i int) string { return c.options.Zones[i%len(c.options.Zones)] }
+func (c *Cluster) dataCentre(i int) string { return c.options.Zones[i%len(c.options.Zones)] }
 
-// prepareEntries chooses all addresses first, since entries name each other.
+// prepareEntries chooses all entries' addresses before it writes any settings, since each
+// entry's settings list the addresses of all entries.
 func (c *Cluster) prepareEntries() error {
-	all := c.options.Entries + c.options.Spare
-	advertised := make([]string, all)
-	for i := range all {
+	total := c.options.Entries + c.options.Spare
+	advertised := make([]string, total)
+	for i := range total {
 		e := &Entry{ID: fmt.Sprintf("entry-%d", i+1)}
 		if err := e.chooseAddresses(); err != nil {
 			return err
 		}
 		var err error
-		e.Relay, advertised[i], err = c.relayTo(e.Internal)
+		e.Relay, advertised[i], err = c.startRelay(e.Internal)
 		if err != nil {
 			return err
 		}
@@ -45,16 +46,16 @@
 }
 
 func (c *Cluster) writeEntrySettings(e *Entry, i int, advertised []string) error {
-	// From a zero value, each zero that is written out would stand in place of its
-	// default: a floor of 0 starves an entry while others keep the guards full.
+	// Starting from a zero value would write explicit zeros that replace the defaults:
+	// MinInFlight of 0 starves an entry while other entries keep the guards at capacity.
 	s := node.Default()
 	s.ID = e.ID
-	s.DataCentre = c.zone(i)
+	s.DataCentre = c.dataCentre(i)
 	s.Listen.Callers = mustAddress(e.Callers)
 	s.Listen.Internal = mustAddress(e.Internal)
 	s.Listen.Operators = mustAddress(e.Operators)
 	s.Advertise.Internal = mustAddress(advertised[i])
-	store, err := c.storeFor(e)
+	store, err := c.storeAddressFor(e)
 	if err != nil {
 		return err
 	}
@@ -68,34 +69,35 @@
 	if c.options.EntrySettings != nil {
 		c.options.EntrySettings(&s)
 	}
-	e.file = filepath.Join(c.options.Dir, e.ID+".json")
-	return writeJSON(e.file, s)
+	e.settingsFile = filepath.Join(c.options.Dir, e.ID+".json")
+	return writeJSON(e.settingsFile, s)
 }
 
-// storeFor returns the address of the store for one entry.
-func (c *Cluster) storeFor(e *Entry) (string, error) {
+// storeAddressFor returns the address at which one entry reaches the store.
+func (c *Cluster) storeAddressFor(e *Entry) (string, error) {
 	if !c.options.StoreRelays {
 		return c.storeAddr, nil
 	}
 	var address string
 	var err error
-	e.StoreRelay, address, err = c.relayTo(c.storeAddr)
+	e.StoreRelay, address, err = c.startRelay(c.storeAddr)
 	return address, err
 }
 
-// known are the entries that endpoints announce themselves to.
-func (c *Cluster) known() []*Entry { return append(slices.Clone(c.Entries), c.Spare...) }
+// allEntries returns the started and the spare entries; endpoints register with all of them.
+func (c *Cluster) allEntries() []*Entry { return append(slices.Clone(c.Entries), c.Spare...) }
 
-// LaunchSpare starts a spare entry and doesn't wait for it.
+// LaunchSpare starts a spare entry without waiting until it is ready.
 func (c *Cluster) LaunchSpare(e *Entry) error { return c.launchEntry(e) }
 
 func (c *Cluster) launchEntry(e *Entry) error {
-	p, err := start(e.ID, c.options.EntryEnv, c.options.Binaries.Entry, "entry", "--settings", e.file)
+	p, err := start(e.ID, c.options.EntryEnv, c.options.Binaries.Entry, "entry", "--settings", e.settingsFile)
 	e.Process = p
 	return err
 }
 
-// RestartEntry starts an ended entry again under its id and addresses.
+// RestartEntry restarts an exited entry with the same id and addresses, and waits until
+// it is ready.
 func (c *Cluster) RestartEntry(e *Entry) error {
 	if err := c.launchEntry(e); err != nil {
 		return err
@@ -103,7 +105,7 @@
 	return c.waitReady(e.Process, e.Operators)
 }
 
-// RestartEntryUnready is RestartEntry without waiting for readiness.
+// RestartEntryUnready is RestartEntry without waiting until the entry is ready.
 func (c *Cluster) RestartEntryUnready(e *Entry) error { return c.launchEntry(e) }
 
 // WaitEntry waits until the entry is ready.
@@ -114,7 +116,7 @@
 	if err := FreeAddresses(NewHost(), &g.Internal, &g.Local); err != nil {
 		return err
 	}
-	r, advertised, err := c.relayTo(g.Internal)
+	r, advertised, err := c.startRelay(g.Internal)
 	if err != nil {
 		return err
 	}
@@ -126,48 +128,48 @@
 		return err
 	}
 	c.Guards = append(c.Guards, g)
-	return c.addRunner(c.zone(i), []string{"http://" + g.Local})
+	return c.addRunner(c.dataCentre(i), []string{"http://" + g.Local})
 }
 
 func (c *Cluster) writeGuardSettings(g *Guard, i int, advertised string) error {
 	s := config.Default()
 	s.ID = g.ID
-	s.DataCentre = c.zone(i)
+	s.DataCentre = c.dataCentre(i)
 	s.Listen.Internal = mustAddress(g.Internal)
 	s.Listen.Local = mustAddress(g.Local)
 	s.Advertise = mustAddress(advertised)
-	for _, e := range c.known() {
+	for _, e := range c.allEntries() {
 		s.Balancers = append(s.Balancers, mustAddress(e.Internal))
 	}
 	s.Secret = Secret
 	if c.options.GuardSettings != nil {
 		c.options.GuardSettings(&s)
 	}
-	g.file = filepath.Join(c.options.Dir, g.ID+".json")
-	return writeJSON(g.file, s)
+	g.settingsFile = filepath.Join(c.options.Dir, g.ID+".json")
+	return writeJSON(g.settingsFile, s)
 }
 
 func (c *Cluster) launchGuard(g *Guard) error {
-	p, err := start(g.ID, nil, c.options.Binaries.Guard, "run", "--settings", g.file)
+	p, err := start(g.ID, nil, c.options.Binaries.Guard, "run", "--settings", g.settingsFile)
 	g.Process = p
 	return err
 }
 
-// RestartGuard starts an ended guard again under its id and addresses.
+// RestartGuard restarts an exited guard with the same id and addresses.
 func (c *Cluster) RestartGuard(g *Guard) error { return c.launchGuard(g) }
 
-func (c *Cluster) addBare(i int) error {
-	var targets []string
-	for _, e := range c.known() {
-		targets = append(targets, "http://"+e.Internal)
+func (c *Cluster) addUnguarded(i int) error {
+	var addresses []string
+	for _, e := range c.allEntries() {
+		addresses = append(addresses, "http://"+e.Internal)
 	}
-	return c.addRunner(c.zone(i), targets)
+	return c.addRunner(c.dataCentre(i), addresses)
 }
 
-func (c *Cluster) addRunner(zone string, announceTo []string) error {
+func (c *Cluster) addRunner(dataCentre string, announceTo []string) error {
 	r, err := runner.New(runner.Options{
 		Service:     Service,
-		DataCentre:  zone,
+		DataCentre:  dataCentre,
 		Slots:       c.options.Slots,
 		Connections: c.options.Connections,
 		AnnounceTo:  announceTo,
@@ -182,11 +184,11 @@
 	if err != nil {
 		return err
 	}
-	front, advertised, err := c.relayTo(address)
+	relay, advertised, err := c.startRelay(address)
 	if err != nil {
 		return err
 	}
 	go func() { _ = r.Announce(c.ctx, advertised) }()
-	c.Runners = append(c.Runners, &Runner{Runner: r, Address: address, Relay: front})
+	c.Runners = append(c.Runners, &Runner{Runner: r, Address: address, Relay: relay})
 	return nil
 }
--- a/e2e/harness/process.go
+++ b/e2e/harness/process.go
@@ -1,6 +1,6 @@
 // Package harness runs the project's real processes on loopback addresses,
-// with stand-ins for the store, the runners and the network between them, for
-// the tests under failure and for the bench.
+// with stand-ins for the store, the runners and the network between them. The
+// fault injection tests and the benchmarks use it.
 package harness
 
 import (
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// ErrBuild means that the binaries could not be built.
+// ErrBuild is returned when a binary could not be built.
 var ErrBuild = errors.New("harness: build")
 
-// Binaries are the paths of the two programs.
+// Binaries holds the paths of the two programs.
 type Binaries struct {
 	Entry string
 	Guard string
 }
 
-// Build builds both programs into a folder.
+// Build builds both programs into a directory.
 func Build(dir string) (Binaries, error) {
 	b := Binaries{
 		Entry: filepath.Join(dir, "almondstand"),
@@ -39,7 +39,7 @@
 	return b, nil
 }
 
-// BuildProgram builds one program of the workspace.
+// BuildProgram builds one program of the Go workspace.
 func BuildProgram(out, pkg string) error {
 	cmd := exec.Command("go", "build", "-o", out, pkg)
 	text, err := cmd.CombinedOutput()
@@ -49,23 +49,23 @@
 	return nil
 }
 
-// Process is one running program.
+// Process is a child process.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
-	log  *tail
+	log  *tailBuffer
 	done chan struct{}
 	err  error
 }
 
-// start runs a program and keeps the end of what it logs.
+// start starts a program and retains the last part of its output.
 func start(name string, env []string, path string, args ...string) (*Process, error) {
-	p := &Process{Name: name, log: &tail{limit: tailBytes}, done: make(chan struct{})}
+	p := &Process{Name: name, log: &tailBuffer{limit: maxLogBytes}, done: make(chan struct{})}
 	p.cmd = exec.Command(path, args...)
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.Stdout = p.log
 	p.cmd.Stderr = p.log
-	// A test that dies must not leave its processes behind.
+	// The kernel kills the process if the test process dies, so that none is left running.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("harness: start %s: %w", name, err)
@@ -77,31 +77,32 @@
 	return p, nil
 }
 
-// PID is the process's id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Freeze stops the process where it is; Thaw lets it go on.
+// Freeze suspends the process with SIGSTOP until Thaw is called.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a suspended process with SIGCONT.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end gracefully.
+// Terminate requests a graceful shutdown with SIGTERM.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err is how the process ended; valid after Done.
+// Err returns the error of waiting for the process; nil means that it exited with status
+// 0. It is valid once Done is closed.
 func (p *Process) Err() error { return p.err }
 
-// Log is the end of what the process logged.
+// Log returns the last part of the process's output, at most maxLogBytes.
 func (p *Process) Log() string { return p.log.String() }
 
 func (p *Process) signal(s syscall.Signal) {
@@ -112,14 +113,15 @@
 	}
 }
 
-// Usage is what a process has used so far.
+// Usage is the resource usage of a process.
 type Usage struct {
+	// CPU is the processor time used since the process started.
 	CPU time.Duration
-	// RSS is the resident memory, bytes.
+	// RSS is the resident memory in bytes.
 	RSS int64
 }
 
-// Usage reads the process's usage from the kernel.
+// Usage reads the process's resource usage from /proc.
 func (p *Process) Usage() (Usage, error) { return usageOf(p.PID()) }
 
 func usageOf(pid int) (Usage, error) {
@@ -127,7 +129,7 @@
 	if err != nil {
 		return Usage{}, fmt.Errorf("harness: usage: %w", err)
 	}
-	// The program's name, in brackets, may hold spaces: fields count from its end.
+	// The program's name, in parentheses, may contain spaces: parse the fields after it.
 	end := bytes.LastIndexByte(text, ')')
 	fields := bytes.Fields(text[end+1:])
 	var user, system, pages int64
@@ -141,38 +143,40 @@
 }
 
 const (
-	// clockTicks is the kernel's unit of processor time, fixed on Linux.
-	clockTicks = 100
-	tailBytes  = 256 << 10
+	// clockTicks is the number of clock ticks per second (USER_HZ), the unit of processor
+	// time in /proc. It is fixed on Linux.
+	clockTicks  = 100
+	maxLogBytes = 256 << 10
 )
 
-// tail keeps the last bytes written.
-type tail struct {
+// tailBuffer is an io.Writer that retains the last limit bytes written.
+type tailBuffer struct {
 	mu    sync.Mutex
 	limit int
 	data  []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *tailBuffer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.data = append(t.data, b...)
-	if over := len(t.data) - t.limit; over > 0 {
-		t.data = append(t.data[:0], t.data[over:]...)
+	if excess := len(t.data) - t.limit; excess > 0 {
+		t.data = append(t.data[:0], t.data[excess:]...)
 	}
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.data)
 }
 
-// Hangup tells the process that its settings file may have changed.
+// Hangup sends SIGHUP, on which the process reloads its settings file.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
 
-// Dump ends the process and has it log what each of its goroutines does.
+// Dump sends SIGQUIT, on which the process logs the stacks of all goroutines and exits,
+// and waits until it has exited.
 func (p *Process) Dump() {
 	p.signal(syscall.SIGQUIT)
 	<-p.done
--- a/e2e/harness/settle.go
+++ b/e2e/harness/settle.go
@@ -9,9 +9,9 @@
 	"almondstand.dev/entry/operator"
 )
 
-// Starts is the record of all runners together.
+// Starts sums up the starts that all runners recorded.
 type Starts struct {
-	// Tasks counts the starts of each task over all runners.
+	// Tasks is the number of starts of each task, over all runners.
 	Tasks     map[string]int
 	Total     int
 	Doubles   int
@@ -19,74 +19,74 @@
 	Cancelled int
 }
 
-// Starts adds up the records of all runners: a task that started at two runners
-// is a double as well.
+// Starts sums up the starts recorded by all runners. A task that started once on each of
+// two runners counts as started twice, and therefore in Doubles.
 func (c *Cluster) Starts() Starts {
-	all := Starts{Tasks: map[string]int{}}
+	sum := Starts{Tasks: map[string]int{}}
 	for _, r := range c.Runners {
-		one := r.Runner.Starts()
-		all.Total += one.Total
-		all.Running += one.Running
-		all.Cancelled += one.Cancelled
-		for task, n := range one.Tasks {
-			all.Tasks[task] += n
+		recorded := r.Runner.Starts()
+		sum.Total += recorded.Total
+		sum.Running += recorded.Running
+		sum.Cancelled += recorded.Cancelled
+		for task, n := range recorded.Tasks {
+			sum.Tasks[task] += n
 		}
 	}
-	for _, n := range all.Tasks {
+	for _, n := range sum.Tasks {
 		if n > 1 {
-			all.Doubles++
+			sum.Doubles++
 		}
 	}
-	return all
+	return sum
 }
 
-// WaitSettled waits until every entry that runs is ready, serves the customer and
+// WaitSettled waits until every started entry is ready, serves the client account and
 // may start tasks on every endpoint.
-func (c *Cluster) WaitSettled(ctx context.Context, customer string) error {
-	ctx, stop := context.WithTimeout(ctx, readyLimit)
+func (c *Cluster) WaitSettled(ctx context.Context, account string) error {
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	client := NewClient(customer)
+	client := NewClient(account)
 	for _, e := range c.Entries {
-		for !c.settled(ctx, e, client) {
+		for !c.serving(ctx, e, client) {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%w: %s does not serve %s on all endpoints\n%s", ErrNotReady, e.ID, customer, e.Log())
-			case <-time.After(pollPause):
+				return fmt.Errorf("%w: %s does not serve %s on all endpoints\n%s", ErrNotReady, e.ID, account, e.Log())
+			case <-time.After(pollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) settled(ctx context.Context, e *Entry, client *Client) bool {
-	if !isReady(e.Operators) || c.usable(ctx, e) < len(c.Runners) {
+func (c *Cluster) serving(ctx context.Context, e *Entry, client *Client) bool {
+	if !isReady(e.Operators) || c.countUsable(ctx, e) < len(c.Runners) {
 		return false
 	}
 	_, err := client.Mint(ctx, e.Callers, 1)
 	return err == nil
 }
 
-// usable counts the endpoints on which an entry may start tasks.
-func (c *Cluster) usable(ctx context.Context, e *Entry) int {
-	var known operator.Endpoints
-	status, err := Operate(ctx, e.Operators, http.MethodGet, "/v1/endpoints", nil, &known)
+// countUsable returns the number of endpoints on which an entry may start tasks.
+func (c *Cluster) countUsable(ctx context.Context, e *Entry) int {
+	var response operator.Endpoints
+	status, err := Operate(ctx, e.Operators, http.MethodGet, "/v1/endpoints", nil, &response)
 	if err != nil || status != http.StatusOK {
 		return 0
 	}
 	n := 0
-	for _, one := range known.Endpoints {
-		if one.Usable {
+	for _, endpoint := range response.Endpoints {
+		if endpoint.Usable {
 			n++
 		}
 	}
 	return n
 }
 
-// WaitIdle waits until no runner runs a task any more.
+// WaitIdle waits until no runner is running a task, for at most readyTimeout.
 func (c *Cluster) WaitIdle(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, readyLimit)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	for c.Starts().Running > 0 && ctx.Err() == nil {
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
