--- a/e2e/fleet/caller.go
+++ b/e2e/fleet/caller.go
@@ -14,18 +14,18 @@
 	"almondstand.dev/standin/caller"
 )
 
-// Resend is the pause after which a caller submits a job again that got no
-// answer; the platform's bound of the same name.
+// Resend is the delay before a caller submits a job again after it got no answer. It
+// equals the platform's bound of the same name.
 const Resend = 1300 * time.Millisecond
 
-// Job is what a caller submits.
+// Job is a job with its submission id and deadline.
 type Job struct {
 	caller.Job
 	ID       string
 	Deadline time.Duration
 }
 
-// NewJob returns a job with an id of its own.
+// NewJob returns a job with a random id.
 func NewJob(tasks, ms int) Job {
 	return Job{
 		Job:      caller.Job{Tasks: tasks, Ms: ms, CPU: 3100},
@@ -34,7 +34,8 @@
 	}
 }
 
-// Answer of one attempt. Status is 0 when there was no whole answer.
+// Answer is the outcome of one request. Status is 0 if no complete response arrived; Text
+// is then the error.
 type Answer struct {
 	Status     int
 	State      string
@@ -43,16 +44,17 @@
 	Took       time.Duration
 }
 
-// Try submits a job to an entry once.
+// Try submits a job to an entry once, without retries.
 func (f *Fleet) Try(ctx context.Context, n *Node, path string, j Job) Answer {
 	return f.Post(ctx, n, path+j.ID, j.Body(), strconv.FormatInt(j.Deadline.Milliseconds(), 10))
 }
 
-// Post sends any body.
+// Post sends a POST request with an arbitrary body and deadline to an entry. It times out
+// after the deadline, but not before 500 ms.
 func (f *Fleet) Post(ctx context.Context, n *Node, path string, body []byte, deadlineMs string) Answer {
-	began := time.Now()
-	wait, _ := strconv.Atoi(deadlineMs)
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(max(wait, 500))*time.Millisecond)
+	start := time.Now()
+	timeoutMs, _ := strconv.Atoi(deadlineMs)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(max(timeoutMs, 500))*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Front+path, bytes.NewReader(body))
 	if err != nil {
@@ -63,53 +65,55 @@
 	if deadlineMs != "" {
 		req.Header.Set(caller.DeadlineHeader, deadlineMs)
 	}
-	return f.do(req, began)
+	return f.send(req, start)
 }
 
-// Get asks an entry.
+// Get sends a GET request to an entry.
 func (f *Fleet) Get(ctx context.Context, n *Node, path string) Answer {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Front+path, nil)
 	if err != nil {
 		return Answer{Text: err.Error()}
 	}
 	req.Host = Host
-	return f.do(req, time.Now())
+	return f.send(req, time.Now())
 }
 
-func (f *Fleet) do(req *http.Request, began time.Time) Answer {
+func (f *Fleet) send(req *http.Request, start time.Time) Answer {
 	res, err := f.client.Do(req)
 	if err != nil {
-		return Answer{Text: err.Error(), Took: time.Since(began)}
+		return Answer{Text: err.Error(), Took: time.Since(start)}
 	}
 	defer func() { _ = res.Body.Close() }()
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
-		return Answer{Text: err.Error(), Took: time.Since(began)}
+		return Answer{Text: err.Error(), Took: time.Since(start)}
 	}
 	var state struct {
 		State string `json:"state"`
 	}
 	_ = json.Unmarshal(text, &state)
-	return Answer{Status: res.StatusCode, State: state.State, RetryAfter: res.Header.Get("Retry-After"), Text: string(text), Took: time.Since(began)}
+	return Answer{Status: res.StatusCode, State: state.State, RetryAfter: res.Header.Get("Retry-After"), Text: string(text), Took: time.Since(start)}
 }
 
-// Submit submits a job as a caller does: what got no answer, 502 or 504 is sent
-// again after the resend time, to another entry. The judge is told the outcome.
+// Submit submits a job as a caller does: after no answer, 502 or 504 it submits the job to
+// the next entry after Resend, with at most the given number of tries. It reports the outcome
+// to Judge.
 func (f *Fleet) Submit(ctx context.Context, first int, j Job, tries int) Answer {
 	return f.submit(ctx, first, j, tries, true)
 }
 
-// Resubmit submits a job again of which the answer to an earlier attempt was not
-// waited for: a refusal of this one says nothing of that.
+// Resubmit is Submit for a job whose caller did not wait for the answer to an earlier
+// attempt. A rejection is not reported to Judge, since that attempt may have started the job.
 func (f *Fleet) Resubmit(ctx context.Context, first int, j Job, tries int) Answer {
 	return f.submit(ctx, first, j, tries, false)
 }
 
-// submit takes refused as true while every attempt so far was refused.
-func (f *Fleet) submit(ctx context.Context, first int, j Job, tries int, refused bool) Answer {
+// submit implements Submit and Resubmit. allRejected is true as long as every earlier
+// attempt was rejected; only then does a rejection mean that the job did not run.
+func (f *Fleet) submit(ctx context.Context, first int, j Job, tries int, allRejected bool) Answer {
 	var a Answer
-	for i := range tries {
-		a = f.Try(ctx, f.Entries[(first+i)%len(f.Entries)], Prefix, j)
+	for attempt := range tries {
+		a = f.Try(ctx, f.Entries[(first+attempt)%len(f.Entries)], Prefix, j)
 		switch a.Status {
 		case http.StatusOK:
 			if a.State == "completed" {
@@ -117,12 +121,12 @@
 			}
 			return a
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
-			if refused {
+			if allRejected {
 				f.Judge.JobRejected(j.ID)
 			}
 			return a
 		}
-		refused = false
+		allRejected = false
 		select {
 		case <-ctx.Done():
 			return a
--- a/e2e/fleet/fleet.go
+++ b/e2e/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet runs entries and guards as real processes on loopback
-// addresses, on stand-ins of the platform's store and runners, and judges what
-// callers and runners see.
+// addresses, with stand-ins for the platform's store and runners, and checks what
+// callers and runners observe.
 package fleet
 
 import (
@@ -21,85 +21,87 @@
 	"almondstand.dev/standin/worker"
 )
 
-// Route of the configuration that a fleet begins with.
+// Route in the initial configuration of a fleet.
 const (
 	Host    = "shop.example"
 	Prefix  = "/lookup/"
 	Service = "teardown"
 )
 
-// cpuOf a runner, thousandths of a core: ten tasks of DefaultTask.
-const cpuOf = 32000
+// runnerCPU is a runner's CPU capacity in thousandths of a core: enough for ten tasks of
+// a job that NewJob returns.
+const runnerCPU = 32000
 
-// entryPort is the same on every entry's IP.
+// entryPort is the port for guards and peers, the same on every entry's IP.
 const entryPort = 7720
 
-// ErrNotReady means that an entry was not ready in time.
+// ErrNotReady is returned when an entry did not become ready in time.
 var ErrNotReady = errors.New("fleet: not ready in time")
 
-// Options of a Fleet.
+// Options configures a Fleet.
 type Options struct {
 	Binaries harness.Binaries
 	Dir      string
 	Entries  int
 	Guards   int
-	// Direct leaves out the networks between guards, runners and entries, which the test's
-	// own process carries: with some 400 sessions it is a second late on a busy machine.
+	// Direct connects guards, runners and entries without relays. The relays run in the
+	// test's own process, which is a second late on a busy host with some 400 sessions.
 	Direct bool
 }
 
 // Fleet is a set of processes and stand-ins.
 type Fleet struct {
-	opt   Options
-	Store *metastore.Store
-	Judge *worker.Checker
-	// Entries and Guards by number.
+	options Options
+	Store   *metastore.Store
+	Judge   *worker.Checker
+	// Entries and Guards are ordered by the number in their ids.
 	Entries []*Node
 	Guards  []*Node
 	Runners []*worker.Runner
-	// EntryNets are the networks from the guards and other entries to each entry, none with
-	// Direct; RunnerNets those from each guard to its runner.
+	// EntryNets holds the relay from the guards and other entries to each entry; it is empty
+	// with Direct. RunnerNets holds the relay from each guard to its runner, unused with Direct.
 	EntryNets  []*relay.Relay
 	RunnerNets []*relay.Relay
 
-	version int
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	stores  []*http.Server
-	client  *http.Client
+	configVersion int
+	cancel        context.CancelFunc
+	runnerLoops   sync.WaitGroup
+	storeServers  []*http.Server
+	client        *http.Client
 }
 
-// Node is one entry or guard.
+// Node is one entry or guard, which may be restarted.
 type Node struct {
 	ID string
 	IP string
-	// Outside is the IP at which guards reach an entry, through its network.
-	Outside string
-	Front   string
-	Ready   string
-	Control string
-	Metrics string
-	file    string
-	path    string
-	args    []string
+	// Outside is the IP at which guards and other entries reach an entry: the IP of its relay,
+	// or with Options.Direct its own.
+	Outside      string
+	Front        string
+	Ready        string
+	Control      string
+	Metrics      string
+	settingsFile string
+	binary       string
+	args         []string
 
-	// Restarting is held while the node is ended and started.
+	// Restarting is locked while the node is being restarted.
 	Restarting sync.Mutex
 
 	mu      sync.Mutex
 	process *harness.Process
 }
 
-// Process is the node's newest life.
+// Process returns the node's most recently started process.
 func (n *Node) Process() *harness.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// Start begins a new life.
+// Start starts a new process of the node.
 func (n *Node) Start() error {
-	p, err := harness.Launch(n.ID, n.path, n.args...)
+	p, err := harness.Launch(n.ID, n.binary, n.args...)
 	if err != nil {
 		return err
 	}
@@ -109,29 +111,29 @@
 	return nil
 }
 
-// New starts the stand-ins and the processes.
+// New starts the stand-ins and the processes. It does not wait until they are ready.
 func New(ctx context.Context, o Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Fleet{opt: o, Store: metastore.New(), Judge: worker.NewChecker(), cancel: cancel, client: &http.Client{Timeout: 10 * time.Second}}
+	f := &Fleet{options: o, Store: metastore.New(), Judge: worker.NewChecker(), cancel: cancel, client: &http.Client{Timeout: 10 * time.Second}}
 	f.Configure(Prefix)
-	if err := f.plan(ctx); err != nil {
+	if err := f.prepareNodes(ctx); err != nil {
 		return nil, err
 	}
 	for i, g := range f.Guards {
-		r := &worker.Runner{Service: Service, DataCentre: "a", CPU: cpuOf, Checker: f.Judge, ControlAddress: g.Control, KeepsID: i%2 == 1}
+		r := &worker.Runner{Service: Service, DataCentre: "a", CPU: runnerCPU, Checker: f.Judge, ControlAddress: g.Control, KeepsID: i%2 == 1}
 		if err := r.Listen(g.IP); err != nil {
 			return nil, err
 		}
-		net, address, err := network(ctx, r.Address(), harness.NewHost()+":0")
+		relay, address, err := startRelay(ctx, r.Address(), harness.NewHost()+":0")
 		if err != nil {
 			return nil, err
 		}
 		if !o.Direct {
 			r.Advertise = address
 		}
-		f.RunnerNets = append(f.RunnerNets, net)
+		f.RunnerNets = append(f.RunnerNets, relay)
 		f.Runners = append(f.Runners, r)
-		f.running.Go(func() { r.Run(ctx) })
+		f.runnerLoops.Go(func() { r.Run(ctx) })
 	}
 	for _, n := range append(append([]*Node{}, f.Guards...), f.Entries...) {
 		if err := n.Start(); err != nil {
@@ -142,92 +144,94 @@
 	return f, nil
 }
 
-// plan chooses addresses and writes the settings.
-func (f *Fleet) plan(ctx context.Context) error {
-	for i := range f.opt.Entries {
-		n := &Node{ID: fmt.Sprintf("entry-%d", i+1), IP: harness.NewHost(), path: f.opt.Binaries.Entry}
+// prepareNodes chooses the nodes' addresses, starts the entries' relays and writes the
+// settings files.
+func (f *Fleet) prepareNodes(ctx context.Context) error {
+	for i := range f.options.Entries {
+		n := &Node{ID: fmt.Sprintf("entry-%d", i+1), IP: harness.NewHost(), binary: f.options.Binaries.Entry}
 		if err := harness.FreeAddresses(n.IP, &n.Front, &n.Ready, &n.Metrics); err != nil {
 			return err
 		}
 		f.Entries = append(f.Entries, n)
-		if f.opt.Direct {
+		if f.options.Direct {
 			n.Outside = n.IP
 			continue
 		}
 		n.Outside = harness.NewHost()
-		net, _, err := network(ctx, fmt.Sprintf("%s:%d", n.IP, entryPort), fmt.Sprintf("%s:%d", n.Outside, entryPort))
+		relay, _, err := startRelay(ctx, fmt.Sprintf("%s:%d", n.IP, entryPort), fmt.Sprintf("%s:%d", n.Outside, entryPort))
 		if err != nil {
 			return err
 		}
-		f.EntryNets = append(f.EntryNets, net)
+		f.EntryNets = append(f.EntryNets, relay)
 	}
-	for i := range f.opt.Guards {
-		n := &Node{ID: fmt.Sprintf("guard-%d", i+1), IP: harness.NewHost(), path: f.opt.Binaries.Guard}
+	for i := range f.options.Guards {
+		n := &Node{ID: fmt.Sprintf("guard-%d", i+1), IP: harness.NewHost(), binary: f.options.Binaries.Guard}
 		if err := harness.FreeAddresses(n.IP, &n.Control, &n.Metrics); err != nil {
 			return err
 		}
 		f.Guards = append(f.Guards, n)
 	}
 	for _, n := range f.Entries {
-		n.file = filepath.Join(f.opt.Dir, n.ID+".json")
-		n.args = []string{"entry", "--settings", n.file}
+		n.settingsFile = filepath.Join(f.options.Dir, n.ID+".json")
+		n.args = []string{"entry", "--settings", n.settingsFile}
 		store, err := f.serveStore(n.ID)
 		if err != nil {
 			return err
 		}
-		if err := write(n.file, f.entrySettings(n, store)); err != nil {
+		if err := writeSettings(n.settingsFile, f.entrySettings(n, store)); err != nil {
 			return err
 		}
 	}
 	for _, n := range f.Guards {
-		n.file = filepath.Join(f.opt.Dir, n.ID+".json")
-		n.args = []string{"run", "--settings", n.file}
+		n.settingsFile = filepath.Join(f.options.Dir, n.ID+".json")
+		n.args = []string{"run", "--settings", n.settingsFile}
 		store, err := f.serveStore(n.ID)
 		if err != nil {
 			return err
 		}
-		if err := write(n.file, f.guardSettings(n, store)); err != nil {
+		if err := writeSettings(n.settingsFile, f.guardSettings(n, store)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// network puts a relay in front of an address.
-func network(ctx context.Context, target, at string) (*relay.Relay, string, error) {
-	l, err := net.Listen("tcp", at)
+// startRelay starts a relay that listens on an address and forwards to target.
+func startRelay(ctx context.Context, target, listenAddress string) (*relay.Relay, string, error) {
+	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
-		return nil, "", fmt.Errorf("fleet: network: %w", err)
+		return nil, "", fmt.Errorf("fleet: relay: %w", err)
 	}
 	r := relay.New(target)
 	go func() { _ = r.Serve(ctx, l) }()
 	return r, l.Addr().String(), nil
 }
 
-// serveStore serves the store to one caller, at an address of its own.
+// serveStore starts a server of the store for one node, so that the store can inject
+// faults per caller, and returns its address.
 func (f *Fleet) serveStore(caller string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("fleet: store: %w", err)
 	}
 	server := &http.Server{Handler: f.Store.HandlerFor(caller)}
-	f.stores = append(f.stores, server)
+	f.storeServers = append(f.storeServers, server)
 	go func() { _ = server.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
 func (f *Fleet) seeds() []string {
-	var all []string
+	var addresses []string
 	for i, n := range f.Entries {
 		if i < 3 {
-			all = append(all, n.Outside+":1")
+			addresses = append(addresses, n.Outside+":1")
 		}
 	}
-	return all
+	return addresses
 }
 
 func (f *Fleet) entrySettings(n *Node, store string) any {
-	return section(map[string]any{
+	return capacitySection(map[string]any{
 		"id": n.ID, "zone": "a",
 		"listen": map[string]string{"callers": n.Front, "ready": n.Ready, "guards": fmt.Sprintf("%s:%d", n.IP, entryPort), "advertise": fmt.Sprintf("%s:%d", n.Outside, entryPort), "metrics": n.Metrics},
 		"seeds":  f.seeds(),
@@ -236,7 +240,7 @@
 }
 
 func (f *Fleet) guardSettings(n *Node, store string) any {
-	return section(map[string]any{
+	return capacitySection(map[string]any{
 		"id": n.ID, "zone": "a",
 		"listen":     map[string]string{"reports": n.Control, "metrics": n.Metrics},
 		"seeds":      f.seeds(),
@@ -245,9 +249,9 @@
 	})
 }
 
-func section(s any) any { return map[string]any{"capacity": s} }
+func capacitySection(settings any) any { return map[string]any{"capacity": settings} }
 
-func write(path string, value any) error {
+func writeSettings(path string, value any) error {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return fmt.Errorf("fleet: settings: %w", err)
@@ -255,13 +259,14 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// Configure writes a configuration with one route for each prefix.
+// Configure writes a new version of the configuration to the store, with one route for
+// each prefix.
 func (f *Fleet) Configure(prefixes ...string) {
-	f.version += 3
-	f.Store.Put(metastore.ConfigKey, metastore.Config(f.version, Host, Service, prefixes...))
+	f.configVersion += 3
+	f.Store.Put(metastore.ConfigKey, metastore.Config(f.configVersion, Host, Service, prefixes...))
 }
 
-// AwaitReady waits until every entry says that it is ready.
+// AwaitReady waits until every entry's readiness check succeeds.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, n := range f.Entries {
 		for {
@@ -278,7 +283,7 @@
 	return nil
 }
 
-// IsReady asks an entry as the balancer does.
+// IsReady checks an entry's readiness as the platform's load balancer does.
 func (f *Fleet) IsReady(n *Node) bool {
 	client := &http.Client{Timeout: 300 * time.Millisecond}
 	res, err := client.Get("http://" + n.Ready + "/ready")
@@ -289,7 +294,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Close ends everything.
+// Close kills all processes and stops the stand-ins.
 func (f *Fleet) Close() {
 	for _, n := range append(append([]*Node{}, f.Guards...), f.Entries...) {
 		if p := n.Process(); p != nil {
@@ -298,8 +303,8 @@
 		}
 	}
 	f.cancel()
-	f.running.Wait()
-	for _, s := range f.stores {
+	f.runnerLoops.Wait()
+	for _, s := range f.storeServers {
 		_ = s.Close()
 	}
 }
