--- a/e2e/soak/inject.go
+++ b/e2e/soak/inject.go
@@ -11,7 +11,7 @@
 	"almondstand.dev/telemetry/uptime"
 )
 
-// inject carries one fault out and takes it back.
+// inject injects one fault and, after its duration, removes it.
 func (r *run) inject(ctx context.Context, f Fault) {
 	entry := r.fleet.Entries[f.Which%entries]
 	guard := r.fleet.Guards[f.Which%guards]
@@ -22,9 +22,9 @@
 	case GuardKill, GuardTerm:
 		r.restart(ctx, guard, f, f.Kind == GuardTerm)
 	case EntryFreeze:
-		freeze(ctx, entry, f.For)
+		suspend(ctx, entry, f.For)
 	case GuardFreeze:
-		freeze(ctx, guard, f.For)
+		suspend(ctx, guard, f.For)
 	case EntryHangup:
 		entry.Process().Hangup()
 	case GuardHangup:
@@ -34,10 +34,10 @@
 		uptime.Sleep(ctx, f.For)
 		runner.RestartWithNewID()
 	case RunnerRestart:
-		restartRunner(ctx, runner, f)
+		restartRunnerWithLateReport(ctx, runner, f)
 	case RunnerLeaves:
 		runner.Drain()
-		uptime.Sleep(ctx, leavesFor+f.For/2)
+		uptime.Sleep(ctx, drainDuration+f.For/2)
 		runner.Restart()
 	case RunnerLate, RunnerSlow, RunnerHang, RunnerFails:
 		runner.SetFault(runnerFault(f))
@@ -54,39 +54,41 @@
 		job.CrashMs = 1 + f.Which
 		r.fleet.Resubmit(ctx, f.Which, job, 1)
 	case RunnerShrink:
-		r.shrink(ctx, runner, f)
+		r.shrinkCapacity(ctx, runner, f)
 	case Burst:
 		r.burst.Store(true)
 		uptime.Sleep(ctx, f.For)
 		r.burst.Store(false)
 	default:
-		r.network(ctx, f)
+		r.injectNetworkFault(ctx, f)
 	}
 }
 
-// leavesFor is how long a runner that leaves serves: longer than starts may still come.
-const leavesFor = 2200 * time.Millisecond
+// drainDuration is how long a draining runner keeps serving at least: longer than it may
+// still receive starts.
+const drainDuration = 2200 * time.Millisecond
 
-// restartRunner ends a runner and starts it under its id. A report of the older process, every
-// other one saying that it leaves, and its deregistration come when the newer is at work.
-func restartRunner(ctx context.Context, runner *worker.Runner, f Fault) {
+// restartRunnerWithLateReport kills a runner's process and starts a new one with the same
+// instance id. A report of the old process (in every other case with the state draining) and
+// its deregistration arrive when the new process is already running.
+func restartRunnerWithLateReport(ctx context.Context, runner *worker.Runner, f Fault) {
 	if f.Which%2 == 0 {
 		runner.Drain()
 	}
-	report, id := runner.DelayedReport(ctx), runner.Instance()
+	sendReport, id := runner.DelayedReport(ctx), runner.Instance()
 	runner.Kill()
 	uptime.Sleep(ctx, f.For/4)
 	runner.Restart()
 	uptime.Sleep(ctx, f.For/4)
-	report()
+	sendReport()
 	runner.Deregister(ctx, id)
 }
 
-// shrink takes a runner's capacity down by steps, to nothing at last, and gives it back.
-func (r *run) shrink(ctx context.Context, runner *worker.Runner, f Fault) {
+// shrinkCapacity reduces a runner's capacity in steps to zero and then restores it.
+func (r *run) shrinkCapacity(ctx context.Context, runner *worker.Runner, f Fault) {
 	const steps = 3
-	for left := steps - 1; left >= 0; left-- {
-		runner.SetCapacity(left, steps)
+	for remaining := steps - 1; remaining >= 0; remaining-- {
+		runner.SetCapacity(remaining, steps)
 		uptime.Sleep(ctx, f.For/steps)
 	}
 	runner.SetCapacity(steps, steps)
@@ -99,8 +101,9 @@
 	RunnerFails: {FailShare: 0.7},
 }
 
-// runnerFault makes late orders come within the validity of a start half the
-// time, and after it the other half.
+// runnerFault returns the fault to inject into a runner. For RunnerLate, half of the faults
+// delay requests such that a start is still valid when it takes effect; the other half delay
+// them beyond its validity.
 func runnerFault(f Fault) worker.Fault {
 	fault := runnerFaults[f.Kind]
 	if f.Kind == RunnerLate && f.Which%2 == 1 {
@@ -109,13 +112,13 @@
 	return fault
 }
 
-func storeFault(f Fault, entry string) metastore.Fault {
+func storeFault(f Fault, entryID string) metastore.Fault {
 	modes := []metastore.Mode{metastore.Silent, metastore.Busy, metastore.Reset}
 	switch f.Kind {
 	case StoreDown:
 		return metastore.Fault{Outage: modes[f.Which%3], ExpireLeases: f.Which%2 == 0}
 	case StoreAway:
-		return metastore.Fault{Outage: modes[f.Which%3], Callers: []string{entry}, ExpireLeases: true}
+		return metastore.Fault{Outage: modes[f.Which%3], Callers: []string{entryID}, ExpireLeases: true}
 	case StoreSlow:
 		return metastore.Fault{Delay: 250 * time.Millisecond}
 	default:
@@ -123,38 +126,39 @@
 	}
 }
 
-// network harms the network to an entry or a runner.
-func (r *run) network(ctx context.Context, f Fault) {
-	net := r.fleet.EntryNets[f.Which%entries]
-	runner := r.fleet.RunnerNets[f.Which%guards]
-	through := relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
-	set := func(s relay.State) {
-		_ = net.Set(s)
+// injectNetworkFault injects a fault into the network to an entry or a runner.
+func (r *run) injectNetworkFault(ctx context.Context, f Fault) {
+	entryRelay := r.fleet.EntryNets[f.Which%entries]
+	runnerRelay := r.fleet.RunnerNets[f.Which%guards]
+	healthy := relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
+	setForDuration := func(s relay.State) {
+		_ = entryRelay.Set(s)
 		uptime.Sleep(ctx, f.For)
-		_ = net.Set(through)
+		_ = entryRelay.Set(healthy)
 	}
 	switch f.Kind {
 	case EntryCut:
-		set(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true})
+		setForDuration(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true})
 	case EntryOneWay:
-		set(relay.State{ToTarget: relay.Pass, ToClient: relay.Drop})
+		setForDuration(relay.State{ToTarget: relay.Pass, ToClient: relay.Drop})
 	case EntryStalls:
-		set(relay.State{ToTarget: relay.Stall, ToClient: relay.Stall})
+		setForDuration(relay.State{ToTarget: relay.Stall, ToClient: relay.Stall})
 	case EntryDelay:
-		set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 40 * time.Millisecond})
+		setForDuration(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 40 * time.Millisecond})
 	case EntryReset:
-		net.Reset()
+		entryRelay.Reset()
 	case EntrySilent:
-		net.Blackhole(true, true)
+		entryRelay.Blackhole(true, true)
 	case RunnerReset:
-		runner.Reset()
+		runnerRelay.Reset()
 	case RunnerSilent:
-		runner.Blackhole(true, true)
+		runnerRelay.Blackhole(true, true)
 	}
 }
 
-// restart ends a process, as planned or not, and starts it after a while. Two
-// restarts of one process may overlap: each waits for its end.
+// restart ends a node's process, gracefully with SIGTERM or with SIGKILL, and starts a new
+// one after a delay. Restarts of one node may be scheduled at overlapping times; the lock
+// serializes them.
 func (r *run) restart(ctx context.Context, n *fleet.Node, f Fault, graceful bool) {
 	n.Restarting.Lock()
 	defer n.Restarting.Unlock()
@@ -164,18 +168,18 @@
 		select {
 		case <-p.Done():
 		case <-time.After(8 * time.Second):
-			r.fleet.Judge.ReportViolation("%s did not end within 8 s of SIGTERM", n.ID)
+			r.fleet.Judge.ReportViolation("%s did not exit within 8 s after SIGTERM", n.ID)
 		}
 	}
 	p.Thaw()
 	p.Kill()
 	uptime.Sleep(ctx, f.For/4)
 	if err := n.Start(); err != nil {
-		r.fleet.Judge.ReportViolation("%s: %v", n.ID, err)
+		r.fleet.Judge.ReportViolation("%s did not restart: %v", n.ID, err)
 	}
 }
 
-func freeze(ctx context.Context, n *fleet.Node, d time.Duration) {
+func suspend(ctx context.Context, n *fleet.Node, d time.Duration) {
 	p := n.Process()
 	p.Freeze()
 	uptime.Sleep(ctx, d)
--- a/e2e/soak/run.go
+++ b/e2e/soak/run.go
@@ -17,27 +17,30 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// Sizes of a run.
+// Sizes and timeouts of a run.
 const (
 	entries = 3
 	guards  = 4
-	// every is the pause between two jobs of 4.5 tasks of 358 ms: 27 tasks at a time
-	// where the runners carry 40.
-	every = 60 * time.Millisecond
-	// recoverIn is the time after the last fault in which every entry must serve.
-	recoverIn = 10 * time.Second
-	readyIn   = 20 * time.Second
-	// settleFor lets late orders come and runs end before the judge is asked.
-	settleFor = 3 * time.Second
-	// servedInARow shows that an entry serves: a single one may be luck.
-	servedInARow = 3
-	tailLines    = 1500
+	// jobInterval is the time between two jobs. With 4.5 tasks of 358 ms per job on average,
+	// 27 tasks run concurrently; the runners have capacity for 40.
+	jobInterval = 60 * time.Millisecond
+	// recoveryTimeout is the time after the last fault within which every entry must
+	// complete jobs again.
+	recoveryTimeout = 10 * time.Second
+	startupTimeout  = 20 * time.Second
+	// settleTime is the time between the load's end and the final check, so that delayed
+	// requests arrive and runs end before it.
+	settleTime = 3 * time.Second
+	// requiredSuccesses is the number of consecutive jobs that an entry must complete to
+	// count as serving: a single one may succeed by chance.
+	requiredSuccesses = 3
+	maxLogLines       = 1500
 )
 
-// ErrBroken means that a promise was broken; the report tells which.
+// ErrBroken is returned when an invariant was violated; the report lists the violations.
 var ErrBroken = errors.New("soak: a promise was broken")
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Binaries harness.Binaries
 	Dir      string
@@ -45,7 +48,7 @@
 	Length   time.Duration
 }
 
-// Report of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Faults   []Fault
@@ -56,7 +59,8 @@
 	duration time.Duration
 }
 
-// Text tells the run; with the logs if a promise was broken.
+// Text formats the report. If an invariant was violated it includes the faults, the
+// violations and the logs.
 func (r Report) Text() string {
 	var b strings.Builder
 	_, _ = fmt.Fprintf(&b, "seed %d: %d faults, %d runs, answers %v, %d broken, %.1f s\n", r.Seed, len(r.Faults), r.Starts, r.Answers, len(r.Broken), r.duration.Seconds())
@@ -66,8 +70,8 @@
 	for _, f := range r.Faults {
 		_, _ = fmt.Fprintln(&b, "  fault", f)
 	}
-	for _, x := range r.Broken {
-		_, _ = fmt.Fprintln(&b, "  broken", x)
+	for _, violation := range r.Broken {
+		_, _ = fmt.Fprintln(&b, "  broken", violation)
 	}
 	for id, log := range r.logs {
 		_, _ = fmt.Fprintf(&b, "== %s\n%s\n", id, log)
@@ -75,55 +79,56 @@
 	return b.String()
 }
 
-// run is one seed's run.
+// run is the state of one seed's run.
 type run struct {
-	opt    Options
-	fleet  *fleet.Fleet
-	began  time.Time
-	burst  atomic.Bool
-	undo   sync.WaitGroup
-	mu     sync.Mutex
-	routes int
-	counts map[int]int
+	options      Options
+	fleet        *fleet.Fleet
+	startTime    time.Time
+	burst        atomic.Bool
+	injections   sync.WaitGroup
+	mu           sync.Mutex
+	addedRoutes  int
+	statusCounts map[int]int
 }
 
-// Run plays a seed.
+// Run runs a fleet under load with the faults of a seed's schedule, and returns ErrBroken
+// if an invariant was violated.
 func Run(ctx context.Context, o Options) (Report, error) {
 	f, err := fleet.New(ctx, fleet.Options{Binaries: o.Binaries, Dir: o.Dir, Entries: entries, Guards: guards})
 	if err != nil {
 		return Report{}, err
 	}
 	defer f.Close()
-	r := &run{opt: o, fleet: f, counts: map[int]int{}}
-	if err := r.ready(ctx, readyIn, servedInARow); err != nil {
+	r := &run{options: o, fleet: f, statusCounts: map[int]int{}}
+	if err := r.waitAllServing(ctx, startupTimeout, requiredSuccesses); err != nil {
 		return Report{}, err
 	}
-	r.began = time.Now()
+	r.startTime = time.Now()
 	report := Report{Seed: o.Seed, Faults: Schedule(o.Seed, o.Length)}
-	stop := r.load(ctx)
-	r.play(ctx, report.Faults)
-	r.undo.Wait()
-	if err := r.ready(ctx, recoverIn, 1); err != nil {
+	stop := r.startLoad(ctx)
+	r.injectAll(ctx, report.Faults)
+	r.injections.Wait()
+	if err := r.waitAllServing(ctx, recoveryTimeout, 1); err != nil {
 		f.Judge.ReportViolation("no recovery under load: %v", err)
 	}
 	stop()
-	if err := r.ready(ctx, recoverIn, servedInARow); err != nil {
+	if err := r.waitAllServing(ctx, recoveryTimeout, requiredSuccesses); err != nil {
 		f.Judge.ReportViolation("no recovery: %v", err)
 	}
-	time.Sleep(settleFor)
+	time.Sleep(settleTime)
 	if n := f.Judge.Running(); n > 0 {
-		f.Judge.ReportViolation("%d tasks run on with no job open", n)
+		f.Judge.ReportViolation("%d tasks are still running although no job is open", n)
 	}
 	report.Broken = f.Judge.Violations()
-	report.Answers = r.counts
+	report.Answers = r.statusCounts
 	report.Starts = f.Judge.Starts()
-	report.duration = time.Since(r.began)
+	report.duration = time.Since(r.startTime)
 	report.logs = map[string]string{}
 	for _, n := range append(append([]*fleet.Node{}, f.Entries...), f.Guards...) {
 		if len(report.Broken) > 0 {
 			n.Process().Dump()
 		}
-		report.logs[n.ID] = tail(n.Process().Log())
+		report.logs[n.ID] = logTail(n.Process().Log())
 	}
 	if len(report.Broken) > 0 {
 		return report, ErrBroken
@@ -131,41 +136,42 @@
 	return report, nil
 }
 
-// tail returns a log's last lines, and before them the last of those that don't
-// come with every task.
-func tail(text string) string {
+// logTail returns the last lines of a log, preceded by the last lines without the events
+// that are logged for every task or job.
+func logTail(text string) string {
 	lines := strings.Split(text, "\n")
-	var rare []string
+	var infrequent []string
 	for _, l := range lines {
 		if !strings.Contains(l, "guard.run_") && !strings.Contains(l, `"msg":"job.`) {
-			rare = append(rare, l)
+			infrequent = append(infrequent, l)
 		}
 	}
-	rare = rare[max(len(rare)-tailLines, 0):]
-	return strings.Join(rare, "\n") + "\n...\n" + strings.Join(lines[max(len(lines)-tailLines, 0):], "\n")
+	infrequent = infrequent[max(len(infrequent)-maxLogLines, 0):]
+	return strings.Join(infrequent, "\n") + "\n...\n" + strings.Join(lines[max(len(lines)-maxLogLines, 0):], "\n")
 }
 
-// ready waits until every entry has served so many jobs in a row. Each entry has
-// the whole time: under load one may be refused while others are served.
-func (r *run) ready(ctx context.Context, limit time.Duration, inARow int) error {
+// waitAllServing waits until every entry has completed the given number of consecutive jobs.
+// The timeout applies to each entry separately: under load, an entry may reject jobs while
+// the others complete theirs.
+func (r *run) waitAllServing(ctx context.Context, timeout time.Duration, successes int) error {
 	for i := range r.fleet.Entries {
-		if err := r.serves(ctx, i, limit, inARow); err != nil {
+		if err := r.waitServing(ctx, i, timeout, successes); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) serves(ctx context.Context, i int, limit time.Duration, inARow int) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (r *run) waitServing(ctx context.Context, i int, timeout time.Duration, successes int) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for served := 0; served < inARow; {
+	for completed := 0; completed < successes; {
 		a := r.fleet.Submit(ctx, i, fleet.NewJob(4, 20), 1)
 		if a.Status == http.StatusOK {
-			served++
+			completed++
 			continue
 		}
-		served = 0
+		completed = 0
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%w: entry %d answers %d %s", fleet.ErrNotReady, i+1, a.Status, a.Text)
@@ -175,75 +181,76 @@
 	return nil
 }
 
-// load submits jobs until stop is called. Callers keep their connections.
-func (r *run) load(ctx context.Context) (stop func()) {
+// startLoad submits a job every jobInterval until stop is called, which waits for the
+// pending jobs. Connections are kept alive between jobs.
+func (r *run) startLoad(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var open sync.WaitGroup
-	open.Go(func() {
-		for turn := 0; ctx.Err() == nil; turn++ {
-			pause := every
+	var pending sync.WaitGroup
+	pending.Go(func() {
+		for n := 0; ctx.Err() == nil; n++ {
+			interval := jobInterval
 			if r.burst.Load() {
-				pause = every / 4
+				interval = jobInterval / 4
 			}
-			time.Sleep(pause)
-			open.Go(func() { r.submit(turn) })
+			time.Sleep(interval)
+			pending.Go(func() { r.submit(n) })
 		}
 	})
 	return func() {
 		cancel()
-		open.Wait()
+		pending.Wait()
 	}
 }
 
-// submit is one caller.
-func (r *run) submit(turn int) {
-	job := newJob(turn)
+// submit submits the n-th job as one caller and counts the status of its answer.
+func (r *run) submit(n int) {
+	job := newJob(n)
 	submit := r.fleet.Submit
 	if job.Deadline == longDeadline {
-		r.leave(job, turn)
-		turn++
+		r.submitAndDisconnect(job, n)
+		n++
 		submit = r.fleet.Resubmit
 	}
-	a := submit(context.Background(), turn%entries, job, 3)
+	a := submit(context.Background(), n%entries, job, 3)
 	r.mu.Lock()
-	r.counts[a.Status]++
+	r.statusCounts[a.Status]++
 	r.mu.Unlock()
-	if Planned(r.opt.Seed) && a.Status == 0 && a.Took < job.Deadline-100*time.Millisecond && !strings.Contains(a.Text, "refused") {
-		r.fleet.Judge.ReportViolation("planned work cut job %s after %v: %s", job.ID, a.Took, a.Text)
+	if Planned(r.options.Seed) && a.Status == 0 && a.Took < job.Deadline-100*time.Millisecond && !strings.Contains(a.Text, "refused") {
+		r.fleet.Judge.ReportViolation("planned operation interrupted job %s after %v: %s", job.ID, a.Took, a.Text)
 	}
 }
 
-// play carries the faults out at their times.
-func (r *run) play(ctx context.Context, faults []Fault) {
+// injectAll injects the faults at their scheduled times.
+func (r *run) injectAll(ctx context.Context, faults []Fault) {
 	for _, f := range faults {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(r.began.Add(f.At))):
+		case <-time.After(time.Until(r.startTime.Add(f.At))):
 		}
-		r.undo.Go(func() { r.inject(ctx, f) })
+		r.injections.Go(func() { r.inject(ctx, f) })
 	}
 }
 
-// applyIn is the time after which a change of the configuration is in force.
-const applyIn = 2 * time.Second
+// configTimeout is the time within which all entries must apply a new configuration.
+const configTimeout = 2 * time.Second
 
-// configure adds a route and, in planned runs, checks when it is in force and
-// that no entry goes back.
+// configure adds a route. In runs with planned operations only, it also checks that every
+// ready entry applies the new configuration in time and does not revert to an older one.
 func (r *run) configure(ctx context.Context) {
 	r.mu.Lock()
-	r.routes++
-	prefix := fmt.Sprintf("/added-%d/", r.routes)
+	r.addedRoutes++
+	prefix := fmt.Sprintf("/added-%d/", r.addedRoutes)
 	r.fleet.Configure(fleet.Prefix, prefix)
 	r.mu.Unlock()
-	if !Planned(r.opt.Seed) {
+	if !Planned(r.options.Seed) {
 		return
 	}
-	uptime.Sleep(ctx, applyIn+time.Duration(rand.Int64N(int64(100*time.Millisecond))))
+	uptime.Sleep(ctx, configTimeout+time.Duration(rand.Int64N(int64(100*time.Millisecond))))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	newest := fmt.Sprintf("/added-%d/", r.routes)
-	if newest != prefix {
+	latest := fmt.Sprintf("/added-%d/", r.addedRoutes)
+	if latest != prefix {
 		return
 	}
 	for _, n := range r.fleet.Entries {
@@ -251,37 +258,38 @@
 			continue
 		}
 		if a := r.fleet.Get(ctx, n, prefix); a.Status == http.StatusNotFound {
-			r.fleet.Judge.ReportViolation("%s does not know %s %v after the store took it", n.ID, prefix, applyIn)
+			r.fleet.Judge.ReportViolation("%s does not have route %s %v after it was stored", n.ID, prefix, configTimeout)
 		}
 	}
 }
 
-// Every longTurn-th job has tasks that last longer than the pause after which a
-// caller submits a job again: what an entry left behind must be over by then.
+// Every longJobInterval-th job has tasks that run longer than the delay before a caller
+// submits a job again. What an entry started for the first submission must have ended by
+// the time of the second.
 const (
-	longTurn     = 12
-	longTasks    = 2
-	longMs       = 2600
-	longDeadline = 6 * time.Second
+	longJobInterval = 12
+	longTasks       = 2
+	longMs          = 2600
+	longDeadline    = 6 * time.Second
 )
 
-// leaveAfter is when the caller of a long job breaks its connection, to submit the
-// job again elsewhere.
-const leaveAfter = time.Second
+// disconnectDelay is the time after which the caller of a long job closes its connection,
+// to submit the job again to another entry.
+const disconnectDelay = time.Second
 
-// leave submits a job and leaves before it can be done.
-func (r *run) leave(job fleet.Job, turn int) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveAfter)
+// submitAndDisconnect submits a job and closes the connection before the job can complete.
+func (r *run) submitAndDisconnect(job fleet.Job, n int) {
+	ctx, cancel := context.WithTimeout(context.Background(), disconnectDelay)
 	defer cancel()
-	r.fleet.Try(ctx, r.fleet.Entries[turn%entries], fleet.Prefix, job)
+	r.fleet.Try(ctx, r.fleet.Entries[n%entries], fleet.Prefix, job)
 	time.Sleep(fleet.Resend)
 }
 
-func newJob(turn int) fleet.Job {
-	if turn%longTurn == longTurn-1 {
+func newJob(n int) fleet.Job {
+	if n%longJobInterval == longJobInterval-1 {
 		job := fleet.NewJob(longTasks, longMs)
 		job.Deadline = longDeadline
 		return job
 	}
-	return fleet.NewJob(1+turn%8, []int{40, 40, 150, 1200}[turn%4])
+	return fleet.NewJob(1+n%8, []int{40, 40, 150, 1200}[n%4])
 }
--- a/e2e/soak/schedule.go
+++ b/e2e/soak/schedule.go
@@ -1,5 +1,5 @@
-// Package soak runs a fleet of real processes under random faults that follow
-// from a seed, and holds the promises while it runs.
+// Package soak runs a fleet of real processes under random faults that are determined by
+// a seed, and checks the system's invariants during the run.
 package soak
 
 import (
@@ -10,78 +10,83 @@
 	"time"
 )
 
-// Kind of fault.
+// Kind is the kind of a Fault.
 type Kind string
 
-// Kinds. Planned ones may cut no request.
+// Kinds of faults. Planned operations, see Planned, must not interrupt any request.
 const (
-	EntryKill    Kind = "entry killed and started"
-	EntryFreeze  Kind = "entry frozen"
-	EntryTerm    Kind = "entry stopped as planned and started"
-	EntryHangup  Kind = "entry hung up"
-	GuardKill    Kind = "guard killed and started"
-	GuardFreeze  Kind = "guard frozen"
-	GuardTerm    Kind = "guard stopped as planned and started"
-	GuardHangup  Kind = "guard hung up"
-	RunnerCrash  Kind = "runner crashed and reborn"
-	RunnerLate   Kind = "orders to a runner carried out late"
+	EntryKill    Kind = "entry killed and restarted"
+	EntryFreeze  Kind = "entry suspended"
+	EntryTerm    Kind = "entry stopped gracefully and restarted"
+	EntryHangup  Kind = "SIGHUP sent to entry"
+	GuardKill    Kind = "guard killed and restarted"
+	GuardFreeze  Kind = "guard suspended"
+	GuardTerm    Kind = "guard stopped gracefully and restarted"
+	GuardHangup  Kind = "SIGHUP sent to guard"
+	RunnerCrash  Kind = "runner crashed and restarted with a new id"
+	RunnerLate   Kind = "requests to a runner take effect late"
 	RunnerSlow   Kind = "runner slow"
 	RunnerHang   Kind = "runner hangs"
 	RunnerFails  Kind = "runner fails its tasks"
 	StoreDown    Kind = "store down"
-	StoreAway    Kind = "store turns one entry away"
+	StoreAway    Kind = "store unavailable to one entry"
 	StoreSlow    Kind = "store slow"
-	StoreLoses   Kind = "store loses answers"
-	EntryCut     Kind = "entry cut off from guards"
-	EntryOneWay  Kind = "entry hears guards, and isn't heard"
-	EntryStalls  Kind = "bytes to an entry held up"
+	StoreLoses   Kind = "store loses responses"
+	EntryCut     Kind = "network partition between an entry and the guards"
+	EntryOneWay  Kind = "one-way network partition: data from an entry is dropped"
+	EntryStalls  Kind = "connections to an entry stalled"
 	EntryReset   Kind = "connections to an entry reset"
-	EntrySilent  Kind = "connections to an entry silent for good"
-	EntryDelay   Kind = "network to an entry slow"
+	EntrySilent  Kind = "connections to an entry permanently unresponsive"
+	EntryDelay   Kind = "network to an entry delayed"
 	RunnerReset  Kind = "connections to a runner reset"
-	RunnerSilent Kind = "connections to a runner silent for good"
+	RunnerSilent Kind = "connections to a runner permanently unresponsive"
 	Configure    Kind = "configuration changed"
-	Burst        Kind = "many callers"
-	TaskCrashes  Kind = "a task that crashes what starts it"
-	RunnerShrink Kind = "a runner's capacity shrinks, by steps, and grows again"
+	Burst        Kind = "burst of jobs"
+	TaskCrashes  Kind = "task crashes the runner that starts it"
+	RunnerShrink Kind = "runner capacity reduced in steps to zero and restored"
 
-	RunnerRestart Kind = "runner ends and starts again under its id, its last words come late"
-	RunnerLeaves  Kind = "runner says that it leaves, and starts again under its id"
+	RunnerRestart Kind = "runner restarted with the same id; last report of the old process arrives late"
+	RunnerLeaves  Kind = "runner drained and restarted with the same id"
 )
 
-var planned = []Kind{EntryTerm, EntryHangup, GuardTerm, GuardHangup, Configure, Configure}
+var plannedKinds = []Kind{EntryTerm, EntryHangup, GuardTerm, GuardHangup, Configure, Configure}
 
-var all = []Kind{
+var mainKinds = []Kind{
 	EntryKill, EntryKill, EntryFreeze, EntryTerm, EntryHangup, GuardKill, GuardKill, GuardFreeze, GuardTerm, GuardHangup,
 	RunnerCrash, RunnerLate, RunnerLate, RunnerSlow, RunnerHang, RunnerFails, StoreDown, StoreAway, StoreSlow, StoreLoses,
 	EntryCut, EntryOneWay, EntryStalls, EntryReset, EntrySilent, EntryDelay, RunnerReset, RunnerSilent, Configure, Burst,
 }
 
-// Fault is one entry of a schedule.
+// Fault is one scheduled fault.
 type Fault struct {
-	At    time.Duration
-	Kind  Kind
+	// At is the time since the start of the run, For the duration of the fault.
+	At   time.Duration
+	Kind Kind
+	// Which selects the process that the fault affects, modulo the number of processes, and
+	// the variant of the fault.
 	Which int
 	For   time.Duration
 }
 
-// String tells the fault in a line.
+// String describes the fault in one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%7.3f s: %s, number %d, for %v", f.At.Seconds(), f.Kind, f.Which+1, f.For)
 }
 
-// plannedEvery seeds only planned work is done.
-const plannedEvery = 5
+// plannedSeedInterval is the interval of the seeds whose schedule has only planned
+// operations.
+const plannedSeedInterval = 5
 
-// Planned reports whether a seed's schedule holds planned work only.
-func Planned(seed uint64) bool { return seed%plannedEvery == 0 }
+// Planned reports whether a seed's schedule has only planned operations: graceful restarts,
+// SIGHUP and changes of the configuration.
+func Planned(seed uint64) bool { return seed%plannedSeedInterval == 0 }
 
-// Schedule returns the faults that follow from a seed, by time. Faults overlap.
+// Schedule returns the faults determined by a seed, sorted by time. Faults may overlap.
 func Schedule(seed uint64, length time.Duration) []Fault {
 	r := rand.New(rand.NewPCG(seed, 1))
-	kinds, least, most := all, 150*time.Millisecond, 900*time.Millisecond
+	kinds, minInterval, maxInterval := mainKinds, 150*time.Millisecond, 900*time.Millisecond
 	if Planned(seed) {
-		kinds, least, most = planned, 700*time.Millisecond, 1800*time.Millisecond
+		kinds, minInterval, maxInterval = plannedKinds, 700*time.Millisecond, 1800*time.Millisecond
 	}
 	var faults []Fault
 	for at := 300 * time.Millisecond; at < length; {
@@ -91,32 +96,32 @@
 			Which: r.IntN(64),
 			For:   300*time.Millisecond + time.Duration(r.Int64N(int64(2500*time.Millisecond))),
 		})
-		at += least + time.Duration(r.Int64N(int64(most-least)))
+		at += minInterval + time.Duration(r.Int64N(int64(maxInterval-minInterval)))
 	}
 	if !Planned(seed) {
-		for i, kinds := range laterKinds {
-			faults = append(faults, later(seed, uint64(2+i), kinds, length)...)
+		for i, kinds := range additionalKinds {
+			faults = append(faults, additionalFaults(seed, uint64(2+i), kinds, length)...)
 		}
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return faults
 }
 
-// laterKinds are drawn from streams of their own: the schedules of seeds that found a fault
-// stay as they were.
-var laterKinds = [][]Kind{{TaskCrashes, RunnerShrink}, {RunnerRestart, RunnerRestart, RunnerLeaves}}
+// additionalKinds are the kinds added later. Each group is drawn from a
+// separate random stream, so that the main faults of seeds that once found a bug are unchanged.
+var additionalKinds = [][]Kind{{TaskCrashes, RunnerShrink}, {RunnerRestart, RunnerRestart, RunnerLeaves}}
 
-// later returns the faults of one of laterKinds.
-func later(seed, stream uint64, kinds []Kind, length time.Duration) []Fault {
-	const least, spread = 800 * time.Millisecond, 2500 * time.Millisecond
+// additionalFaults returns the faults for one group of additionalKinds.
+func additionalFaults(seed, stream uint64, kinds []Kind, length time.Duration) []Fault {
+	const minInterval, jitter = 800 * time.Millisecond, 2500 * time.Millisecond
 	r := rand.New(rand.NewPCG(seed, stream))
 	var faults []Fault
-	for at := least; at < length; at += least + time.Duration(r.Int64N(int64(spread))) {
+	for at := minInterval; at < length; at += minInterval + time.Duration(r.Int64N(int64(jitter))) {
 		faults = append(faults, Fault{
 			At:    at,
 			Kind:  kinds[r.IntN(len(kinds))],
 			Which: r.IntN(64),
-			For:   least + time.Duration(r.Int64N(int64(spread))),
+			For:   minInterval + time.Duration(r.Int64N(int64(jitter))),
 		})
 	}
 	return faults
