--- a/e2e/cmd/almonddemo/main.go
+++ b/e2e/cmd/almonddemo/main.go
@@ -1,5 +1,5 @@
-// Command almonddemo starts two entries and four guards on stand-ins of the
-// platform, runs a job of 100 tasks, and tells its story from the logs.
+// Command almonddemo starts two entries and four guards with stand-ins for the
+// platform, runs a job of 100 tasks, and prints the job's timeline from the logs.
 package main
 
 import (
@@ -21,11 +21,11 @@
 	tasks     = 100
 	taskMs    = 60
 	taskCPU   = 1000 // thousandths of a core; the four runners have 128 cores
-	limit     = 30 * time.Second
-	firstRows = 12
+	timeout   = 30 * time.Second
+	maxEvents = 12
 )
 
-var errDemo = errors.New("almonddemo: the job was not completed")
+var errDemo = errors.New("almonddemo: the job did not complete as expected")
 
 func main() {
 	if err := demo(); err != nil {
@@ -35,7 +35,7 @@
 }
 
 func demo() error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "almonddemo")
 	if err != nil {
@@ -44,7 +44,7 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	bin := filepath.Join("bin")
 	binaries := harness.Binaries{Entry: filepath.Join(bin, "almondstand"), Guard: filepath.Join(bin, "almondguard")}
-	fmt.Println("Starting 2 entries and 4 guards, with stand-ins of the store and the runners")
+	fmt.Println("Starting 2 entries and 4 guards, with stand-ins for the store and the runners")
 	f, err := fleet.New(ctx, fleet.Options{Binaries: binaries, Dir: dir, Entries: 2, Guards: 4})
 	if err != nil {
 		return err
@@ -57,15 +57,16 @@
 	job.CPU = taskCPU
 	fmt.Printf("Submitting job %s: %d tasks of %d ms\n", job.ID, tasks, taskMs)
 	answer := f.Submit(ctx, 0, job, 1)
-	fmt.Printf("Answered %d %s after %d ms; the runners began %d tasks\n", answer.Status, strings.TrimSpace(answer.Text), answer.Took.Milliseconds(), f.Judge.Starts())
+	fmt.Printf("Answered %d %s after %d ms; the runners started %d tasks\n", answer.Status, strings.TrimSpace(answer.Text), answer.Took.Milliseconds(), f.Judge.Starts())
 	if answer.State != "completed" || f.Judge.Starts() != tasks || len(f.Judge.Violations()) > 0 {
 		return fmt.Errorf("%w: %v", errDemo, f.Judge.Violations())
 	}
-	return story(f, job.ID)
+	return printTimeline(f, job.ID)
 }
 
-// story ends the processes, so that their logs are whole, and explains the job.
-func story(f *fleet.Fleet, id string) error {
+// printTimeline terminates the processes, so that their logs are complete, and prints the
+// first events of the job as almondstand explain does.
+func printTimeline(f *fleet.Fleet, jobID string) error {
 	nodes := append(append([]*fleet.Node{}, f.Entries...), f.Guards...)
 	for _, n := range nodes {
 		n.Process().Terminate()
@@ -75,11 +76,11 @@
 		<-n.Process().Done()
 		logs = append(logs, strings.NewReader(n.Process().Log()))
 	}
-	s, err := explain.FromLogs(id, logs...)
+	timeline, err := explain.FromLogs(jobID, logs...)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nalmondstand explain %s tells %d lines, the first of them:\n", id, len(s.Events))
-	s.Events = s.Events[:min(len(s.Events), firstRows)]
-	return s.Print(os.Stdout)
+	fmt.Printf("\nalmondstand explain %s prints %d lines, the first of them:\n", jobID, len(timeline.Events))
+	timeline.Events = timeline.Events[:min(len(timeline.Events), maxEvents)]
+	return timeline.Print(os.Stdout)
 }
