--- a/e2e/cmd/almondsoak/main.go
+++ b/e2e/cmd/almondsoak/main.go
@@ -1,5 +1,5 @@
-// Command almondsoak runs entries and guards under random faults that follow
-// from seeds, and reports the seeds under which a promise was broken.
+// Command almondsoak runs entries and guards under random faults that are determined
+// by seeds, and reports the seeds with which an invariant was violated.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 var errSeeds = errors.New("almondsoak: a promise was broken")
 
-// settings of the command line.
+// settings holds the values of the command line flags.
 type settings struct {
 	seed    uint64
 	seeds   int
@@ -40,24 +40,24 @@
 	var s settings
 	c := &cobra.Command{
 		Use:           "almondsoak",
-		Short:         "Run a fleet under random faults and hold its promises",
+		Short:         "Run a fleet under random faults and check its invariants",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE:          func(c *cobra.Command, _ []string) error { return play(c.Context(), s) },
+		RunE:          func(c *cobra.Command, _ []string) error { return runSeeds(c.Context(), s) },
 	}
 	f := c.Flags()
-	f.Uint64Var(&s.seed, "seed", 0, "first seed; 0 takes one from the clock")
+	f.Uint64Var(&s.seed, "seed", 0, "first seed; 0 derives one from the current time")
 	f.IntVar(&s.seeds, "seeds", 1, "number of seeds")
-	f.Float64Var(&s.minutes, "minutes", 0, "play seeds for so long in place of a number")
-	f.DurationVar(&s.length, "length", 8*time.Second, "length of a seed's faults")
-	f.IntVar(&s.jobs, "jobs", 2, "seeds played at a time")
-	f.StringVar(&s.out, "out", filepath.Join("out", "soak"), "folder of the reports of failed seeds")
-	f.StringVar(&s.bin, "bin", "", "folder of built programs; empty builds them")
+	f.Float64Var(&s.minutes, "minutes", 0, "run seeds for this many minutes instead of a fixed number")
+	f.DurationVar(&s.length, "length", 8*time.Second, "duration of the fault injection for each seed")
+	f.IntVar(&s.jobs, "jobs", 2, "number of seeds run concurrently")
+	f.StringVar(&s.out, "out", filepath.Join("out", "soak"), "directory for the reports of failed seeds")
+	f.StringVar(&s.bin, "bin", "", "directory of the built programs; if empty, they are built")
 	return c
 }
 
-func play(ctx context.Context, s settings) error {
+func runSeeds(ctx context.Context, s settings) error {
 	dir, err := os.MkdirTemp("", "almondsoak")
 	if err != nil {
 		return err
@@ -72,14 +72,14 @@
 	if s.seed == 0 {
 		s.seed = uint64(time.Now().UnixNano() % 1e9)
 	}
-	next := make(chan uint64)
-	go feed(s, next)
-	broken := make(chan uint64, 1024)
+	seeds := make(chan uint64)
+	go sendSeeds(s, seeds)
+	failures := make(chan uint64, 1024)
 	done := make(chan struct{})
 	for range s.jobs {
 		go func() {
-			for seed := range next {
-				one(ctx, s, binaries, filepath.Join(dir, fmt.Sprint(seed)), seed, broken)
+			for seed := range seeds {
+				runSeed(ctx, s, binaries, filepath.Join(dir, fmt.Sprint(seed)), seed, failures)
 			}
 			done <- struct{}{}
 		}()
@@ -87,9 +87,9 @@
 	for range s.jobs {
 		<-done
 	}
-	close(broken)
+	close(failures)
 	var failed []uint64
-	for seed := range broken {
+	for seed := range failures {
 		failed = append(failed, seed)
 	}
 	if len(failed) > 0 {
@@ -98,23 +98,25 @@
 	return nil
 }
 
-// feed hands the seeds out.
-func feed(s settings, next chan<- uint64) {
-	defer close(next)
-	began := time.Now()
+// sendSeeds sends seeds to the channel until the number or the duration is reached, and
+// closes it.
+func sendSeeds(s settings, seeds chan<- uint64) {
+	defer close(seeds)
+	start := time.Now()
 	for i := 0; ; i++ {
-		if s.minutes > 0 && time.Since(began).Minutes() >= s.minutes || s.minutes == 0 && i >= s.seeds {
+		if s.minutes > 0 && time.Since(start).Minutes() >= s.minutes || s.minutes == 0 && i >= s.seeds {
 			return
 		}
-		next <- s.seed + uint64(i)
+		seeds <- s.seed + uint64(i)
 	}
 }
 
-// one plays a seed and keeps the report of one that failed.
-func one(ctx context.Context, s settings, b harness.Binaries, dir string, seed uint64, broken chan<- uint64) {
+// runSeed runs one seed. It prints the report if the seed passed; otherwise it writes the
+// report to a file and sends the seed to failures.
+func runSeed(ctx context.Context, s settings, b harness.Binaries, dir string, seed uint64, failures chan<- uint64) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		broken <- seed
+		failures <- seed
 		return
 	}
 	report, err := soak.Run(ctx, soak.Options{Binaries: b, Dir: dir, Seed: seed, Length: s.length})
@@ -126,7 +128,7 @@
 		fmt.Print(text)
 		return
 	}
-	broken <- seed
+	failures <- seed
 	path := filepath.Join(s.out, fmt.Sprintf("seed-%d.txt", seed))
 	_ = os.MkdirAll(s.out, 0o755)
 	_ = os.WriteFile(path, []byte(text), 0o644)
