--- a/e2e/combined_test.go
+++ b/e2e/combined_test.go
@@ -12,11 +12,11 @@
 	"almondstand.dev/standin/store"
 )
 
-// underTwo runs two faults together while callers repeat their submissions under
-// one id until the answer is final, as a careful caller does, and judges all of it.
-func underTwo(t *testing.T, c *harness.Cluster, customer string, faults func(load *harness.Load)) harness.Verdict {
+// runDoubleFault injects two faults while callers retry their submissions under one id
+// until they get a final answer, as a well-behaved caller does, and judges all replies.
+func runDoubleFault(t *testing.T, c *harness.Cluster, customer string, faults func(load *harness.Load)) harness.Verdict {
 	t.Helper()
-	load := harness.StartRepeatingLoad(t.Context(), customer, callers, c.Entries, repeating, numberedJobs)
+	load := harness.StartRepeatingLoad(t.Context(), customer, callers, c.Entries, retryTimeouts, numberedJobs)
 	waitReplies(t, load, 80)
 	faults(load)
 	waitReplies(t, load, load.Count()+150)
@@ -26,9 +26,10 @@
 	return v
 }
 
-// onBoth runs a test of two faults on guarded and on bare endpoints. A lost reply
-// of a bare one ends only at a limit, so its callers' contract has short ones.
-func onBoth(t *testing.T, entries, endpoints int, test func(t *testing.T, c *harness.Cluster, client *harness.Client)) {
+// forGuardedAndBare runs a test of two faults on guarded and on bare endpoints. Without
+// a guard, a task whose reply is lost ends only at a time limit, so the clients of bare
+// endpoints get a contract with short limits.
+func forGuardedAndBare(t *testing.T, entries, endpoints int, test func(t *testing.T, c *harness.Cluster, client *harness.Client)) {
 	t.Run("guarded", func(t *testing.T) {
 		parallel(t)
 		c, client := startCluster(t, harness.Options{Entries: entries, Guards: endpoints})
@@ -36,30 +37,32 @@
 	})
 	t.Run("bare", func(t *testing.T) {
 		parallel(t)
-		c, client := startClusterFor(t, hastyContract(), harness.Options{Entries: entries, Bare: endpoints})
+		c, client := startClusterFor(t, shortDeadlineContract(), harness.Options{Entries: entries, Bare: endpoints})
 		test(t, c, client)
 	})
 }
 
-// endpoint is what befalls one endpoint: a guard's process, or the whole traffic
-// of a runner without one, which the test's own process holds.
-type endpoint struct{ freeze, thaw, kill, restart func() }
+// endpointFaults are the faults that a test injects at one endpoint: into the guard's
+// process, or, for a runner without a guard, into all its traffic, since that runner is
+// served by the test's own process.
+type endpointFaults struct{ suspend, resume, kill, restart func() }
 
-func firstEndpoint(t *testing.T, c *harness.Cluster) endpoint {
+func firstEndpointFaults(t *testing.T, c *harness.Cluster) endpointFaults {
 	t.Helper()
 	if len(c.Guards) > 0 {
 		g := c.Guards[0]
-		return endpoint{g.Freeze, g.Thaw, g.Kill, func() { assert.NilError(t, c.RestartGuard(g)) }}
+		return endpointFaults{g.Freeze, g.Thaw, g.Kill, func() { assert.NilError(t, c.RestartGuard(g)) }}
 	}
 	r := c.Runners[0].Relay
 	set := func(s relay.State) func() { return func() { assert.NilError(t, r.Set(s)) } }
-	return endpoint{
-		set(relay.State{ToTarget: relay.Stall, ToClient: relay.Stall}), set(clearNetwork),
+	return endpointFaults{
+		set(relay.State{ToTarget: relay.Stall, ToClient: relay.Stall}), set(healthyNetwork),
 		func() { assert.NilError(t, harness.Cut(r)) }, func() { assert.NilError(t, harness.Mend(r)) },
 	}
 }
 
-// endpointRelays are the relays between the entries and what they start tasks on.
+// endpointRelays returns the relays between the entries and the endpoints: those of the
+// guards, or those of the runners where there is no guard.
 func endpointRelays(c *harness.Cluster) []*relay.Relay {
 	all := guardRelays(c)
 	if len(c.Guards) == 0 {
@@ -70,38 +73,38 @@
 	return all
 }
 
-// A guard is frozen with starts of two entries, and one of the entries dies. The
-// dead entry's jobs are lost, and their callers learn that they may have run; the
-// guard, thawed, finds starts of a session whose entry is gone beside those that
-// the living entry has asked about. A bare runner gets late what the dead entry
-// sent, and may run it: that was never said not to run. No task starts twice.
-func TestGuardFrozenWhileEntryDies(t *testing.T) {
-	onBoth(t, 3, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		underTwo(t, c, client.Customer, func(load *harness.Load) {
-			e := firstEndpoint(t, c)
-			e.freeze()
+// A guard is suspended with starts of two entries, and one of the entries dies. The
+// jobs of the dead entry are lost, and their callers are told that they may have run.
+// The resumed guard finds starts from a session whose entry is gone, beside starts that
+// the living entry has already queried. A bare runner receives late what the dead entry
+// sent and may run it, as no caller was told that it did not run. No task starts twice.
+func TestGuardSuspendedWhileEntryDies(t *testing.T) {
+	forGuardedAndBare(t, 3, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
+		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+			e := firstEndpointFaults(t, c)
+			e.suspend()
 			waitReplies(t, load, load.Count()+20)
 			c.Entries[0].Kill()
 			time.Sleep(3 * time.Second)
-			e.thaw()
+			e.resume()
 			waitReplies(t, load, load.Count()+50)
 			assert.NilError(t, c.RestartEntry(c.Entries[0]))
 		})
 	})
 }
 
-// The connections to the guards go silent just as one guard is killed and started
-// again. The entries ask over new connections and meet another incarnation: what
-// the dead one held is unknown for good, and the new one does not run it. Of bare
-// runners what was written is unknown, and is not written to another one.
+// The connections to the guards go silent just as one guard is killed and restarted.
+// The entries query over new connections and reach another incarnation: the outcome of
+// what the dead incarnation held stays unknown, and the new one does not run it. What
+// was written to a bare runner is unknown too, and is not written to another runner.
 func TestConnectionsSilentWhileGuardRestarts(t *testing.T) {
-	onBoth(t, 2, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		underTwo(t, c, client.Customer, func(load *harness.Load) {
-			for _, s := range silences {
+	forGuardedAndBare(t, 2, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
+		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+			for _, s := range blackholeDirections {
 				for _, r := range endpointRelays(c) {
 					r.Blackhole(s.toTarget, s.toClient)
 				}
-				e := firstEndpoint(t, c)
+				e := firstEndpointFaults(t, c)
 				e.kill()
 				e.restart()
 				waitReplies(t, load, load.Count()+80)
@@ -110,14 +113,14 @@
 	})
 }
 
-// The store is down when an entry dies and is started again. The new incarnation
-// can't list the contracts: it gets them from a peer, takes work, and answers for
-// its predecessor's ids that they are lost. The other entry goes on all the time.
+// The store is down when an entry dies and is restarted. The new incarnation can't list
+// the contracts in the store: it gets them from a peer, accepts work, and answers for
+// ids of its predecessor that they are lost. The other entry keeps serving throughout.
 func TestStoreDownWhileEntryRestarts(t *testing.T) {
-	onBoth(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
+	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
 		restarted := c.Entries[0]
-		id := mintOne(t, client, restarted)
-		underTwo(t, c, client.Customer, func(load *harness.Load) {
+		id := mintID(t, client, restarted)
+		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
 			c.Store.SetMode(store.CloseConnections)
 			waitReplies(t, load, load.Count()+50)
 			restarted.Kill()
@@ -126,22 +129,22 @@
 			a, err := client.Run(answerLimit(t), restarted.Callers, jobOf(1, `{"echo":1}`))
 			assert.NilError(t, err)
 			assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
-			t.Logf("lost at the peer after %s", untilLost(t, client, c.Entries[1], id, jobOf(1, `{}`)))
+			t.Logf("lost at the peer after %s", waitLost(t, client, c.Entries[1], id, jobOf(1, `{}`)))
 			waitReplies(t, load, load.Count()+50)
 			c.Store.SetMode(store.Up)
 		})
 	})
 }
 
-// An owner is frozen, and while it is, a guard that runs its tasks is killed. The
-// thawed owner asks an address where nothing listens, or another incarnation: its
-// callers learn that the tasks may have run, and none of them is started again.
+// An owner is suspended, and meanwhile a guard that runs its tasks is killed. The
+// resumed owner queries an address where nothing listens, or another incarnation: its
+// callers are told that the tasks may have run, and no task is started again.
 func TestEntryFrozenWhileGuardDies(t *testing.T) {
-	onBoth(t, 2, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		underTwo(t, c, client.Customer, func(load *harness.Load) {
+	forGuardedAndBare(t, 2, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
+		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
 			c.Entries[0].Freeze()
 			waitReplies(t, load, load.Count()+20)
-			e := firstEndpoint(t, c)
+			e := firstEndpointFaults(t, c)
 			e.kill()
 			time.Sleep(2 * time.Second)
 			c.Entries[0].Thaw()
@@ -150,14 +153,14 @@
 	})
 }
 
-// The connections between the entries go silent, and those to the guards, at the
-// same moment, twice. Requests passed on are lost beside the starts they caused;
-// callers repeat, owners resolve. No guard and no entry died, so every submission
-// ends complete. Of bare runners nobody can be asked: some end as unknown.
+// The connections between the entries and those to the guards go silent at the same
+// moment, twice. Forwarded requests are lost together with the starts that they caused;
+// callers retry, and owners query the outcomes. No guard and no entry died, so every
+// submission completes. A bare runner can't be queried: some of its outcomes stay unknown.
 func TestPeerAndGuardConnectionsSilent(t *testing.T) {
-	onBoth(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
+	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
 		relays := append(endpointRelays(c), c.Entries[0].Relay, c.Entries[1].Relay)
-		v := underTwo(t, c, client.Customer, func(load *harness.Load) {
+		v := runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
 			for range 2 {
 				for _, r := range relays {
 					r.Blackhole(true, true)
@@ -172,46 +175,46 @@
 	})
 }
 
-// An entry is killed, and its successor is killed again while guards still end the
-// sessions of the first. An id of each dead incarnation is lost, and the third one
-// serves.
+// An entry is killed, and its successor is killed too while guards are still ending the
+// sessions of the first incarnation. An id of each dead incarnation is reported lost,
+// and the third incarnation serves.
 func TestEntryDiesTwice(t *testing.T) {
-	onBoth(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
+	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
 		twice := c.Entries[0]
-		ids := []string{mintOne(t, client, twice)}
-		underTwo(t, c, client.Customer, func(load *harness.Load) {
+		ids := []string{mintID(t, client, twice)}
+		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
 			twice.Kill()
 			assert.NilError(t, c.RestartEntry(twice))
 			waitReplies(t, load, load.Count()+30)
-			ids = append(ids, mintOne(t, client, twice))
+			ids = append(ids, mintID(t, client, twice))
 			twice.Kill()
 			assert.NilError(t, c.RestartEntry(twice))
 			waitReplies(t, load, load.Count()+30)
 		})
 		for _, id := range ids {
-			every(t, client, twice.Callers, id, jobOf(1, `{}`), func(_ string, a *harness.Answer) {
+			forEachMethod(t, client, twice.Callers, id, jobOf(1, `{}`), func(_ string, a *harness.Answer) {
 				assertFailure(t, a, http.StatusGone, codeLost, "unknown")
 			})
-			untilLost(t, client, c.Entries[1], id, jobOf(1, `{}`))
+			waitLost(t, client, c.Entries[1], id, jobOf(1, `{}`))
 			assert.Equal(t, startsOf(c, id), 0)
 		}
 	})
 }
 
-// A guard is cut off from the entries with tasks in it and frozen as well, and
-// thawed before the network heals: the starts that were under way arrive in a
-// guard that has long been asked about them by nobody. What the entries then
-// learn from it is still true. A runner alone has no part that could be frozen
-// apart from its network, so this is with guards only.
-func TestGuardCutOffAndFrozen(t *testing.T) {
+// A guard that runs tasks is partitioned from the entries, suspended, and resumed before
+// the network heals: starts that were in transit reach the guard long after the entries
+// have stopped querying it about them. What the entries then learn from it is still
+// true. A bare runner has no process that could be suspended apart from its network, so
+// this test runs with guards only.
+func TestGuardPartitionedAndSuspended(t *testing.T) {
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
-	underTwo(t, c, "shop", func(*harness.Load) {
-		setAll(t, c.Guards[:1], relay.State{ToTarget: relay.Stall, ToClient: relay.Stall})
+	runDoubleFault(t, c, "shop", func(*harness.Load) {
+		setGuardRelays(t, c.Guards[:1], relay.State{ToTarget: relay.Stall, ToClient: relay.Stall})
 		c.Guards[0].Freeze()
 		time.Sleep(2 * time.Second)
 		c.Guards[0].Thaw()
 		time.Sleep(time.Second)
-		setAll(t, c.Guards[:1], clearNetwork)
+		setGuardRelays(t, c.Guards[:1], healthyNetwork)
 	})
 }
--- a/e2e/connection_test.go
+++ b/e2e/connection_test.go
@@ -15,38 +15,39 @@
 	"almondstand.dev/standin/relay"
 )
 
-// patient is the time within which an answer must come that does not wait for
-// its job's deadline: half of the answer time of patientContract.
-const patient = 30 * time.Second
+// promptLimit bounds answers that must not wait for their job's deadline: half of the
+// answer time of longDeadlineContract.
+const promptLimit = 30 * time.Second
 
-// patientContract leaves so much time that an answer held until the deadline
-// can be told from one that came as soon as the failure was known.
-func patientContract() contract.Contract {
+// longDeadlineContract has an answer time so long that an answer held until the deadline
+// can be told from one that was sent as soon as the failure was known.
+func longDeadlineContract() contract.Contract {
 	k := harness.Contract("patient")
-	k.AnswerTime = contract.Duration(2 * patient)
+	k.AnswerTime = contract.Duration(2 * promptLimit)
 	return k
 }
 
-// hastyContract ends tasks and jobs early, for faults that only a limit ends.
-func hastyContract() contract.Contract {
+// shortDeadlineContract ends tasks and jobs early, for faults that only a time limit ends.
+func shortDeadlineContract() contract.Contract {
 	k := harness.Contract("hasty")
 	k.AnswerTime = contract.Duration(4 * time.Second)
 	k.RunLimit = contract.Duration(1500 * time.Millisecond)
 	return k
 }
 
-// together bounds the clusters of this and the other files that use parallel.
-var together = make(chan struct{}, 4)
+// parallelSlots bounds the clusters that run at a time in this file and in the others
+// that use parallel.
+var parallelSlots = make(chan struct{}, 4)
 
-// parallel lets a test that mostly waits run beside a few others.
+// parallel lets a test that mostly waits run in parallel with a few others.
 func parallel(t *testing.T) {
 	t.Helper()
 	t.Parallel()
-	together <- struct{}{}
-	t.Cleanup(func() { <-together })
+	parallelSlots <- struct{}{}
+	t.Cleanup(func() { <-parallelSlots })
 }
 
-// startClusterFor is startCluster with another contract in force.
+// startClusterFor is startCluster with a second contract, k, and a client of it.
 func startClusterFor(t *testing.T, k contract.Contract, o harness.Options) (*harness.Cluster, *harness.Client) {
 	t.Helper()
 	c, _ := startCluster(t, o)
@@ -55,7 +56,7 @@
 	return c, harness.NewClient(k.Client)
 }
 
-// numberedJobs are jobs of one to six short tasks, each with an answer of its own.
+// numberedJobs returns job n of a load: one to six short tasks, each with a distinct answer.
 func numberedJobs(n int) harness.Job {
 	j := harness.Job{Service: harness.Service}
 	for i := range 1 + n%6 {
@@ -65,8 +66,8 @@
 	return j
 }
 
-// assertOwnAnswers checks that each complete job got the answers to its own tasks.
-func assertOwnAnswers(t *testing.T, replies []harness.Reply) {
+// assertAnswersMatchTasks checks that each complete job got the answers to its own tasks.
+func assertAnswersMatchTasks(t *testing.T, replies []harness.Reply) {
 	t.Helper()
 	for _, r := range replies {
 		if r.Err != nil || !r.Answer.OK() {
@@ -80,19 +81,19 @@
 	}
 }
 
-// judgeReplies holds replies against the runners' record once nothing runs.
+// judgeReplies checks replies against the starts recorded by the runners, once no task runs.
 func judgeReplies(t *testing.T, c *harness.Cluster, replies []harness.Reply) harness.Verdict {
 	t.Helper()
 	c.WaitIdle(t.Context())
 	v := harness.Judge(c.Starts(), replies)
 	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v; longest answer %s",
-		v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown, v.Codes, longest(replies))
+		v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown, v.Codes, longestAnswer(replies))
 	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
-	assertOwnAnswers(t, replies)
+	assertAnswersMatchTasks(t, replies)
 	return v
 }
 
-func longest(replies []harness.Reply) time.Duration {
+func longestAnswer(replies []harness.Reply) time.Duration {
 	var most time.Duration
 	for _, r := range replies {
 		if r.Err == nil {
@@ -102,22 +103,24 @@
 	return most.Round(time.Millisecond)
 }
 
-// silence is a way in which open connections go silent while new ones work.
-type silence struct {
+// blackholeDirection is the direction in which open connections go silent while new
+// connections work.
+type blackholeDirection struct {
 	name               string
 	toTarget, toClient bool
 }
 
-var silences = []silence{
+var blackholeDirections = []blackholeDirection{
 	{"towards the server", true, false},
 	{"towards the client", false, true},
 	{"both ways", true, true},
 }
 
-// underSilences runs every silence under a load, with answers between.
-func underSilences(t *testing.T, load *harness.Load, relays ...*relay.Relay) {
+// blackholeUnderLoad blackholes the relays' connections in each direction under a load,
+// and waits for further replies after each.
+func blackholeUnderLoad(t *testing.T, load *harness.Load, relays ...*relay.Relay) {
 	t.Helper()
-	for _, s := range silences {
+	for _, s := range blackholeDirections {
 		n := 0
 		for _, r := range relays {
 			n += r.Blackhole(s.toTarget, s.toClient)
@@ -128,16 +131,16 @@
 	}
 }
 
-// callers is a number of callers that leaves slots free, so that an answer is
-// late by a fault and not by the queue.
+// callers is a number of callers that leaves slots free, so that only a fault, and not
+// the queue, can delay an answer.
 const callers = 8
 
-var repeating = harness.Patience{Attempt: time.Second, All: time.Minute}
+var retryTimeouts = harness.Patience{Attempt: time.Second, All: time.Minute}
 
-// Callers' connections to the entries go silent. A caller gives up on a request
-// after a second and repeats it under the same id at another entry, over a
-// new connection; the first copy may have been taken and its answer lost. Every
-// submission ends complete, and no task of it ran twice.
+// Callers' connections to the entries go silent. A caller times out after a second and
+// retries under the same id at another entry over a new connection; the first request
+// may have been accepted and its answer lost. Every submission completes, and none of
+// its tasks runs twice.
 func TestCallerConnectionsSilent(t *testing.T) {
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
@@ -149,45 +152,45 @@
 		fronts = append(fronts, front)
 		relays = append(relays, r)
 	}
-	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, fronts, repeating, numberedJobs)
+	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, fronts, retryTimeouts, numberedJobs)
 	waitReplies(t, load, 100)
-	underSilences(t, load, relays...)
+	blackholeUnderLoad(t, load, relays...)
 	v := judgeReplies(t, c, load.Stop())
 	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Refused+v.NoAnswer)
 }
 
-// The connections between entries go silent, so that requests passed on to the
-// owner or its answers are lost. The entry that was asked notices by its pings,
-// opens a new connection and tells its callers to ask again under the same id;
-// the owner joins the repeats to the job. Each task runs once.
+// The connections between entries go silent, so that requests forwarded to the owner, or
+// its answers, are lost. The forwarding entry detects it by its pings, opens a new
+// connection and tells its callers to retry under the same id; the owner joins the
+// retries to the running job. Each task runs once.
 func TestForwardConnectionsSilent(t *testing.T) {
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
-	// Only the other entry is asked, so that every request is passed on.
+	// Callers ask only the entry that is not the owner, so that every request is forwarded.
 	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, c.Entries,
 		harness.Patience{Attempt: 10 * time.Second, All: time.Minute}, numberedJobs)
 	waitReplies(t, load, 100)
-	underSilences(t, load, c.Entries[0].Relay, c.Entries[1].Relay)
+	blackholeUnderLoad(t, load, c.Entries[0].Relay, c.Entries[1].Relay)
 	v := judgeReplies(t, c, load.Stop())
 	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Refused+v.NoAnswer)
 }
 
-// The connections from the entries to all guards go silent, with starts on their
-// way and results coming back. The entry's ping misses, it opens a new connection
-// and asks the same guard what became of each start: the guard gives the result,
-// or bars the start, which may then run elsewhere. The guards live, so no outcome
-// stays unknown, and no answer waits for its job's deadline.
+// The connections from the entries to all guards go silent, with starts and results in
+// transit. The entry's ping times out; it opens a new connection and queries the same
+// guard for each start: the guard returns the result, or fences the start off, which may
+// then run elsewhere. The guards are alive, so no outcome stays unknown, and no answer
+// waits for its job's deadline.
 func TestGuardConnectionsSilent(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 3})
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
 	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
-	underSilences(t, load, guardRelays(c)...)
+	blackholeUnderLoad(t, load, guardRelays(c)...)
 	replies := load.Stop()
 	v := judgeReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
 	assert.Equal(t, v.Failed+v.Refused+v.NoAnswer, 0)
-	assert.Assert(t, longest(replies) < patient, "%s", longest(replies))
+	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
 
 func guardRelays(c *harness.Cluster) []*relay.Relay {
@@ -198,13 +201,13 @@
 	return all
 }
 
-// The network between entries and guards loses everything, or holds it back, for
-// longer than an entry waits for a reply, and then works again. What was held
-// back arrives after the entry has asked about it: a late Start finds the bar, a
-// late reply belongs to no open start. Nobody gets another one's answer.
-func TestGuardNetworkOutForAWhile(t *testing.T) {
+// The network between the entries and a guard drops or stalls all traffic for longer
+// than an entry waits for a reply, and then recovers. Stalled messages arrive after the
+// entry has queried the starts: the guard rejects a late Start that a query has fenced
+// off, and a late reply matches no open start. No caller gets the answer of another one.
+func TestTemporaryGuardNetworkOutage(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 3})
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
 	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	for _, s := range []relay.State{
@@ -213,72 +216,72 @@
 		{ToTarget: relay.Pass, ToClient: relay.Drop},
 		{ToTarget: relay.Drop, ToClient: relay.Pass},
 	} {
-		setAll(t, c.Guards[:1], s)
+		setGuardRelays(t, c.Guards[:1], s)
 		time.Sleep(3 * time.Second)
-		setAll(t, c.Guards[:1], clearNetwork)
+		setGuardRelays(t, c.Guards[:1], healthyNetwork)
 		waitReplies(t, load, load.Count()+100)
 	}
 	replies := load.Stop()
 	v := judgeReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
-	assert.Assert(t, longest(replies) < patient, "%s", longest(replies))
+	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
 
-var clearNetwork = relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
+var healthyNetwork = relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
 
-func setAll(t *testing.T, guards []*harness.Guard, s relay.State) {
+func setGuardRelays(t *testing.T, guards []*harness.Guard, s relay.State) {
 	t.Helper()
 	for _, g := range guards {
 		assert.NilError(t, g.Relay.Set(s))
 	}
 }
 
-// Replies take longer than an entry waits for them, on the way to one guard, and
-// come back to speed while they are under way: questions about starts overtake
-// the starts, and late replies cross those to the questions. Every caller gets
-// the whole answer to its own job.
-func TestRepliesLateAndCrossed(t *testing.T) {
+// Replies on the way to two guards are delayed for longer than an entry waits for them,
+// and the delay ends while some are in transit: queries about starts overtake the starts,
+// and late replies cross those to the queries. Every caller gets the complete answer to
+// its own job.
+func TestRepliesLateAndReordered(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 3})
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
 	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	for _, delay := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond} {
-		slow := clearNetwork
+		slow := healthyNetwork
 		slow.Delay = delay
-		setAll(t, c.Guards[:2], slow)
+		setGuardRelays(t, c.Guards[:2], slow)
 		time.Sleep(2500 * time.Millisecond)
-		setAll(t, c.Guards[:2], clearNetwork)
+		setGuardRelays(t, c.Guards[:2], healthyNetwork)
 		waitReplies(t, load, load.Count()+100)
 	}
 	replies := load.Stop()
 	v := judgeReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
-	assert.Assert(t, longest(replies) < patient, "%s", longest(replies))
+	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
 
-// The connections between a guard and its runner go silent. Nobody can ask the
-// runner what became of a task: the run limit ends it, and the caller learns what
-// is known, which is never "not run" of a task that ran. The slots come back: a
-// job as wide as the runner completes afterwards.
+// The connections between a guard and its runner go silent. Nobody can query the runner
+// about a task: the run limit ends it, and the caller is told what is known, which is
+// never "not run" for a task that ran. The slots are released: a job that needs all slots
+// of the runners completes afterwards.
 func TestRunnerConnectionsSilent(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, hastyContract(), harness.Options{Entries: 2, Guards: 2})
-	silentRunners(t, c, client)
+	c, client := startClusterFor(t, shortDeadlineContract(), harness.Options{Entries: 2, Guards: 2})
+	blackholeRunnerUnderLoad(t, c, client)
 }
 
-// The same without guards: the entry itself loses the runner. What it can say is
-// "may have run", and the slots come back as well.
+// The same without guards: the entry itself loses its connection to the runner. It can
+// only answer "may have run", and the slots are released as well.
 func TestBareRunnerConnectionsSilent(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, hastyContract(), harness.Options{Entries: 2, Bare: 2})
-	silentRunners(t, c, client)
+	c, client := startClusterFor(t, shortDeadlineContract(), harness.Options{Entries: 2, Bare: 2})
+	blackholeRunnerUnderLoad(t, c, client)
 }
 
-func silentRunners(t *testing.T, c *harness.Cluster, client *harness.Client) {
+func blackholeRunnerUnderLoad(t *testing.T, c *harness.Cluster, client *harness.Client) {
 	t.Helper()
 	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
-	for _, s := range silences {
+	for _, s := range blackholeDirections {
 		n := c.Runners[0].Relay.Blackhole(s.toTarget, s.toClient)
 		t.Logf("%s: %d connections silent", s.name, n)
 		assert.Assert(t, n > 0)
@@ -288,11 +291,11 @@
 	assertSlotsFree(t, c, client)
 }
 
-// assertSlotsFree submits a job as wide as all slots until one completes.
+// assertSlotsFree submits jobs that need all slots to each entry until one completes.
 func assertSlotsFree(t *testing.T, c *harness.Cluster, client *harness.Client) {
 	t.Helper()
 	const slots = 8
-	ctx, stop := context.WithTimeout(t.Context(), patient)
+	ctx, stop := context.WithTimeout(t.Context(), promptLimit)
 	defer stop()
 	for _, e := range c.Entries {
 		var a *harness.Answer
--- a/e2e/contract_test.go
+++ b/e2e/contract_test.go
@@ -24,16 +24,16 @@
 	"almondstand.dev/entry/operator/client"
 )
 
-// write is one operator's change of a contract: a compare-and-swap.
-type write struct {
+// compareAndSwap is one operator's change of a contract, conditional on its revision.
+type compareAndSwap struct {
 	expect int64
 	rate   float64
 }
 
-// outcome is what the operator was told.
+// outcome is the answer that the operator got.
 type outcome struct {
 	code operator.Code
-	// version is the one accepted, or that of the winner.
+	// version is the accepted one, or the winner's in case of a conflict.
 	version register
 }
 
@@ -43,12 +43,13 @@
 	rate     float64
 }
 
-// registerModel is a register with compare-and-swap. A change that was refused for
-// want of the store left it alone; any other failure doesn't fit.
+// registerModel is a register with compare-and-swap. A change that was refused because
+// the store was unavailable left the register unchanged; any other failure violates
+// the model.
 var registerModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, output any) (bool, any) {
-		now, in, out := state.(register), input.(write), output.(outcome)
+		now, in, out := state.(register), input.(compareAndSwap), output.(outcome)
 		switch out.code {
 		case "":
 			return now.revision == in.expect && out.version.revision > now.revision, out.version
@@ -59,15 +60,15 @@
 	},
 }
 
-// history is what the operators did and were told, in the order of a clock.
+// history is the operators' calls and their outcomes, ordered by a logical clock.
 type history struct {
 	clock atomic.Int64
 	mu    sync.Mutex
 	ops   []porcupine.Operation
 }
 
-// change makes one change through an entry and adds it to the history.
-func (h *history) change(t *testing.T, who int, e *harness.Entry, in write) (outcome, error) {
+// recordChange makes one change through an entry and adds it to the history.
+func (h *history) recordChange(t *testing.T, who int, e *harness.Entry, in compareAndSwap) (outcome, error) {
 	k := harness.Contract("raced")
 	k.Rate = in.rate
 	op := porcupine.Operation{ClientId: who, Input: in, Call: h.clock.Add(1)}
@@ -81,7 +82,7 @@
 	return out, err
 }
 
-func outcomeOf(in write, changed operator.ChangeResult, err error) (outcome, error) {
+func outcomeOf(in compareAndSwap, changed operator.ChangeResult, err error) (outcome, error) {
 	if err == nil {
 		return outcome{version: register{changed.Revision, in.rate}}, nil
 	}
@@ -96,12 +97,12 @@
 	return out, nil
 }
 
-// Operators change one contract at the same time through different entries, all
-// for the same version, while answers of the store are lost after their write.
-// In each round one of them wins, the others get a conflict that shows the
-// winner's content; all that they were told fits one register.
-func TestOperatorsRace(t *testing.T) {
-	c, _ := startCluster(t, harness.Options{Entries: 3, EntrySettings: hasty})
+// Operators change one contract concurrently through different entries, all expecting
+// the same revision, while answers of the store are lost after its write. In each round
+// exactly one succeeds, the others get a conflict that shows the winner's content, and
+// all outcomes are linearizable against one register.
+func TestConcurrentContractChanges(t *testing.T) {
+	c, _ := startCluster(t, harness.Options{Entries: 3, EntrySettings: shortTimeouts})
 	var h history
 	var current register
 	random := rand.New(rand.NewPCG(1, 2))
@@ -109,15 +110,15 @@
 		if round%2 == 1 {
 			c.Store.LoseResponses(random.IntN(3))
 		}
-		current = race(t, c, &h, round, current)
+		current = changeConcurrently(t, c, &h, round, current)
 	}
 	assert.Equal(t, porcupine.CheckOperations(registerModel, h.ops), true)
 	_, err := harness.WaitInForce(t.Context(), c.Entries, "raced", current.revision)
 	assert.NilError(t, err)
 }
 
-// race has six operators change the version current and returns the winner's.
-func race(t *testing.T, c *harness.Cluster, h *history, round int, current register) register {
+// changeConcurrently has six operators change the version current and returns the winner's.
+func changeConcurrently(t *testing.T, c *harness.Cluster, h *history, round int, current register) register {
 	t.Helper()
 	const rivals = 6
 	outcomes := make([]outcome, rivals)
@@ -125,8 +126,8 @@
 	var all sync.WaitGroup
 	for i := range rivals {
 		all.Go(func() {
-			in := write{expect: current.revision, rate: float64(100 + rivals*round + i)}
-			outcomes[i], faults[i] = h.change(t, i, c.Entries[i%len(c.Entries)], in)
+			in := compareAndSwap{expect: current.revision, rate: float64(100 + rivals*round + i)}
+			outcomes[i], faults[i] = h.recordChange(t, i, c.Entries[i%len(c.Entries)], in)
 		})
 	}
 	all.Wait()
@@ -144,13 +145,13 @@
 	return winners[0]
 }
 
-// Operators keep on changing one contract, each for the version that its own
-// entry shows, which may be behind. Whoever was told "accepted" made the version
-// that follows the one it replaced, and no accepted change is lost.
-func TestOperatorsRaceFromTheirOwnView(t *testing.T) {
-	c, _ := startCluster(t, harness.Options{Entries: 3, EntrySettings: hasty})
+// Operators change one contract repeatedly, each expecting the revision that its own
+// entry shows, which may be stale. A change that was accepted made the version directly
+// after the one it replaced, and no accepted change is lost.
+func TestConcurrentContractChangesFromStaleReads(t *testing.T) {
+	c, _ := startCluster(t, harness.Options{Entries: 3, EntrySettings: shortTimeouts})
 	var h history
-	first, err := h.change(t, 0, c.Entries[0], write{rate: 1})
+	first, err := h.recordChange(t, 0, c.Entries[0], compareAndSwap{rate: 1})
 	assert.NilError(t, err)
 	_, err = harness.WaitInForce(t.Context(), c.Entries, "raced", first.version.revision)
 	assert.NilError(t, err)
@@ -165,7 +166,7 @@
 					t.Error(err)
 					return
 				}
-				out, err := h.change(t, who, e, write{seen.Revision, float64(100*(who+1) + n)})
+				out, err := h.recordChange(t, who, e, compareAndSwap{seen.Revision, float64(100*(who+1) + n)})
 				if err != nil {
 					t.Error(err)
 					return
@@ -179,11 +180,11 @@
 	all.Wait()
 	t.Logf("accepted of 15 each: %v", accepted)
 	assert.Equal(t, porcupine.CheckOperations(registerModel, h.ops), true)
-	checkChain(t, c, h.ops)
+	checkFinalVersion(t, c, h.ops)
 }
 
-// checkChain waits until all entries have the last accepted version in force.
-func checkChain(t *testing.T, c *harness.Cluster, ops []porcupine.Operation) {
+// checkFinalVersion waits until the last accepted version is in force at all entries.
+func checkFinalVersion(t *testing.T, c *harness.Cluster, ops []porcupine.Operation) {
 	t.Helper()
 	var last register
 	for _, op := range ops {
@@ -201,9 +202,9 @@
 	}
 }
 
-// commandLine runs the command line against an entry and returns what it printed and its
+// runOperatorCommand runs the command line against an entry and returns its output and
 // exit status.
-func commandLine(t *testing.T, e *harness.Entry, args ...string) (string, int) {
+func runOperatorCommand(t *testing.T, e *harness.Entry, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(binaries.Entry, args...)
 	cmd.Env = append(os.Environ(), "ALMOND_OPERATORS="+e.Operators, "ALMOND_OPERATOR_TOKEN="+harness.OperatorToken)
@@ -215,56 +216,56 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// An operator applies a declared contract with --wait and is told on how many
-// live entries it is in force. With one entry frozen the change is accepted all
-// the same, and the command names the entry that has not confirmed it. A change
-// made for an old version is a conflict.
+// An operator applies a declared contract with --wait and is told on how many live
+// entries it is in force. With one entry suspended the change is still accepted, and the
+// command names the entry that has not confirmed it. A change that expects an old
+// revision is a conflict.
 func TestContractApplyWait(t *testing.T) {
-	sideBySide(t)
+	parallelPerCPU(t)
 	const everywhere, conflict, notEverywhere = 0, 5, 6
 	c, _ := startCluster(t, harness.Options{Entries: 3, NoRelays: true})
 	file := filepath.Join(t.TempDir(), "shop.json")
 	declare := func(version int) {
-		text, err := rated(version).Encode()
+		text, err := shopContract(version).Encode()
 		assert.NilError(t, err)
 		assert.NilError(t, os.WriteFile(file, text, 0o600))
 	}
 	declare(1)
-	text, status := commandLine(t, c.Entries[1], "contract", "apply", "--wait", file)
+	text, status := runOperatorCommand(t, c.Entries[1], "contract", "apply", "--wait", file)
 	assert.Equal(t, status, everywhere, text)
 	assert.Assert(t, strings.Contains(text, "in force on 3 of 3 live entries"), text)
 	declare(2)
 	c.Entries[2].Freeze()
-	text, status = commandLine(t, c.Entries[0], "contract", "apply", "--wait=2s", file)
+	text, status = runOperatorCommand(t, c.Entries[0], "contract", "apply", "--wait=2s", file)
 	c.Entries[2].Thaw()
 	assert.Equal(t, status, notEverywhere, text)
 	assert.Assert(t, strings.Contains(text, "in force on 2 of 3 live entries"), text)
 	assert.Assert(t, strings.Contains(text, c.Entries[2].ID), text)
 	waitVersion(t, c.Entries, 2)
 	declare(3)
-	text, status = commandLine(t, c.Entries[0], "contract", "apply", "--revision", "1", file)
+	text, status = runOperatorCommand(t, c.Entries[0], "contract", "apply", "--revision", "1", file)
 	assert.Equal(t, status, conflict, text)
 	assert.Assert(t, hasVersion(t, c.Entries[0], 2))
 }
 
-// A contract is retired while its customer submits to every entry. Within
-// seconds each entry refuses its token's work as not run, for good, and jobs
-// accepted before are answered whole. Another customer's load goes on.
+// A contract is retired while its client submits to every entry. Within seconds each
+// entry permanently refuses that client's work as not run, and jobs accepted before get
+// complete answers. Another client's load is not affected.
 func TestRetireUnderLoad(t *testing.T) {
-	sideBySide(t)
+	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2})
 	assert.NilError(t, c.Apply(t.Context(), harness.Contract("gone")))
 	assert.NilError(t, c.WaitSettled(t.Context(), "gone"))
 	v := underLoad(t, c, c.Entries, func() {
 		load := harness.StartLoad(t.Context(), "gone", 6, c.Entries, smallJobs)
 		waitReplies(t, load, 20)
-		text, status := commandLine(t, c.Entries[0], "contract", "retire", "gone")
+		text, status := runOperatorCommand(t, c.Entries[0], "contract", "retire", "gone")
 		assert.Equal(t, status, 0, text)
 		for _, e := range c.Entries {
-			waitRefused(t, e, harness.NewClient("gone"), http.StatusForbidden, "contract_retired")
+			waitRejected(t, e, harness.NewClient("gone"), http.StatusForbidden, "contract_retired")
 		}
 		replies := load.Stop()
-		assert.NilError(t, onlyRetired(replies))
+		assert.NilError(t, checkCompleteOrRetired(replies))
 		for _, e := range c.Entries {
 			a, err := harness.NewClient("gone").Run(t.Context(), e.Callers, jobOf(1, "{}"))
 			assert.NilError(t, err)
@@ -275,8 +276,8 @@
 	assertAllComplete(t, v)
 }
 
-// onlyRetired checks that every job was answered whole or refused as retired.
-func onlyRetired(replies []harness.Reply) error {
+// checkCompleteOrRetired checks that every job completed or was refused as retired.
+func checkCompleteOrRetired(replies []harness.Reply) error {
 	for _, r := range replies {
 		switch {
 		case r.Err != nil:
@@ -289,8 +290,9 @@
 	return nil
 }
 
-// waitRefused waits until the entry refuses the customer's work as it should.
-func waitRefused(t *testing.T, e *harness.Entry, client *harness.Client, status int, code string) {
+// waitRejected waits until the entry refuses the client's work with the given status and
+// code.
+func waitRejected(t *testing.T, e *harness.Entry, client *harness.Client, status int, code string) {
 	t.Helper()
 	begin := time.Now()
 	for {
@@ -302,50 +304,50 @@
 			return
 		}
 		assert.Assert(t, a.OK(), "%+v", a.Error)
-		assert.Assert(t, time.Since(begin) < spreadLimit, "%s still serves", e.ID)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "%s still serves", e.ID)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A customer's token is replaced. The old one is refused everywhere within
-// seconds, and the new one serves.
+// A client's token is replaced. Every entry refuses the old one within seconds and
+// accepts the new one.
 func TestTokenReplaced(t *testing.T) {
 	c, old := startCluster(t, harness.Options{Entries: 2, Guards: 1, NoRelays: true})
 	k := harness.Contract("shop")
 	k.TokenDigests = []string{harness.Digest(harness.Token("new-shop"))}
 	assert.NilError(t, c.Apply(t.Context(), k))
 	for _, e := range c.Entries {
-		waitRefused(t, e, old, http.StatusUnauthorized, "unauthenticated")
+		waitRejected(t, e, old, http.StatusUnauthorized, "unauthenticated")
 		a, err := harness.NewClient("new-shop").Run(t.Context(), e.Callers, jobOf(1, "{}"))
 		assert.NilError(t, err)
 		assert.Assert(t, a.OK(), "%+v", a.Error)
 	}
 }
 
-// limited is a contract with narrow limits.
-func limited(rate float64, burst, inFlight int) contract.Contract {
+// limitedContract is a contract with low limits.
+func limitedContract(rate float64, burst, inFlight int) contract.Contract {
 	k := harness.Contract("narrow")
 	k.Rate, k.Burst, k.InFlight = rate, burst, inFlight
 	return k
 }
 
-// counted is a load that counts the tasks accepted so far.
-type counted struct {
+// countingLoad is a load that counts the tasks accepted so far.
+type countingLoad struct {
 	accepted atomic.Int64
 	stop     chan struct{}
 	done     sync.WaitGroup
 }
 
-// startCounted submits jobs of one task, again at once after each answer.
-func startCounted(t *testing.T, entries []*harness.Entry, callers int, payload string) *counted {
-	l := &counted{stop: make(chan struct{})}
+// startCountingLoad submits jobs of one task, each caller the next one right after an answer.
+func startCountingLoad(t *testing.T, entries []*harness.Entry, callers int, payload string) *countingLoad {
+	l := &countingLoad{stop: make(chan struct{})}
 	for i := range callers {
-		l.done.Go(func() { l.caller(t, entries[i%len(entries)], payload) })
+		l.done.Go(func() { l.submitUntilStopped(t, entries[i%len(entries)], payload) })
 	}
 	return l
 }
 
-func (l *counted) caller(t *testing.T, e *harness.Entry, payload string) {
+func (l *countingLoad) submitUntilStopped(t *testing.T, e *harness.Entry, payload string) {
 	client := harness.NewClient("narrow")
 	for {
 		select {
@@ -369,40 +371,40 @@
 	}
 }
 
-func (l *counted) end() int64 {
+func (l *countingLoad) finish() int64 {
 	close(l.stop)
 	l.done.Wait()
 	return l.accepted.Load()
 }
 
-// A customer sends all its load, three times what it bought, to one of three
-// entries, and then to all of them. At one entry it gets at least 90 % of what it
-// bought after a few seconds, since the others lend their shares; over all
-// entries it never gets more than its rate and burst.
-func TestRateHoldsOverEntries(t *testing.T) {
+// A client sends all its load, three times what it bought, to one of three entries, and
+// then to all of them. At one entry it gets at least 90 % of what it bought after a few
+// seconds, as the other entries lease their shares to it; over all entries it never gets
+// more than its rate and burst.
+func TestRateLimitHoldsAcrossEntries(t *testing.T) {
 	const rate, burst = 200.0, 60
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, Slots: 32, NoRelays: true})
 	begin := time.Now()
-	assert.NilError(t, c.Apply(t.Context(), limited(rate, burst, 10000)))
+	assert.NilError(t, c.Apply(t.Context(), limitedContract(rate, burst, 10000)))
 	assert.NilError(t, c.WaitSettled(t.Context(), "narrow"))
 	within := func(accepted int64) {
 		t.Helper()
 		most := rate*time.Since(begin).Seconds() + burst
 		assert.Assert(t, float64(accepted) <= most, "%d tasks accepted, %.0f were bought", accepted, most)
 	}
-	one := startCounted(t, c.Entries[:1], 6, `{"run":"5ms"}`)
-	waitShare(t, one, rate, within)
-	before := one.end()
-	all := startCounted(t, c.Entries, 9, `{"run":"5ms"}`)
+	one := startCountingLoad(t, c.Entries[:1], 6, `{"run":"5ms"}`)
+	waitRateShare(t, one, rate, within)
+	before := one.finish()
+	all := startCountingLoad(t, c.Entries, 9, `{"run":"5ms"}`)
 	for range 20 {
 		time.Sleep(100 * time.Millisecond)
 		within(before + all.accepted.Load())
 	}
-	within(before + all.end())
+	within(before + all.finish())
 }
 
-// waitShare waits until one second brings 90 % of the rate.
-func waitShare(t *testing.T, l *counted, rate float64, within func(int64)) {
+// waitRateShare waits until the entry accepts 90 % of the rate within one second.
+func waitRateShare(t *testing.T, l *countingLoad, rate float64, within func(int64)) {
 	t.Helper()
 	begin := time.Now()
 	for {
@@ -415,21 +417,21 @@
 		if got >= 0.9*rate {
 			return
 		}
-		assert.Assert(t, time.Since(begin) < 2*spreadLimit, "one entry never gets 90 %% of the rate")
+		assert.Assert(t, time.Since(begin) < 2*propagationLimit, "one entry never gets 90 %% of the rate")
 	}
 }
 
-// A customer that may have 12 tasks in flight sends more to three entries at
-// once, and is refused above its limit: the runner, which alone runs them all,
-// never has more than 12 at a time, and has as many once the shares have moved.
-func TestInFlightHoldsOverEntries(t *testing.T) {
+// A client that may have 12 tasks in flight sends more to three entries at once, and is
+// refused above its limit: the only runner never runs more than 12 tasks at a time, and
+// runs more than half of that once the entries have redistributed the shares.
+func TestInFlightLimitHoldsAcrossEntries(t *testing.T) {
 	const most = 12
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 1, Slots: 64, NoRelays: true})
-	assert.NilError(t, c.Apply(t.Context(), limited(10000, 10000, most)))
+	assert.NilError(t, c.Apply(t.Context(), limitedContract(10000, 10000, most)))
 	assert.NilError(t, c.WaitSettled(t.Context(), "narrow"))
-	load := startCounted(t, c.Entries, 30, `{"run":"100ms"}`)
+	load := startCountingLoad(t, c.Entries, 30, `{"run":"100ms"}`)
 	time.Sleep(3 * time.Second)
-	accepted := load.end()
+	accepted := load.finish()
 	record := c.Runners[0].Starts()
 	t.Logf("%d accepted, %d at a time", accepted, record.PeakRunning)
 	assert.Assert(t, record.PeakRunning <= most, "%d at a time", record.PeakRunning)
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -9,13 +9,13 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// smallJobs are jobs of one to ten short tasks.
+// smallJobs returns job n of a load: one to ten short tasks.
 func smallJobs(n int) harness.Job {
 	return jobOf(1+n%10, `{"run":"30ms","echo":{"part":"core"}}`)
 }
 
-// underLoad runs a failure while callers submit jobs, then judges every reply by
-// the runners' record.
+// underLoad injects a failure while callers submit jobs, then checks every reply against
+// the starts recorded by the runners.
 func underLoad(t *testing.T, c *harness.Cluster, entries []*harness.Entry, failure func()) harness.Verdict {
 	t.Helper()
 	load := harness.StartLoad(t.Context(), "shop", 24, entries, smallJobs)
@@ -39,9 +39,9 @@
 	}
 }
 
-// A guard dies with tasks running and waiting. Its runner goes on with what it
-// was given. Callers of those tasks learn at once that they may have run; no
-// task of them is started again on the other guard, and later jobs complete.
+// A guard dies with tasks running and queued. Its runner continues the tasks that it was
+// given. Callers of those tasks are told at once that they may have run; none of these
+// tasks is started again on another guard, and later jobs complete.
 func TestGuardKilledUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3, NoRelays: true})
 	v := underLoad(t, c, c.Entries, func() {
@@ -52,7 +52,7 @@
 }
 
 // A guard is killed and restarted under its id while starts meant for the first
-// incarnation are still on their way: the second one must not run them.
+// incarnation are still in transit: the second incarnation must not run them.
 func TestGuardRestartedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
 	underLoad(t, c, c.Entries, func() {
@@ -61,10 +61,10 @@
 	})
 }
 
-// A guard is frozen longer than its callers' patience, with starts in its
-// sockets, and thawed. What it finds there then is barred, settled or long
-// given up as unknown; nothing starts twice and no refusal was untrue.
-func TestGuardFrozenAndThawedUnderLoad(t *testing.T) {
+// A guard is suspended for longer than its callers wait, with starts in its socket
+// buffers, and resumed. By then each of those starts is fenced off, resolved or reported
+// as unknown; no task starts twice and no "not run" was false.
+func TestGuardSuspendedAndResumedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
 	underLoad(t, c, c.Entries, func() {
 		c.Guards[0].Freeze()
@@ -73,8 +73,8 @@
 	})
 }
 
-// An entry dies with jobs open. Its callers' connections break; the other entry
-// goes on, and the tasks that had started run to their end once.
+// An entry dies with jobs open. Its callers' connections break; the other entries keep
+// serving, and the tasks that had started run to their end once.
 func TestEntryKilledUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2})
 	v := underLoad(t, c, c.Entries, func() {
@@ -83,9 +83,9 @@
 	assert.Assert(t, v.NoAnswer > 0)
 }
 
-// An entry is asked to end while the balancer still sends to it for a while.
-// Every request it took is answered whole; those that come too late are refused
-// as not run, or find the port closed once it has ended.
+// An entry is terminated while the balancer keeps sending requests to it for a while.
+// Every request that it accepted gets a complete answer; later ones are refused as not
+// run, or find the port closed once the process has ended.
 func TestEntryDrainedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
 	drained := c.Entries[0]
@@ -93,7 +93,8 @@
 	other := harness.StartLoad(t.Context(), "shop", 24, c.Entries[1:], smallJobs)
 	waitReplies(t, load, 100)
 	drained.Terminate()
-	// The balancer's last requests: readiness has turned false, work is still taken.
+	// The balancer's last requests: the entry reports that it is not ready, and still accepts
+	// work.
 	time.Sleep(time.Second)
 	replies := load.Stop()
 	<-drained.Done()
--- a/e2e/endpoint_test.go
+++ b/e2e/endpoint_test.go
@@ -13,25 +13,25 @@
 	"almondstand.dev/standin/runner"
 )
 
-// leaveLimit is how long after a notice an endpoint may still be given work.
-const leaveLimit = 3 * time.Second
+// drainNoticeLimit is how long after its drain notice an endpoint may still be given work.
+const drainNoticeLimit = 3 * time.Second
 
-// onEndpoints runs a test on three guarded and on three bare endpoints.
-func onEndpoints(t *testing.T, test func(t *testing.T, c *harness.Cluster)) {
+// forEachEndpointKind runs a test on three guarded and on three bare endpoints.
+func forEachEndpointKind(t *testing.T, test func(t *testing.T, c *harness.Cluster)) {
 	for name, o := range map[string]harness.Options{
 		"guarded": {Entries: 2, Guards: 3},
 		"bare":    {Entries: 2, Bare: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			sideBySide(t)
+			parallelPerCPU(t)
 			c, _ := startCluster(t, o)
 			test(t, c)
 		})
 	}
 }
 
-// measured runs a load until it has n more replies and judges it.
-func measured(t *testing.T, c *harness.Cluster, n int, job func(int) harness.Job) harness.Verdict {
+// runLoad runs a load until it has n replies and judges them.
+func runLoad(t *testing.T, c *harness.Cluster, n int, job func(int) harness.Job) harness.Verdict {
 	t.Helper()
 	load := harness.StartLoad(t.Context(), "shop", 24, c.Entries, job)
 	waitReplies(t, load, n)
@@ -48,12 +48,12 @@
 	assert.Equal(t, v.Failed+v.NoAnswer+v.Refused, 0, "%v, no answer %d", v.Codes, v.NoAnswer)
 }
 
-// A guard is asked to end under load. It refuses new starts by its own authority,
-// also of entries that don't know yet, finishes what runs and waits for its
-// answers to be taken: callers see nothing of it, and its runner starts nothing
-// more although the load goes on.
-func TestGuardLeavesUnderLoad(t *testing.T) {
-	sideBySide(t)
+// A guard is terminated under load. It rejects new starts itself, also those of entries
+// that don't know about its draining yet, finishes running tasks and waits until the
+// entries have collected their answers: callers notice nothing, and its runner starts no
+// further task although the load continues.
+func TestGuardDrainsUnderLoad(t *testing.T) {
+	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
 	leaving := c.Guards[0]
 	v := underLoad(t, c, c.Entries, func() {
@@ -61,13 +61,13 @@
 		last := lastStart(c.Runners[0], leaving)
 		assert.NilError(t, leaving.Err())
 		t.Logf("the last start came %v after the notice", last.Round(time.Millisecond))
-		assert.Assert(t, last < leaveLimit)
+		assert.Assert(t, last < drainNoticeLimit)
 	})
 	assertAllComplete(t, v)
 }
 
-// lastStart waits for the guard's end and returns when its runner last started a
-// task, counted from the call.
+// lastStart waits until the guard has ended and returns how long after the call its
+// runner last started a task.
 func lastStart(r *harness.Runner, g *harness.Guard) time.Duration {
 	begin := time.Now()
 	var last time.Duration
@@ -83,30 +83,29 @@
 	}
 }
 
-// A runner tells that it leaves, and still serves what comes. Work on its way
-// may start in the moment of the notice; after it nothing more starts there,
-// nothing that runs is cut, and callers see nothing of it.
-func TestRunnerLeavesUnderLoad(t *testing.T) {
-	onEndpoints(t, func(t *testing.T, c *harness.Cluster) {
+// A runner reports that it is draining and still accepts what it receives. Work in transit
+// may start within the time that the notice needs; after that nothing starts there, no
+// running task is cancelled, and callers notice nothing.
+func TestRunnerDrainsUnderLoad(t *testing.T) {
+	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
 		leaving := c.Runners[0]
 		v := underLoad(t, c, c.Entries, func() {
 			leaving.Drain()
-			time.Sleep(leaveLimit)
+			time.Sleep(drainNoticeLimit)
 		})
 		record := leaving.Runner.Starts()
 		t.Logf("%d starts after the notice, the last after %d ms", record.StartsAfterDrain, record.LastStartAfterDrainMs)
-		assert.Assert(t, record.LastStartAfterDrainMs < leaveLimit.Milliseconds())
+		assert.Assert(t, record.LastStartAfterDrainMs < drainNoticeLimit.Milliseconds())
 		assert.Equal(t, record.Cancelled, 0)
 		assertAllComplete(t, v)
 	})
 }
 
-// A runner restarts: its connections break with tasks running, it is out of
-// reach for a moment, and comes back at its address. The callers of what ran
-// learn that it may have run; nothing of that starts again, and the runner gets
-// work again when it is back.
+// A runner restarts: its connections break with tasks running, it is unreachable for a
+// moment, and comes back at its address. Callers of the running tasks are told that these
+// may have run; none of them starts again, and the runner gets work again once it is back.
 func TestRunnerRestartsUnderLoad(t *testing.T) {
-	onEndpoints(t, func(t *testing.T, c *harness.Cluster) {
+	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
 		restarted := c.Runners[0]
 		underLoad(t, c, c.Entries, func() {
 			assert.NilError(t, harness.Cut(restarted.Relay))
@@ -114,7 +113,7 @@
 			assert.NilError(t, harness.Mend(restarted.Relay))
 			waitStarts(t, restarted, 50)
 		})
-		assertAllComplete(t, measured(t, c, 100, smallJobs))
+		assertAllComplete(t, runLoad(t, c, 100, smallJobs))
 	})
 }
 
@@ -129,27 +128,27 @@
 	}
 }
 
-// One of three runners fails every task at once, so that it always has free
-// slots and would draw most of the work. It is set aside and gets single tries
-// with growing pauses: few jobs fail from then on. It gets work again when it is
-// whole.
+// One of three runners fails every task immediately, so it always has free slots and would
+// attract most of the work. It is ejected and probed with single tasks at growing
+// intervals: few jobs fail from then on. It gets work again once it has recovered.
 func TestRunnerThatFailsEverything(t *testing.T) {
-	onEndpoints(t, failEverything)
+	forEachEndpointKind(t, failEverything)
 }
 
-// The same with one of two, where a third would be none.
+// The same with one of two runners, where a limit of a third of the endpoints would allow
+// no ejection.
 func TestOneOfTwoRunnersFailsEverything(t *testing.T) {
-	sideBySide(t)
+	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
 	failEverything(t, c)
 }
 
 func failEverything(t *testing.T, c *harness.Cluster) {
-	assertAllComplete(t, measured(t, c, 60, smallJobs))
+	assertAllComplete(t, runLoad(t, c, 60, smallJobs))
 	broken := c.Runners[0]
 	broken.SetSwitches(runner.Switches{FailAll: true})
-	measured(t, c, 150, smallJobs)
-	v := measured(t, c, 300, smallJobs)
+	runLoad(t, c, 150, smallJobs)
+	v := runLoad(t, c, 300, smallJobs)
 	assert.Assert(t, v.Failed < v.Complete/10, "%d failed, %d complete", v.Failed, v.Complete)
 	broken.SetSwitches(runner.Switches{})
 	load := harness.StartLoad(t.Context(), "shop", 24, c.Entries, smallJobs)
@@ -157,17 +156,16 @@
 	load.Stop()
 }
 
-// One of three runners takes twenty times as long as the others. It is given
-// less work than they are, no job fails or is refused for it, and none is
-// started a second time elsewhere.
+// One of three runners is twenty times slower than the others. It is given less work than
+// they are, no job fails or is refused because of it, and no task is hedged elsewhere.
 func TestStraggler(t *testing.T) {
-	onEndpoints(t, func(t *testing.T, c *harness.Cluster) {
-		assertAllComplete(t, measured(t, c, 60, smallJobs))
+	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
+		assertAllComplete(t, runLoad(t, c, 60, smallJobs))
 		slow := c.Runners[0]
 		slow.SetSwitches(runner.Switches{RunTimeFactor: 20})
-		before := startsOfEach(c)
-		assertAllComplete(t, measured(t, c, 400, smallJobs))
-		after := startsOfEach(c)
+		before := startsByRunner(c)
+		assertAllComplete(t, runLoad(t, c, 400, smallJobs))
+		after := startsByRunner(c)
 		few := after[0] - before[0]
 		for i := range c.Runners[1:] {
 			n := after[1+i] - before[1+i]
@@ -177,8 +175,8 @@
 	})
 }
 
-// startsOfEach is how much each runner has started.
-func startsOfEach(c *harness.Cluster) []int {
+// startsByRunner returns how many tasks each runner has started.
+func startsByRunner(c *harness.Cluster) []int {
 	var all []int
 	for _, r := range c.Runners {
 		all = append(all, r.Runner.Starts().Total)
@@ -186,8 +184,8 @@
 	return all
 }
 
-// Jobs that can never run are refused at once as not run, and without a time to
-// come back at, since they would be refused then too.
+// Jobs that can never run are refused at once as not run, and without Retry-After, since a
+// retry would be refused too.
 func TestJobsThatCanNeverRun(t *testing.T) {
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1, Bare: 1, NoRelays: true})
 	small := harness.Contract("small")
@@ -223,19 +221,19 @@
 	assert.Equal(t, c.Starts().Total, 0)
 }
 
-// Callers declare run times that are wrong by a hundred times, both ways, of kinds
-// that are new to entries that have seen no task yet. All jobs could end long before
-// their answer time, so none is refused for what it or another declared, neither
-// in the first rush nor later, and none fails.
+// Callers declare run times that are wrong by a factor of a hundred, both ways, for kinds
+// that are unknown to entries which have run no task yet. All jobs could end long before
+// their answer time, so none is refused because of its own or another job's declaration,
+// neither in the initial burst nor later, and none fails.
 func TestDeclaredRunTimesWrong(t *testing.T) {
-	onEndpoints(t, func(t *testing.T, c *harness.Cluster) {
-		assertAllComplete(t, measured(t, c, 100, wronglyDeclared))
-		assertAllComplete(t, measured(t, c, 300, wronglyDeclared))
+	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
+		assertAllComplete(t, runLoad(t, c, 100, misdeclaredJobs))
+		assertAllComplete(t, runLoad(t, c, 300, misdeclaredJobs))
 	})
 }
 
-// wronglyDeclared are jobs of two kinds that run alike.
-func wronglyDeclared(n int) harness.Job {
+// misdeclaredJobs returns jobs of two kinds with equal run times and different declarations.
+func misdeclaredJobs(n int) harness.Job {
 	j := smallJobs(n)
 	for i := range j.Tasks {
 		j.Tasks[i].Kind = fmt.Sprintf("kind-%d", n%2)
--- a/e2e/fleet_cancel_test.go
+++ b/e2e/fleet_cancel_test.go
@@ -15,9 +15,9 @@
 	"almondstand.dev/standin/worker"
 )
 
-// Bounds of the platform for a task of a cancelled job, from its start on.
+// Limits of the platform for a task of a cancelled job, counted from its start.
 const (
-	cancelBound = 3 * time.Second
+	cancelLimit = 3 * time.Second
 	stopGrace   = 50 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 func lateStartAfterCancel(t *testing.T, replace func(*testing.T, *fleet.Fleet)) {
 	const late, unanswered, cancelAfter = 450 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond
 	f := startFleet(t, 2, 2)
-	// Other runs keep the runners' leases, which a late start needs to begin.
+	// Other runs keep the runners' leases valid, which a late start needs to begin.
 	stop := load(t, f, 50*time.Millisecond, 2, 200)
 	time.Sleep(300 * time.Millisecond)
 	for _, r := range f.Runners {
@@ -72,7 +72,7 @@
 	replace(t, f)
 	time.Sleep(late)
 	stop()
-	ctx, cancel = context.WithTimeout(t.Context(), cancelBound+stopGrace)
+	ctx, cancel = context.WithTimeout(t.Context(), cancelLimit+stopGrace)
 	defer cancel()
 	assert.NilError(t, eventually(ctx, func() error {
 		if n := f.Judge.Running(); n > 0 {
@@ -82,9 +82,9 @@
 	}))
 }
 
-// Guards against: a run goes on after its caller has left, as the order to stop it was lost with
-// a session; the job, handed in again elsewhere, then runs twice.
-func TestStopLostWithASessionIsSentAgain(t *testing.T) {
+// Guards against a run that continues after its caller has disconnected, because the order to
+// stop it was lost with a session: the job, resubmitted elsewhere, then runs twice.
+func TestStopOrderLostWithSessionIsResent(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	net := f.EntryNets[0]
 	job := fleet.NewJob(1, 5000)
@@ -92,7 +92,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	var caller sync.WaitGroup
 	caller.Go(func() { f.Try(ctx, f.Entries[0], fleet.Prefix, job) })
-	within(t, 5*time.Second, "the run begins", func() bool { return f.Judge.Running() == 1 })
+	waitUntil(t, 5*time.Second, "the run begins", func() bool { return f.Judge.Running() == 1 })
 	assert.NilError(t, net.Set(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true}))
 	net.Reset()
 	time.Sleep(50 * time.Millisecond)
@@ -100,11 +100,11 @@
 	caller.Wait()
 	time.Sleep(50 * time.Millisecond)
 	assert.NilError(t, net.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}))
-	within(t, cancelBound, "the run is stopped", func() bool { return f.Judge.Running() == 0 })
+	waitUntil(t, cancelLimit, "the run is stopped", func() bool { return f.Judge.Running() == 0 })
 }
 
-// within waits until something is so.
-func within(t *testing.T, limit time.Duration, what string, done func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, limit time.Duration, what string, done func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
--- a/e2e/fleet_crash_test.go
+++ b/e2e/fleet_crash_test.go
@@ -10,12 +10,12 @@
 	"almondstand.dev/standin/worker"
 )
 
-// A job has a task that ends the process of every runner that starts it; its caller waits for
-// long. Started again without end it takes one runner after the other, all four at last, and
-// the callers of sound jobs are turned away. It is given up after two or three runners, its
-// caller is told that it failed, and all others are answered. The guards' lines of
-// guard.runner_crashed and the entry's of job.run_wrong with change crashed name it.
-func TestPoisonousJobIsGivenUpAndItsNeighboursAreServed(t *testing.T) {
+// Guards against a task that ends the process of every runner that starts it, under a job with
+// a long deadline. Restarted without a limit, it crashes one runner after the other, at last
+// all four, and the jobs of other callers are rejected. The job must fail after two or three
+// runner crashes, its caller must be told that it failed, and all other jobs must complete. The
+// guards' event guard.runner_crashed and the entry's job.run_wrong with change crashed name it.
+func TestJobThatCrashesRunnersFailsAndOthersComplete(t *testing.T) {
 	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 4, Direct: true})
 	stop := load(t, f, 25*time.Millisecond, 4, 40)
 	time.Sleep(300 * time.Millisecond)
--- a/e2e/fleet_foreign_test.go
+++ b/e2e/fleet_foreign_test.go
@@ -19,19 +19,19 @@
 	"almondstand.dev/wire/wirev1"
 )
 
-// foreign is a program that writes into everything that others may write into.
-type foreign struct {
+// foreignWriter is a program that writes invalid data wherever other processes can write.
+type foreignWriter struct {
 	fleet *fleet.Fleet
-	// address at which it listens, and calls the connections that came there.
+	// address is where it listens, and calls counts the connections that were opened to it.
 	address string
 	calls   atomic.Int64
 }
 
-func newForeign(t *testing.T, f *fleet.Fleet) *foreign {
+func newForeignWriter(t *testing.T, f *fleet.Fleet) *foreignWriter {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	x := &foreign{fleet: f, address: l.Addr().String()}
+	x := &foreignWriter{fleet: f, address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -45,8 +45,9 @@
 	return x
 }
 
-// heartbeats lack something or say what can't be; all name the foreign address.
-func (x *foreign) heartbeats(t *testing.T) {
+// heartbeats sends heartbeats that lack a field or have an invalid value; all of them name the
+// foreign address.
+func (x *foreignWriter) heartbeats(t *testing.T) {
 	for i, body := range []string{
 		`{"address":"%s","state":"ready","capacity":{"cpu":64000,"mem_mb":1000},"clock_ms":1,"seq":1}`,
 		`{"service":"teardown","address":"%s","state":"resting","capacity":{"cpu":64000},"clock_ms":1,"seq":1}`,
@@ -66,16 +67,18 @@
 	}
 }
 
-// keys are none of an entry's, beside those of the entries.
-func (x *foreign) keys() {
+// keys writes keys beside those of the entries that belong to no entry, and an invalid
+// configuration.
+func (x *foreignWriter) keys() {
 	for i, value := range []string{"", "7", "somewhere", x.address + "/", "http://" + x.address, "0.0.0.0:7720", "\x00\xff"} {
 		x.fleet.Store.Put(fmt.Sprint(fleetwire.EntriesPrefix, "foreign-", i), []byte(value))
 	}
 	x.fleet.Store.Put(metastore.ConfigKey, []byte(`{"version":99,"routes":[{"host":"shop.example"}]}`))
 }
 
-// messages to the entries: addresses that are none, and bytes that are no message.
-func (x *foreign) messages(t *testing.T) {
+// messages sends the entries a message that names the foreign address, and bytes that are no
+// valid message.
+func (x *foreignWriter) messages(t *testing.T) {
 	for _, n := range x.fleet.Entries {
 		client := fleetwire.NewClient(http2Client(), n.Outside+":7720")
 		_, err := client.Meet(t.Context(), connect.NewRequest(&wirev1.MeetRequest{Entry: "foreign", Address: "http://" + x.address}))
@@ -92,14 +95,14 @@
 	return &http.Client{Transport: fleetwire.NewTransport(time.Second)}
 }
 
-// Another program writes into the store beside the entries' keys, sends heartbeats to the
-// agents and messages to the entries while callers are served. What it writes names
-// nobody to use: no request fails, nothing is sent to it, the configuration that holds
-// goes on, and each kind has its line.
+// Another program writes into the store beside the entries' keys, and sends heartbeats to the
+// guards and messages to the entries, while callers are served. None of it may be used as an
+// entry, a guard or a runner: no request fails, nothing is sent to the foreign address, the
+// configuration in force stays, and each kind of invalid data is logged.
 func TestForeignWritersChangeNothing(t *testing.T) {
 	f := startFleet(t, 2, 3)
-	x := newForeign(t, f)
-	stop := steady(t, f, f.Entries, 30*time.Millisecond)
+	x := newForeignWriter(t, f)
+	stop := steadyLoad(t, f, f.Entries, 30*time.Millisecond)
 	x.keys()
 	for range 3 {
 		x.heartbeats(t)
--- a/e2e/fleet_held_test.go
+++ b/e2e/fleet_held_test.go
@@ -9,8 +9,8 @@
 	"almondstand.dev/e2e/fleet"
 )
 
-// heldBack suspends and resumes a node by turns until stop is called.
-func heldBack(n *fleet.Node, suspended, running time.Duration) (stop func()) {
+// suspendPeriodically suspends and resumes a node's process alternately until stop is called.
+func suspendPeriodically(n *fleet.Node, suspended, running time.Duration) (stop func()) {
 	end, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -35,11 +35,11 @@
 }
 
 // Guards against a guard short of processor time that sends each order and each poll several
-// times, taking its own lateness for a lost answer.
+// times, because it takes its own delay for a lost answer.
 func TestGuardHeldBackSendsOrdersOnce(t *testing.T) {
 	parallel(t)
 	f := startFleet(t, 1, 2)
-	release := heldBack(f.Guards[0], 60*time.Millisecond, 20*time.Millisecond)
+	release := suspendPeriodically(f.Guards[0], 60*time.Millisecond, 20*time.Millisecond)
 	ordersBefore, pollsBefore := f.Runners[0].Calls()
 	startsBefore := f.Judge.Starts()
 	otherBefore, otherPollsBefore := f.Runners[1].Calls()
--- a/e2e/fleet_metrics_test.go
+++ b/e2e/fleet_metrics_test.go
@@ -15,7 +15,7 @@
 	"almondstand.dev/standin/metastore"
 )
 
-// scrape reads a node's metrics.
+// scrape returns a node's metrics.
 func scrape(n *fleet.Node) (string, error) {
 	res, err := http.Get("http://" + n.Metrics + "/metrics")
 	if err != nil {
@@ -26,8 +26,8 @@
 	return string(text), err
 }
 
-// wantMetrics waits until a node shows series that begin so.
-func wantMetrics(t *testing.T, n *fleet.Node, series ...string) {
+// waitMetrics waits until a node exports series that begin with the given texts.
+func waitMetrics(t *testing.T, n *fleet.Node, series ...string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -49,9 +49,9 @@
 	}
 }
 
-// An operator looks at the metrics of a fleet that has served, whose store then goes
-// silent: jobs by outcome and reason, waiting, runners by state, the store's answers,
-// and at the guard runs, orders turned down, and whether leases are extended in time.
+// Checks the metrics of a fleet that has served jobs and whose store then stops answering: at
+// the entry jobs by outcome and reason, queueing, runners by state and the store's answers; at
+// the guard runs, rejected orders, and whether leases are renewed in time.
 func TestFleetMetrics(t *testing.T) {
 	parallel(t)
 	f := startFleet(t, 1, 2)
@@ -62,7 +62,7 @@
 	tooLate.Deadline = 400 * time.Millisecond
 	assert.Assert(t, f.Submit(ctx, 0, tooLate, 1).Status != http.StatusOK)
 	f.Store.SetFault(metastore.Fault{Outage: metastore.Silent})
-	wantMetrics(t, f.Entries[0],
+	waitMetrics(t, f.Entries[0],
 		`almondstand_jobs_ended_total{contract="`,
 		`almondstand_job_wait_seconds_bucket{`,
 		`almondstand_queue_oldest_seconds`,
@@ -74,7 +74,7 @@
 		`almondstand_config_version`,
 		`almondstand_log_lines_left_out`,
 	)
-	wantMetrics(t, f.Guards[0],
+	waitMetrics(t, f.Guards[0],
 		`almondguard_runner_starts_total`,
 		`almondguard_runner_lease_left_seconds_bucket{`,
 		`almondguard_runner_leases_late_total 0`,
--- a/e2e/fleet_restart_test.go
+++ b/e2e/fleet_restart_test.go
@@ -10,8 +10,8 @@
 	"almondstand.dev/standin/worker"
 )
 
-// Guards against: "not run" of tasks that ran, tasks that run twice and starts at a runner that
-// leaves, when runners restart under their ids while starts are late and unanswered.
+// Guards against "not run" for tasks that ran, tasks that run twice, and starts at a draining
+// runner, when runners restart under their ids while starts are late and unanswered.
 func TestFleetRunnersRestartUnderTheirIDs(t *testing.T) {
 	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 2, Direct: true})
 	stop := load(t, f, 25*time.Millisecond, 4, 60)
--- a/e2e/fleet_size_test.go
+++ b/e2e/fleet_size_test.go
@@ -15,9 +15,9 @@
 	"almondstand.dev/e2e/fleet"
 )
 
-// steady submits a job each few milliseconds, in turn at the entries, until stop is
-// called, which returns the answers that were no "completed". Nothing is tried again.
-func steady(t *testing.T, f *fleet.Fleet, entries []*fleet.Node, every time.Duration) (stop func() []string) {
+// steadyLoad submits a job at each interval, round robin over the entries, until stop is called,
+// which returns the answers other than "completed". No request is retried.
+func steadyLoad(t *testing.T, f *fleet.Fleet, entries []*fleet.Node, every time.Duration) (stop func() []string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
 	var wrong []string
@@ -52,12 +52,12 @@
 	}
 }
 
-// Agents beside runners are stopped and started in turn, as an upgrade does it. Callers
-// wait for nothing but what the other runners can't take: no request fails, none is
-// turned away, no task runs twice and no answer is lost.
-func TestGuardsRolledInTurnCostNoRequest(t *testing.T) {
+// Guards are stopped and restarted in turn, as in a rolling upgrade. Callers wait only for the
+// capacity that the other runners lack: no request fails, none is rejected, no task runs twice
+// and no answer is lost.
+func TestRollingRestartOfGuardsFailsNoRequest(t *testing.T) {
 	f := startFleet(t, 3, 4)
-	stop := steady(t, f, f.Entries, 40*time.Millisecond)
+	stop := steadyLoad(t, f, f.Entries, 40*time.Millisecond)
 	for _, g := range f.Guards {
 		time.Sleep(300 * time.Millisecond)
 		g.Process().Terminate()
@@ -68,15 +68,15 @@
 	assert.Equal(t, strings.Join(stop(), "\n"), "")
 }
 
-// A host joins at an address that no settings name. Guards must find it through the
-// store and the other entries, its first callers must be served, and those of the others
-// must not notice.
+// An entry joins at an address that no settings name. Guards must find it through the store and
+// the other entries, its first callers must be served, and the callers of the other entries must
+// not notice.
 func TestEntryJoinsUnderLoad(t *testing.T) {
 	f := startFleet(t, 4, 3)
 	joins := f.Entries[3]
 	joins.Process().Terminate()
 	<-joins.Process().Done()
-	stop := steady(t, f, f.Entries[:3], 40*time.Millisecond)
+	stop := steadyLoad(t, f, f.Entries[:3], 40*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	assert.NilError(t, joins.Start())
 	ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
@@ -87,15 +87,15 @@
 		}
 		return nil
 	}))
-	joined := steady(t, f, f.Entries[3:], 40*time.Millisecond)
+	joined := steadyLoad(t, f, f.Entries[3:], 40*time.Millisecond)
 	time.Sleep(time.Second)
 	assert.Equal(t, strings.Join(joined(), "\n"), "")
 	assert.Equal(t, strings.Join(stop(), "\n"), "")
 }
 
-// More entries than a guard serves. Guards find all of them through the three that their
-// settings name, keep sessions with twelve, and are released by the others; every entry
-// serves its callers, before and after one of them is killed, and no task runs twice.
+// Runs more entries than a guard serves. Guards discover all of them through the three seeds in
+// their settings, keep sessions with twelve, and are released by the others; every entry serves
+// its callers, before and after one of them is killed, and no task runs twice.
 func TestGuardsServeASubsetOfManyEntries(t *testing.T) {
 	const entries, guards = 15, 30
 	f := startFleetOf(t, fleet.Options{Entries: entries, Guards: guards, Direct: true})
@@ -112,7 +112,7 @@
 		}
 		return nil
 	}))
-	stop := steady(t, f, f.Entries[1:], 20*time.Millisecond)
+	stop := steadyLoad(t, f, f.Entries[1:], 20*time.Millisecond)
 	time.Sleep(time.Second)
 	f.Entries[0].Process().Kill()
 	time.Sleep(1500 * time.Millisecond)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -19,7 +19,8 @@
 	"almondstand.dev/standin/worker"
 )
 
-// startFleet starts a fleet that is ready, and holds the judge's word at the end.
+// startFleet starts a fleet, waits until it is ready, and fails the test at its end if the
+// judge found a violation.
 func startFleet(t *testing.T, entries, guards int) *fleet.Fleet {
 	t.Helper()
 	return startFleetOf(t, fleet.Options{Entries: entries, Guards: guards})
@@ -36,7 +37,7 @@
 		f.Close()
 		if faults := f.Judge.Violations(); len(faults) > 0 {
 			t.Errorf("broken promises:\n%s", strings.Join(faults, "\n"))
-			t.Logf("what the processes wrote of these jobs:\n%s", linesAbout(strings.Join(faults, "\n"), append(f.Entries, f.Guards...)))
+			t.Logf("what the processes wrote of these jobs:\n%s", logLinesOfJobs(strings.Join(faults, "\n"), append(f.Entries, f.Guards...)))
 		}
 		if t.Failed() {
 			for _, n := range append(f.Entries, f.Guards...) {
@@ -45,7 +46,7 @@
 		}
 	})
 	assert.NilError(t, f.AwaitReady(ctx))
-	// Every entry must have met every guard before faults begin.
+	// Every entry must have a session with a guard before faults begin.
 	assert.NilError(t, eventually(ctx, func() error {
 		for i := range f.Entries {
 			if a := f.Submit(ctx, i, fleet.NewJob(1, 10), 1); a.Status != 200 {
@@ -57,11 +58,11 @@
 	return f
 }
 
-// jobID is what names a job in a fault and in the logs.
+// jobID matches the id that names a job in violations and in logs.
 var jobID = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
-// linesAbout returns the lines of all logs that name a job that the faults name.
-func linesAbout(faults string, nodes []*fleet.Node) string {
+// logLinesOfJobs returns the lines of all logs that name a job in the given violations.
+func logLinesOfJobs(faults string, nodes []*fleet.Node) string {
 	named := map[string]bool{}
 	for _, id := range jobID.FindAllString(faults, -1) {
 		named[id] = true
@@ -82,7 +83,7 @@
 	return strings.Join(lines[max(len(lines)-n, 0):], "\n")
 }
 
-// eventually asks until there is no error, or the context ends.
+// eventually retries until there is no error, or the context ends.
 func eventually(ctx context.Context, ask func() error) error {
 	for {
 		err := ask()
@@ -97,8 +98,8 @@
 	}
 }
 
-// load submits jobs at every entry until stop is called, which returns how many
-// were answered with each status.
+// load submits jobs to all entries until stop is called, which returns the number of
+// answers by status.
 func load(t *testing.T, f *fleet.Fleet, every time.Duration, tasks, ms int) (stop func() map[int]int) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
@@ -129,7 +130,7 @@
 	}
 }
 
-// A calm fleet serves every job whole, and each task runs once.
+// A fleet without faults completes every job, and each task runs once.
 func TestFleetServes(t *testing.T) {
 	f := startFleet(t, 2, 3)
 	stop := load(t, f, 20*time.Millisecond, 4, 40)
@@ -139,9 +140,9 @@
 	assert.Assert(t, got[200] > 60, "%v", got)
 }
 
-// The caller's connection breaks when its entry is killed, and the job comes
-// again to another entry 1.3 s later. The runs that the dead entry ordered must
-// be over by then: their guards have not heard from it, and stop them.
+// The caller's connection breaks when its entry is killed, and the job is resubmitted to
+// another entry 1.3 s later. The runs ordered by the dead entry must have ended by then:
+// their guards no longer hear from it and stop them.
 func TestFleetEntryKilled(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	stop := load(t, f, 25*time.Millisecond, 4, 900)
@@ -156,9 +157,9 @@
 	assert.Assert(t, got[200] > 0, "%v", got)
 }
 
-// As above, but the entry stands still for longer than its callers wait, and
-// then goes on with what it believes.
-func TestFleetEntryFrozen(t *testing.T) {
+// As above, but the entry is suspended for longer than its callers wait, and then continues
+// with stale state.
+func TestFleetEntrySuspended(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	stop := load(t, f, 25*time.Millisecond, 4, 900)
 	for range 2 {
@@ -172,9 +173,9 @@
 	assert.Assert(t, got[200] > 0, "%v", got)
 }
 
-// A guard is killed with runs at its runner and orders on their way. Its
-// successor doesn't know what they take: it must end them before it starts
-// anything, or the runner would hold more than its capacity.
+// A guard is killed with runs at its runner and orders in transit. Its successor doesn't
+// know what resources they use: it must end them before it starts anything, or the runner
+// would exceed its capacity.
 func TestFleetGuardKilled(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	f.Runners[0].SetFault(worker.Fault{LateShare: 0.1, LateBy: 1500 * time.Millisecond})
@@ -189,8 +190,8 @@
 	assert.Assert(t, got[200] > 0, "%v", got)
 }
 
-// Half of the orders get no answer and are carried out 2 s later. A start that
-// got none is barred, so it doesn't run beside the one that took its place.
+// 30 % of the orders get no answer and are carried out 2 s later. A start without an answer
+// is fenced off, so it doesn't run beside the start that replaced it.
 func TestFleetLateOrders(t *testing.T) {
 	f := startFleet(t, 2, 3)
 	for _, r := range f.Runners {
@@ -204,9 +205,9 @@
 	assert.Equal(t, f.Judge.Running(), 0)
 }
 
-// A guard stands still with runs at its runner: their lease must run out, since
-// their callers may have gone elsewhere when it wakes.
-func TestFleetGuardFrozen(t *testing.T) {
+// A guard is suspended with runs at its runner: their lease must expire, since their callers
+// may have resubmitted elsewhere by the time it resumes.
+func TestFleetGuardSuspended(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	stop := load(t, f, 30*time.Millisecond, 4, 700)
 	time.Sleep(700 * time.Millisecond)
@@ -218,10 +219,9 @@
 	assert.Assert(t, got[200] > 0, "%v", got)
 }
 
-// A runner ends and another life begins at its address. A report of the older
-// life, held up on its way, comes after the newer one's: the guard must go on
-// with the newer life.
-func TestFleetRunnerReborn(t *testing.T) {
+// A runner crashes and a new incarnation starts at its address. A delayed report of the old
+// incarnation arrives after the new one's: the guard must keep using the new incarnation.
+func TestFleetRunnerRestartsWithNewID(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	r := f.Runners[0]
 	held := r.DelayedReport(t.Context())
@@ -245,9 +245,9 @@
 	}
 }
 
-// An entry that is stopped as planned answers every request that it has taken,
-// and a hangup ends nothing.
-func TestFleetGracefulEnd(t *testing.T) {
+// An entry that is terminated gracefully answers every request that it has accepted, and a
+// SIGHUP ends no process.
+func TestFleetGracefulShutdown(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	for _, n := range append(f.Entries, f.Guards...) {
 		n.Process().Hangup()
@@ -270,9 +270,9 @@
 	assert.NilError(t, f.Entries[0].Process().Err())
 }
 
-// A change of the configuration is in force within 2 s of the store's word. A
-// value that can't be read changes nothing. While the store turns one entry
-// away, it gets the change from another.
+// A change of the configuration is in force within 2 s of its write to the store. A value
+// that can't be parsed changes nothing. An entry that gets no answer from the store
+// receives the change from another entry.
 func TestFleetConfiguration(t *testing.T) {
 	f := startFleet(t, 2, 1)
 	post := func(i int, path string) int {
@@ -298,8 +298,8 @@
 	}
 }
 
-// While the store is down, jobs are served, and a path that isn't known may
-// belong to a contract that this entry has not heard of: it must not be denied.
+// While the store is down, jobs are served. A path that isn't known may belong to a
+// contract that this entry has not received yet: the entry must not answer 404.
 func TestFleetStoreDown(t *testing.T) {
 	f := startFleet(t, 2, 1)
 	f.Store.SetFault(metastore.Fault{Outage: metastore.Silent})
@@ -313,7 +313,7 @@
 	}
 }
 
-// Bad requests get a clear error at once and start nothing.
+// Invalid requests get a specific error at once and start nothing.
 func TestFleetBadInput(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	before := f.Judge.Starts()
@@ -333,9 +333,9 @@
 	assert.Equal(t, f.Judge.Starts(), before)
 }
 
-// Everything loses power while the store is down, and comes back before it. An
-// entry that the settings don't name as a seed has to be found by the guards
-// again: its callers would read "no runner" for good.
+// All processes lose power while the store is down, and restart before it is back. Guards
+// have to discover an entry again that their settings don't name as a seed: otherwise its
+// callers would get "no runner" permanently.
 func TestFleetAllRestart(t *testing.T) {
 	f := startFleet(t, 5, 2)
 	f.Store.SetFault(metastore.Fault{Outage: metastore.Busy, ExpireLeases: true})
@@ -360,9 +360,9 @@
 	}
 }
 
-// The store answers few calls a second and turns the others away. A configuration must
-// still be in force everywhere within 3 s, an entry that starts must get one and be
-// found by the guards, and no request is failed for it.
+// The store answers few calls per second and rejects the others. A configuration must still
+// be in force everywhere within 3 s, an entry that starts must get one and be discovered by
+// the guards, and no request fails because of it.
 func TestFleetStoreIsShortOfCalls(t *testing.T) {
 	parallel(t)
 	f := startFleet(t, 3, 2)
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -22,41 +22,41 @@
 	"almondstand.dev/e2e/harness"
 )
 
-// badInput is a request that is a caller's mistake.
+// badInput is an invalid request, caused by an error of the caller.
 type badInput struct {
 	name string
-	// text is sent as it is, then the caller ends its side.
+	// text is sent unchanged; then the caller closes its side of the connection.
 	text   string
 	status int
-	// code is empty where the answer comes before the interface is reached.
+	// code is empty where the HTTP server answers before the request reaches the API.
 	code string
 }
 
 const goodBody = `{"service":"teardown","tasks":[{"payload":""}]}`
 
-// post is a job's request with further header lines.
+// post returns a job's request with further header lines.
 func post(body string, lines ...string) string {
-	return head(http.MethodPost, "/v1/jobs", append(lines, "Content-Length: "+strconv.Itoa(len(body)))...) + body
+	return requestHead(http.MethodPost, "/v1/jobs", append(lines, "Content-Length: "+strconv.Itoa(len(body)))...) + body
 }
 
-func head(method, path string, lines ...string) string {
+func requestHead(method, path string, lines ...string) string {
 	lines = append([]string{"Host: entry", "Authorization: Bearer " + harness.Token("shop")}, lines...)
 	return method + " " + path + " HTTP/1.1\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n"
 }
 
-// without leaves out a header line.
-func without(text, line string) string {
+// withoutHeader removes a header line.
+func withoutHeader(text, line string) string {
 	start := strings.Index(text, "\r\n"+line)
 	end := start + 2 + strings.Index(text[start+2:], "\r\n")
 	return text[:start] + text[end:]
 }
 
-// withTask is a job whose only task is the given text.
+// withTask returns a request for a job whose only task is the given text.
 func withTask(task string) string { return post(`{"service":"teardown","tasks":[` + task + `]}`) }
 
-// chunked is a job whose body has no declared length.
+// chunked returns a request for a job whose body has no declared length.
 func chunked(body string) string {
-	return head(http.MethodPost, "/v1/jobs", "Transfer-Encoding: chunked") +
+	return requestHead(http.MethodPost, "/v1/jobs", "Transfer-Encoding: chunked") +
 		fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
@@ -92,34 +92,34 @@
 		{"too deep in a payload", withTask(`{"payload":` + deep), 400, "bad_request"},
 		{"too large", post(large), 413, "body_too_large"},
 		{"too large without a length", chunked(large), 413, "body_too_large"},
-		{"body cut short", head(http.MethodPost, "/v1/jobs", "Content-Length: 1000") + goodBody, 400, "bad_request"},
-		{"broken chunk", head(http.MethodPost, "/v1/jobs", "Transfer-Encoding: chunked") + "zz\r\n", 400, "bad_request"},
+		{"body cut short", requestHead(http.MethodPost, "/v1/jobs", "Content-Length: 1000") + goodBody, 400, "bad_request"},
+		{"broken chunk", requestHead(http.MethodPost, "/v1/jobs", "Transfer-Encoding: chunked") + "zz\r\n", 400, "bad_request"},
 		{"another media type", post(goodBody, "Content-Type: text/xml"), 415, "unsupported_media_type"},
 		{"no media type at all", post(goodBody, "Content-Type: ;;"), 415, "unsupported_media_type"},
 		{"compressed", post(goodBody, "Content-Encoding: gzip"), 415, "unsupported_media_type"},
 		{"another digest", post(goodBody, "Content-Digest: sha-256=:"+strings.Repeat("A", 43)+"=:"), 400, "digest_mismatch"},
 		{"broken digest", post(goodBody, "Content-Digest: sha-256=:A"), 400, "bad_request"},
-		{"no token", without(post(goodBody), "Authorization"), 401, "unauthenticated"},
+		{"no token", withoutHeader(post(goodBody), "Authorization"), 401, "unauthenticated"},
 		{"wrong token", wrongToken, 401, "unauthenticated"},
 		{"long token", longToken, 401, "unauthenticated"},
 		{"another scheme", basic, 401, "unauthenticated"},
-		{"wrong method", head(http.MethodPatch, "/v1/jobs"), 405, "method_not_allowed"},
-		{"wrong path", head(http.MethodGet, "/v2/jobs"), 404, "not_found"},
-		{"no id", head(http.MethodGet, "/v1/submissions/none"), 404, "unknown_submission"},
-		{"an endless id", head(http.MethodGet, "/v1/submissions/"+long[:8<<10]), 404, "unknown_submission"},
-		{"a broken path", head(http.MethodGet, "/v1/submissions/%zz"), 400, ""},
+		{"wrong method", requestHead(http.MethodPatch, "/v1/jobs"), 405, "method_not_allowed"},
+		{"wrong path", requestHead(http.MethodGet, "/v2/jobs"), 404, "not_found"},
+		{"no id", requestHead(http.MethodGet, "/v1/submissions/none"), 404, "unknown_submission"},
+		{"an endless id", requestHead(http.MethodGet, "/v1/submissions/"+long[:8<<10]), 404, "unknown_submission"},
+		{"a broken path", requestHead(http.MethodGet, "/v1/submissions/%zz"), 400, ""},
 		{"long header", post(goodBody, "X-Long: "+long), 431, ""},
 		{"many headers", post(goodBody, many), 431, ""},
 		{"header of no name", post(goodBody, "bad name: 1"), 400, ""},
 		{"two lengths", post(goodBody, "Content-Length: 1"), 400, ""},
-		{"negative length", head(http.MethodPost, "/v1/jobs", "Content-Length: -1"), 400, ""},
-		{"no host", without(post(goodBody), "Host"), 400, ""},
+		{"negative length", requestHead(http.MethodPost, "/v1/jobs", "Content-Length: -1"), 400, ""},
+		{"no host", withoutHeader(post(goodBody), "Host"), 400, ""},
 		{"no HTTP", "EHLO entry\r\n\r\n", 400, ""},
 		{"unknown expectation", post(goodBody, "Expect: miracles"), 417, ""},
 	}
 }
 
-// send sends a request as it stands and reads the answer.
+// send sends a request unchanged and reads the answer.
 func send(address, text string) (*http.Response, []byte, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(time.Minute))
-	// The entry may answer and close before all is sent.
+	// The entry may answer and close the connection before the whole request is sent.
 	go func() {
 		_, _ = io.WriteString(conn, text)
 		_ = conn.(*net.TCPConn).CloseWrite()
@@ -141,11 +141,11 @@
 	return response, body, err
 }
 
-// Requests that are a caller's mistake come in among good ones. Each gets its
-// 4xx with a stable code and "not run", and no time to come back at, since it
-// would fail again. Nothing of them starts and no good job suffers.
+// Invalid requests arrive among valid ones. Each gets a 4xx status with a stable code and
+// "not run", and no Retry-After, since a retry would fail too. They start nothing, and no
+// valid job is affected.
 func TestBadInputUnderLoad(t *testing.T) {
-	sideBySide(t)
+	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 1, Bare: 1, NoRelays: true})
 	before := c.Starts().Total
 	load := harness.StartLoad(t.Context(), "shop", 12, c.Entries, smallJobs)
@@ -196,19 +196,19 @@
 	}
 }
 
-// idleConnections is how many connections callers leave open at one entry.
+// idleConnections is the number of idle connections that callers keep open to one entry.
 const idleConnections = 10000
 
-// Thousands of callers leave their connections open, and others send a head or a
-// body byte by byte. The slow ones are cut off, a body's sender with its 408,
-// the idle ones may go on, and good jobs meet nothing of it.
+// Thousands of callers keep their connections open, and others send a header or a body byte
+// by byte. The slow ones are disconnected, after a 408 if they were sending a body; the idle
+// connections stay usable, and valid jobs are not affected.
 func TestIdleAndSlowCallers(t *testing.T) {
-	sideBySide(t)
+	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 1, Guards: 2, NoRelays: true})
 	e := c.Entries[0]
 	before, err := e.Usage()
 	assert.NilError(t, err)
-	idle := openIdle(t, e.Callers, idleAllowed(t))
+	idle := openIdleConnections(t, e.Callers, allowedIdleConnections(t))
 	after, err := e.Usage()
 	assert.NilError(t, err)
 	t.Logf("%d idle connections take %d KB each at the entry", len(idle), (after.RSS-before.RSS)/int64(len(idle))>>10)
@@ -217,13 +217,13 @@
 	for range 50 {
 		slow.Go(func() { sendSlowly(t, e.Callers, "", post(goodBody), 0) })
 		slow.Go(func() {
-			start := head(http.MethodPost, "/v1/jobs", "Content-Length: 1000")
+			start := requestHead(http.MethodPost, "/v1/jobs", "Content-Length: 1000")
 			sendSlowly(t, e.Callers, start, strings.Repeat(" ", 1000), http.StatusRequestTimeout)
 		})
 	}
 	slow.Wait()
 	for i := 0; i < len(idle); i += 100 {
-		assert.NilError(t, ask(idle[i]), "connection %d", i)
+		assert.NilError(t, checkHealth(idle[i]), "connection %d", i)
 	}
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
@@ -232,14 +232,14 @@
 	assertAllComplete(t, v)
 }
 
-// idleAllowed is how many idle connections this process may open. It raises its
-// own limit of open files as far as it is allowed to.
-func idleAllowed(t *testing.T) int {
+// allowedIdleConnections returns how many idle connections this process may open. It raises
+// the process's own limit of open files to the hard limit.
+func allowedIdleConnections(t *testing.T) int {
 	var limit syscall.Rlimit
 	assert.NilError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit))
 	limit.Cur = limit.Max
 	assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
-	// Other tests and the load need some.
+	// Other tests and the load need file descriptors too.
 	const others = 2000
 	n := int(min(idleConnections, int64(limit.Cur)-others))
 	if n < idleConnections {
@@ -249,8 +249,8 @@
 	return n
 }
 
-// openIdle opens n connections that have sent one request each.
-func openIdle(t *testing.T, address string, n int) []net.Conn {
+// openIdleConnections opens n connections, each of which has sent one request.
+func openIdleConnections(t *testing.T, address string, n int) []net.Conn {
 	t.Helper()
 	all := make([]net.Conn, n)
 	faults := make([]error, n)
@@ -260,7 +260,7 @@
 		workers.Go(func() {
 			for i := w; i < n; i += parallel {
 				if all[i], faults[i] = net.Dial("tcp", address); faults[i] == nil {
-					faults[i] = ask(all[i])
+					faults[i] = checkHealth(all[i])
 				}
 			}
 		})
@@ -277,13 +277,13 @@
 	return all
 }
 
-// ask sends one request on a connection and reads the answer.
-func ask(conn net.Conn) error {
+// checkHealth sends one health check on a connection and reads the answer.
+func checkHealth(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(time.Minute))
 	if _, err := io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: entry\r\n\r\n"); err != nil {
 		return err
 	}
-	// The answer is small; a reader of 16 bytes takes nothing that comes later.
+	// The answer is small; with a buffer of 16 bytes the reader consumes nothing that follows it.
 	response, err := http.ReadResponse(bufio.NewReaderSize(conn, 16), nil)
 	if err != nil {
 		return err
@@ -293,11 +293,11 @@
 	return err
 }
 
-// slowLimit is how long the entry may put up with a slow sender.
-const slowLimit = 40 * time.Second
+// slowSenderLimit is how long the entry may keep the connection of a slow sender.
+const slowSenderLimit = 40 * time.Second
 
-// sendSlowly sends the start at once and the rest byte by byte, until the entry
-// answers or closes. Status 0 means that no answer is expected.
+// sendSlowly sends start at once and the rest byte by byte, until the entry answers or
+// closes the connection. Status 0 means that no answer is expected.
 func sendSlowly(t *testing.T, address, start, rest string, status int) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -308,7 +308,7 @@
 	begin := time.Now()
 	answer := make(chan []byte, 1)
 	go func() {
-		_ = conn.SetReadDeadline(begin.Add(slowLimit))
+		_ = conn.SetReadDeadline(begin.Add(slowSenderLimit))
 		text, err := io.ReadAll(conn)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			text = []byte("nothing")
@@ -319,7 +319,7 @@
 	for i := 0; ; i = (i + 1) % len(rest) {
 		select {
 		case text := <-answer:
-			checkSlow(t, text, status)
+			checkSlowSenderAnswer(t, text, status)
 			return
 		case <-time.After(300 * time.Millisecond):
 			_, _ = io.WriteString(conn, rest[i:i+1])
@@ -327,9 +327,9 @@
 	}
 }
 
-func checkSlow(t *testing.T, text []byte, status int) {
+func checkSlowSenderAnswer(t *testing.T, text []byte, status int) {
 	if string(text) == "nothing" {
-		t.Errorf("a slow sender is kept for %v", slowLimit)
+		t.Errorf("a slow sender is kept for %v", slowSenderLimit)
 		return
 	}
 	if status == 0 {
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -1,4 +1,4 @@
-// Package e2e tests the real processes, under failure, against stand-ins.
+// Package e2e tests the real processes under failures, against simulated stores and runners.
 package e2e
 
 import (
@@ -35,8 +35,8 @@
 	return m.Run()
 }
 
-// startCluster starts a cluster, with one customer's contract in force at every
-// entry and every endpoint known to every entry.
+// startCluster starts a cluster, with one client's contract in force at every entry and
+// every endpoint known to every entry.
 func startCluster(t *testing.T, o harness.Options) (*harness.Cluster, *harness.Client) {
 	t.Helper()
 	o.Binaries = binaries
@@ -71,7 +71,7 @@
 	return j
 }
 
-func TestWholePath(t *testing.T) {
+func TestJobEndToEnd(t *testing.T) {
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 2, Bare: 1})
 	for _, e := range c.Entries {
 		ctx, stop := context.WithTimeout(t.Context(), time.Minute)
@@ -90,8 +90,8 @@
 	assertControlReported(t, c.Entries[0])
 }
 
-// assertControlReported checks that an entry's report names every kind of control
-// traffic that it had.
+// assertControlReported checks that an entry's report contains every kind of control traffic
+// that it had.
 func assertControlReported(t *testing.T, e *harness.Entry) {
 	t.Helper()
 	var report operator.Control
--- a/e2e/proofs_test.go
+++ b/e2e/proofs_test.go
@@ -11,22 +11,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// docs/PROOFS.md names tests and checks: one that was renamed or removed would
-// leave a promise without its proof unnoticed.
+// docs/PROOFS.md names tests and checks: renaming or removing one would leave a guarantee
+// without its proof unnoticed.
 func TestProofsExist(t *testing.T) {
 	page, err := os.ReadFile("../docs/PROOFS.md")
 	assert.NilError(t, err)
 	functions := testFunctions(t)
-	for _, name := range named(page, "`((?:Test|Fuzz)[A-Z][A-Za-z0-9]*)`") {
+	for _, name := range findNames(page, "`((?:Test|Fuzz)[A-Z][A-Za-z0-9]*)`") {
 		assert.Check(t, functions[name], "no test file has %s", name)
 	}
 	checks := specChecks(t)
-	for _, name := range named(page, "`((?:start|contract|quota)/[a-z-]+)`") {
+	for _, name := range findNames(page, "`((?:start|contract|quota)/[a-z-]+)`") {
 		assert.Check(t, checks[name], "spec/checks.txt has no %s", name)
 	}
 }
 
-func named(page []byte, pattern string) []string {
+func findNames(page []byte, pattern string) []string {
 	var names []string
 	for _, found := range regexp.MustCompile(pattern).FindAllSubmatch(page, -1) {
 		names = append(names, string(found[1]))
--- a/e2e/replace_test.go
+++ b/e2e/replace_test.go
@@ -23,14 +23,14 @@
 	"almondstand.dev/standin/store"
 )
 
-// balanced runs something while callers submit jobs through a balancer that
-// follows the entries' readiness, then judges every reply.
-func balanced(t *testing.T, c *harness.Cluster, during func()) harness.Verdict {
+// underBalancedLoad calls during while callers submit jobs through a balancer that follows
+// the entries' readiness, then judges every reply.
+func underBalancedLoad(t *testing.T, c *harness.Cluster, during func()) harness.Verdict {
 	t.Helper()
-	return balancedJobs(t, c, smallJobs, during)
+	return underBalancedLoadOf(t, c, smallJobs, during)
 }
 
-func balancedJobs(t *testing.T, c *harness.Cluster, jobs func(int) harness.Job, during func()) harness.Verdict {
+func underBalancedLoadOf(t *testing.T, c *harness.Cluster, jobs func(int) harness.Job, during func()) harness.Verdict {
 	t.Helper()
 	balancer := harness.NewBalancer(t.Context(), c.Entries)
 	load := harness.StartBalanced(t.Context(), "shop", 16, balancer, jobs)
@@ -45,16 +45,16 @@
 	return v
 }
 
-// uncut asserts that no caller lost a request.
-func uncut(t *testing.T, v harness.Verdict) {
+// assertNoRequestLost asserts that no caller lost a request.
+func assertNoRequestLost(t *testing.T, v harness.Verdict) {
 	t.Helper()
 	assert.Equal(t, v.NoAnswer, 0, "requests cut")
 	assert.Equal(t, v.Failed, 0, "jobs failed")
 	assert.Equal(t, v.Unknown, 0, "tasks with an unknown outcome")
 }
 
-// replaced ends an entry gracefully and starts its successor.
-func replaced(t *testing.T, c *harness.Cluster, e *harness.Entry) {
+// replaceEntry terminates an entry gracefully and starts its successor.
+func replaceEntry(t *testing.T, c *harness.Cluster, e *harness.Entry) {
 	t.Helper()
 	e.Terminate()
 	<-e.Done()
@@ -62,41 +62,39 @@
 	assert.NilError(t, c.RestartEntry(e))
 }
 
-// All entries are replaced one after another while callers submit jobs through
-// the balancer, as in the rollout of a release. Each says that it is not ready,
-// takes work until the balancer has seen that, finishes it and ends; its
-// successor holds contracts and its share before it says that it is ready. No
-// caller notices.
-func TestEntriesReplacedInTurnUnderLoad(t *testing.T) {
+// All entries are replaced one after another while callers submit jobs through the balancer,
+// as in the rolling update of a release. Each reports that it is not ready, accepts work until
+// the balancer has noticed, finishes it and exits; its successor has the contracts and its
+// quota share before it reports that it is ready. No caller notices.
+func TestRollingUpdateOfEntriesUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 3, NoRelays: true})
-	v := balanced(t, c, func() {
+	v := underBalancedLoad(t, c, func() {
 		for _, e := range c.Entries {
-			replaced(t, c, e)
+			replaceEntry(t, c, e)
 		}
 	})
-	uncut(t, v)
+	assertNoRequestLost(t, v)
 }
 
-// An entry is asked to end while it writes a large answer to a caller on a slow
-// line, and the same answer over a slow network to another entry, whose caller
-// had joined. Nothing runs any more, so the entry has drained at once; both
-// writings go on side by side for longer than a moment, within drain_limit, and
-// each caller gets the whole answer.
+// An entry is terminated while it writes a large answer to a caller with a slow connection,
+// and the same answer over a slow network to another entry, whose caller had joined the job.
+// No task runs any more, so draining has nothing to wait for but the two answers; both are
+// written concurrently, slowly but within drain_limit, and each caller gets the whole answer.
 func TestSlowReadersAreNotCutByDrain(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 2, EntrySettings: func(s *node.Settings) {
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 2, EntrySettings: func(s *node.Settings) {
 		s.Callers.MaxBodyBytes = 64 << 20
 		s.ShutdownDelay = settings.Duration(10 * time.Millisecond)
 	}})
 	owner, other := c.Entries[0], c.Entries[1]
-	id := mintOne(t, client, owner)
+	id := mintID(t, client, owner)
 	job := jobOf(30, `{"run":"1s","echo":"`+strings.Repeat("x", 1<<20)+`"}`)
 	passedOn := background(t, client, other.Callers, id, job)
 	waitStarted(t, c, id, 1)
 	assert.NilError(t, owner.Relay.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 300 * time.Millisecond}))
-	direct := putSlowly(t, owner.Callers, id, client.Customer, job)
+	direct := putWithSlowReader(t, owner.Callers, id, client.Customer, job)
 	owner.Terminate()
-	waitClosed(t, owner.Callers)
+	waitPortClosed(t, owner.Callers)
 	answer, err := io.ReadAll(direct)
 	assert.NilError(t, err)
 	r := <-passedOn
@@ -108,17 +106,16 @@
 	assert.NilError(t, owner.Err())
 }
 
-// A caller never reads its answer. The entry that is asked to end waits for it
-// until drain_limit has passed and no longer, and its exit status tells that it
-// cut a request.
+// A caller never finishes reading its answer. The terminating entry waits for it until
+// drain_limit has passed and no longer, and its exit status reports that a request was cut.
 func TestDrainLimitEndsAStuckReader(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 1, Guards: 1, EntrySettings: func(s *node.Settings) {
 		s.Callers.MaxBodyBytes = 64 << 20
 		s.DrainTimeout, s.ShutdownDelay = settings.Duration(5*time.Second), settings.Duration(10*time.Millisecond)
 	}})
-	id := mintOne(t, client, c.Entries[0])
-	direct := putSlowly(t, c.Entries[0].Callers, id, client.Customer, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
+	id := mintID(t, client, c.Entries[0])
+	direct := putWithSlowReader(t, c.Entries[0].Callers, id, client.Customer, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
 	c.Entries[0].Terminate()
 	<-c.Entries[0].Done()
 	assert.ErrorContains(t, c.Entries[0].Err(), "exit status")
@@ -126,13 +123,13 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// A request under another entry's id waits at the entry that passed it on, which
-// is asked to end. It has no job of its own to wait for, but a caller: it ends
-// when that one has its answer.
-func TestDrainWaitsForWhatItPassedOn(t *testing.T) {
+// A request under another entry's id waits at the entry that forwarded it, and that entry is
+// terminated. It has no job of its own to wait for, but a caller: it exits once that caller
+// has its answer.
+func TestDrainWaitsForForwardedRequests(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 1})
-	id := mintOne(t, client, c.Entries[0])
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 1})
+	id := mintID(t, client, c.Entries[0])
 	ends := c.Entries[1]
 	job := jobOf(1, `{"run":"13s","echo":1}`)
 	reply := background(t, client, ends.Callers, id, job)
@@ -146,18 +143,18 @@
 	judgeReplies(t, c, []harness.Reply{r})
 }
 
-// slowLine reads no faster than 4 MB/s.
-type slowLine struct{ io.Reader }
+// slowReader reads no faster than 4 MB/s.
+type slowReader struct{ io.Reader }
 
-func (l slowLine) Read(b []byte) (int, error) {
+func (l slowReader) Read(b []byte) (int, error) {
 	n, err := l.Reader.Read(b)
 	time.Sleep(time.Duration(n) * 250 * time.Nanosecond)
 	return n, err
 }
 
-// putSlowly puts a job over a connection that holds little, and returns the
-// answer to be read as soon as it has begun.
-func putSlowly(t *testing.T, address, id, customer string, j harness.Job) io.Reader {
+// putWithSlowReader submits a job over a connection with a small receive buffer, and returns
+// a reader of the answer as soon as its header has arrived.
+func putWithSlowReader(t *testing.T, address, id, customer string, j harness.Job) io.Reader {
 	t.Helper()
 	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10) })
@@ -172,13 +169,13 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = response.Body.Close() })
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	return slowLine{response.Body}
+	return slowReader{response.Body}
 }
 
-// waitClosed waits until nothing listens at an address any more.
-func waitClosed(t *testing.T, address string) {
+// waitPortClosed waits until nothing listens at an address any more.
+func waitPortClosed(t *testing.T, address string) {
 	t.Helper()
-	deadline := time.Now().Add(patient)
+	deadline := time.Now().Add(promptLimit)
 	for {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -190,12 +187,12 @@
 	}
 }
 
-// A guard ends gracefully under load and its successor takes over its id and
-// runner. It refuses new starts by itself, tells the entries, and answers what
-// runs before it ends: no job fails, and the entries use the successor.
+// A guard terminates gracefully under load and its successor takes over its id and runner.
+// The guard rejects new starts itself, notifies the entries, and answers for its running
+// tasks before it exits: no job fails, and the entries use the successor.
 func TestGuardReplacedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3, NoRelays: true})
-	v := balanced(t, c, func() {
+	v := underBalancedLoad(t, c, func() {
 		g := c.Guards[0]
 		g.Terminate()
 		<-g.Done()
@@ -203,17 +200,17 @@
 		assert.NilError(t, c.RestartGuard(g))
 		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
 	})
-	uncut(t, v)
+	assertNoRequestLost(t, v)
 }
 
-// The three guards of a rack are told to end at the same moment under load, and
-// replaced. Half of all slots leave at once: what runs there is finished and
-// answered, what was on its way there is refused as not run and starts at the
-// others. Some tasks run for longer than it takes to tell the entries. No job
-// fails, no request is cut, and the successors get work.
+// Three guards of a rack are terminated at the same moment under load, and replaced. Half of
+// all slots become unavailable at once: running tasks are finished and answered, starts in
+// transit to them are rejected as not run and start on the other guards. Some tasks run for
+// longer than it takes to notify the entries. No job fails, no request is cut, and the
+// successors get work.
 func TestRackOfGuardsReplacedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 6, NoRelays: true})
-	v := balancedJobs(t, c, someLongJobs, func() {
+	v := underBalancedLoadOf(t, c, jobsWithSomeLongTasks, func() {
 		rack := c.Guards[:3]
 		for _, g := range rack {
 			g.Terminate()
@@ -230,11 +227,11 @@
 			waitStarts(t, c.Runners[i], 20)
 		}
 	})
-	uncut(t, v)
+	assertNoRequestLost(t, v)
 }
 
-// someLongJobs are small jobs, and each twentieth is one task of seven seconds.
-func someLongJobs(n int) harness.Job {
+// jobsWithSomeLongTasks returns small jobs, and for each twentieth one task of seven seconds.
+func jobsWithSomeLongTasks(n int) harness.Job {
 	if n%20 > 0 {
 		return smallJobs(n)
 	}
@@ -243,12 +240,12 @@
 	return j
 }
 
-// A rack of three guards loses power at once under load and comes back. Tasks
-// that were there end as unknown and are not started again; nothing waits for
-// them, jobs go on at the others, and the returned guards are used again.
-func TestRackOfGuardsLostAndBackUnderLoad(t *testing.T) {
+// A rack of three guards loses power at once under load and comes back. The outcome of the
+// tasks that were there is unknown and they are not started again; no job waits for them,
+// jobs continue on the other guards, and the restarted guards are used again.
+func TestRackOfGuardsKilledAndRestartedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 6, NoRelays: true})
-	v := balanced(t, c, func() {
+	v := underBalancedLoad(t, c, func() {
 		rack := c.Guards[:3]
 		for _, g := range rack {
 			g.Kill()
@@ -262,9 +259,9 @@
 	assert.Assert(t, v.Complete > 0)
 }
 
-// An entry is replaced while the store is down. It gets the contracts whole from
-// a peer, serves its callers, and what it holds is what was in force.
-func TestFreshEntryServesWhileTheStoreIsDown(t *testing.T) {
+// An entry is replaced while the store is down. It gets all contracts from a peer and serves
+// its callers, and its contracts are those that were in force.
+func TestRestartedEntryServesDuringStoreOutage(t *testing.T) {
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 2, NoRelays: true})
 	c.Store.SetMode(store.Down)
 	fresh := c.Entries[0]
@@ -277,11 +274,11 @@
 	assert.Equal(t, revisionAt(t, fresh), revisionAt(t, c.Entries[1]))
 }
 
-// An entry comes that no guard has heard of, while the store is down; the next
-// announcement, which would name it, is a minute away. Its peers name the guards
-// and it greets them before it says that it is ready: its very first job runs,
-// on either guard, instead of being refused for want of an endpoint.
-func TestFreshEntryKnowsTheFleetWhenItIsReady(t *testing.T) {
+// An entry that no guard knows starts while the store is down; the next announcement, which
+// would name it, is a minute away. Its peers name the guards, and it opens sessions with them
+// before it reports that it is ready: its very first job runs, on both guards, instead of
+// being refused for lack of an endpoint.
+func TestNewEntryHasGuardSessionsWhenReady(t *testing.T) {
 	c, client := startCluster(t, harness.Options{
 		Entries: 2, Spare: 1, Guards: 2, NoRelays: true,
 		EntrySettings: func(s *node.Settings) { s.Fleet.MinAnnounceInterval = settings.Duration(time.Minute) },
@@ -300,13 +297,13 @@
 	}
 }
 
-// Every entry dies at once and they start together, with nobody to ask but the
-// store. All of them serve again, with the contracts in force as before, and no
-// task of before starts twice.
+// All entries die at once and restart together, with only the store to learn the contracts
+// from. All of them serve again, with the same contracts in force, and no earlier task starts
+// twice.
 func TestAllEntriesRestartAtOnce(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 4, Guards: 3, NoRelays: true})
 	before := revisionAt(t, c.Entries[0])
-	v := balanced(t, c, func() {
+	v := underBalancedLoad(t, c, func() {
 		for _, e := range c.Entries {
 			e.Kill()
 		}
@@ -324,10 +321,9 @@
 	}
 }
 
-// One entry is cut off from the store and hears its peers still. Changes of a
-// contract reach it through them; its revision only goes up, also when the store
-// is reached again.
-func TestChangesReachAnEntryCutOffFromTheStore(t *testing.T) {
+// One entry is partitioned from the store and still reaches its peers. Changes of a contract
+// reach it through them; its revision only increases, also when the store is reachable again.
+func TestChangesReachEntryPartitionedFromStore(t *testing.T) {
 	var cut *relay.Relay
 	c, _ := startCluster(t, harness.Options{
 		Entries: 3, Guards: 1, NoRelays: true,
@@ -358,8 +354,8 @@
 	}
 }
 
-// waitRevision waits until the entry holds the revision, and checks on the way
-// that it never goes down.
+// waitRevision waits until the entry has the revision, and checks that its revision never
+// decreases meanwhile.
 func waitRevision(t *testing.T, e *harness.Entry, last, wanted int64) int64 {
 	t.Helper()
 	deadline := time.Now().Add(time.Minute)
@@ -373,7 +369,7 @@
 	return last
 }
 
-// revisionAt is the revision of the contract in force at one entry.
+// revisionAt returns the revision of the contract in force at one entry.
 func revisionAt(t *testing.T, e *harness.Entry) int64 {
 	t.Helper()
 	var held operator.ContractList
@@ -384,7 +380,7 @@
 	return held.Contracts[0].Revision
 }
 
-// applyAt puts a contract in force through one entry.
+// applyAt applies a contract through one entry.
 func applyAt(t *testing.T, e *harness.Entry, k contract.Contract) error {
 	t.Helper()
 	one := harness.Cluster{Entries: []*harness.Entry{e}}
--- a/e2e/rest_test.go
+++ b/e2e/rest_test.go
@@ -14,12 +14,12 @@
 	"almondstand.dev/settings"
 )
 
-// The budget for pings keeps no idle session, and jobs come now and then: a little
-// before a session lapses, in the moment it does, a little after, and long after,
-// when its connection is closed too. A start that went out on a lapsed session would
-// end as unknown though it never ran; one resent after that would run twice.
-func TestRareJobsOnLapsedSessions(t *testing.T) {
-	sideBySide(t)
+// The ping budget allows no idle session to be kept alive, and jobs come rarely: shortly before
+// a session expires, at that moment, shortly after, and long after, when its connection is
+// closed too. A start sent on an expired session would end as unknown though it never ran; one
+// resent after that would run twice.
+func TestRareJobsOnExpiredSessions(t *testing.T) {
+	parallelPerCPU(t)
 	const lease = time.Second
 	c, client := startCluster(t, harness.Options{
 		Entries: 2, Guards: 3,
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -10,9 +10,9 @@
 	"almondstand.dev/e2e/soak"
 )
 
-// keptSeeds are played on every run: one of planned work only, and one for each
-// fault that the soak has found.
-var keptSeeds = []struct {
+// regressionSeeds are run every time: one with planned operations only, and one for each fault
+// that the soak test has found.
+var regressionSeeds = []struct {
 	seed uint64
 	why  string
 }{
@@ -22,10 +22,10 @@
 	{1001, "a stop was lost with a session: tasks ran on, and a second time when their job was handed in again"},
 }
 
-// Callers see runs doubled, capacity exceeded, false refusals or no recovery
-// under overlapping faults. Each seed that ever failed is played again.
+// Guards against duplicate runs, exceeded capacity, false "not run" answers and missing
+// recovery under overlapping faults. Each seed that ever failed is run again.
 func TestSoakSeeds(t *testing.T) {
-	for _, k := range keptSeeds {
+	for _, k := range regressionSeeds {
 		t.Run(fmt.Sprint(k.seed), func(t *testing.T) {
 			report, err := soak.Run(t.Context(), soak.Options{Binaries: binaries, Dir: t.TempDir(), Seed: k.seed, Length: 8 * time.Second})
 			assert.NilError(t, err, "%s\n%s", k.why, report.Text())
@@ -33,7 +33,7 @@
 	}
 }
 
-// The schedule follows from the seed alone.
+// The schedule depends on the seed alone.
 func TestSoakScheduleRepeats(t *testing.T) {
 	assert.DeepEqual(t, soak.Schedule(7, 8*time.Second), soak.Schedule(7, 8*time.Second))
 }
--- a/e2e/store_test.go
+++ b/e2e/store_test.go
@@ -25,41 +25,43 @@
 
 const (
 	shopKey = "contracts/shop"
-	// spreadLimit is how long a change may take to be in force everywhere once
-	// nothing is in its way.
-	spreadLimit = 10 * time.Second
+	// propagationLimit is how long a change may take to be in force everywhere once no fault
+	// prevents it.
+	propagationLimit = 10 * time.Second
 )
 
-// side holds back tests that run side by side: most of their time is waiting,
-// but each has a dozen processes.
-var side = make(chan struct{}, max(1, min(4, runtime.GOMAXPROCS(0)/3)))
+// clusterSlots bounds the tests of parallelPerCPU that run at a time: they mostly wait, but
+// each has a dozen processes.
+var clusterSlots = make(chan struct{}, max(1, min(4, runtime.GOMAXPROCS(0)/3)))
 
-// sideBySide lets a test run beside others of its kind.
-func sideBySide(t *testing.T) {
+// parallelPerCPU lets a test run in parallel with others, in a number that depends on the
+// processors.
+func parallelPerCPU(t *testing.T) {
 	t.Parallel()
-	side <- struct{}{}
-	t.Cleanup(func() { <-side })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 }
 
-// hasty shortens the spans after which an entry draws conclusions, so that an
-// outage of a few seconds passes all of them.
-func hasty(s *node.Settings) {
+// shortTimeouts shortens an entry's timeouts for failure detection, so that an outage of a
+// few seconds exceeds all of them.
+func shortTimeouts(s *node.Settings) {
 	s.Platform.Timeout = settings.Duration(500 * time.Millisecond)
 	s.Platform.LeaseTTL = settings.Duration(4 * time.Second)
 	s.Peers.IsolationTimeout = settings.Duration(2 * time.Second)
 }
 
-// rated is the shop's contract in a version that its rate tells from the others.
-func rated(version int) contract.Contract {
+// shopContract is the contract of the client "shop" in a version that its rate identifies.
+func shopContract(version int) contract.Contract {
 	k := harness.Contract("shop")
 	k.Rate += float64(version)
 	return k
 }
 
-// apply changes the shop's contract through an entry, whatever is in force.
-func apply(t *testing.T, e *harness.Entry, version int) operator.ChangeResult {
+// applyVersion changes the contract of the client "shop" through an entry, whatever revision
+// is in force.
+func applyVersion(t *testing.T, e *harness.Entry, version int) operator.ChangeResult {
 	t.Helper()
-	changed, err := e.Operator().Apply(t.Context(), rated(version), contracts.Precondition{AnyRevision: true})
+	changed, err := e.Operator().Apply(t.Context(), shopContract(version), contracts.Precondition{AnyRevision: true})
 	assert.NilError(t, err)
 	return changed
 }
@@ -70,7 +72,7 @@
 	begin := time.Now()
 	for _, e := range entries {
 		for !hasVersion(t, e, version) {
-			assert.Assert(t, time.Since(begin) < spreadLimit, "%s: version %d is not in force", e.ID, version)
+			assert.Assert(t, time.Since(begin) < propagationLimit, "%s: version %d is not in force", e.ID, version)
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -79,101 +81,101 @@
 
 func hasVersion(t *testing.T, e *harness.Entry, version int) bool {
 	v, err := e.Operator().Contract(t.Context(), "shop")
-	return err == nil && v.Contract.Rate == rated(version).Rate
+	return err == nil && v.Contract.Rate == shopContract(version).Rate
 }
 
-// revisions asks the entries again and again which revision they have in force.
-type revisions struct {
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	mu    sync.Mutex
-	seen  int
-	downs []string
+// revisionWatcher polls the entries for the revision that they have in force.
+type revisionWatcher struct {
+	stop      context.CancelFunc
+	done      sync.WaitGroup
+	mu        sync.Mutex
+	seen      int
+	decreases []string
 }
 
-func watchRevisions(t *testing.T, entries []*harness.Entry) *revisions {
+func watchRevisions(t *testing.T, entries []*harness.Entry) *revisionWatcher {
 	ctx, stop := context.WithCancel(t.Context())
-	r := &revisions{stop: stop}
+	r := &revisionWatcher{stop: stop}
 	for _, e := range entries {
-		r.done.Go(func() { r.follow(ctx, e) })
+		r.done.Go(func() { r.poll(ctx, e) })
 	}
 	return r
 }
 
-func (r *revisions) follow(ctx context.Context, e *harness.Entry) {
+func (r *revisionWatcher) poll(ctx context.Context, e *harness.Entry) {
 	var last int64
 	for ctx.Err() == nil {
 		v, err := e.Operator().Contract(ctx, "shop")
 		if err == nil {
-			r.note(e.ID, last, v.Revision)
+			r.record(e.ID, last, v.Revision)
 			last = v.Revision
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func (r *revisions) note(entry string, last, now int64) {
+func (r *revisionWatcher) record(entry string, last, now int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen++
 	if now < last {
-		r.downs = append(r.downs, fmt.Sprintf("%s: %d after %d", entry, now, last))
+		r.decreases = append(r.decreases, fmt.Sprintf("%s: %d after %d", entry, now, last))
 	}
 }
 
-func (r *revisions) check(t *testing.T) {
+func (r *revisionWatcher) check(t *testing.T) {
 	t.Helper()
 	r.stop()
 	r.done.Wait()
 	assert.Assert(t, r.seen > 0)
-	assert.Assert(t, len(r.downs) == 0, "revisions went down: %v", r.downs)
+	assert.Assert(t, len(r.decreases) == 0, "revisions went down: %v", r.decreases)
 }
 
-// storeFault is one failure of the store and what a change meets under it.
+// storeFault is one failure of the store and the result of a change during it.
 type storeFault struct {
 	name string
-	// fail begins the failure and heal ends it.
-	fail, heal func(*store.Store)
-	// lasts is how long the failure holds after the change.
-	lasts time.Duration
-	// code is the answer to a change under the failure; empty when it is accepted.
+	// inject begins the failure and heal ends it.
+	inject, heal func(*store.Store)
+	// hold is how long the failure lasts after the change.
+	hold time.Duration
+	// code is the answer to a change during the failure; empty when it is accepted.
 	code operator.Code
 }
 
-func mode(m store.Mode) func(*store.Store) {
+func setMode(m store.Mode) func(*store.Store) {
 	return func(s *store.Store) {
 		s.SetMode(m)
 		s.CloseWatches()
 	}
 }
 
-func nothing(*store.Store) {}
+func noop(*store.Store) {}
 
 var storeFaults = []storeFault{
-	{"down for longer than the leases", mode(store.Down), mode(store.Up), 4500 * time.Millisecond, operator.CodeStoreUnavailable},
-	{"refusing connections", mode(store.CloseConnections), mode(store.Up), time.Second, operator.CodeStoreUnavailable},
-	{"silent", mode(store.Silent), mode(store.Up), time.Second, operator.CodeStoreUnavailable},
-	{"slow", delay(200 * time.Millisecond), delay(0), 0, ""},
-	{"answer lost after the write", func(s *store.Store) { s.LoseResponses(1) }, nothing, 0, ""},
-	{"write late and its answer lost", func(s *store.Store) { s.DelayWrites(1, 700*time.Millisecond) }, nothing, time.Second, ""},
-	{"watches cut", (*store.Store).CloseWatches, nothing, 0, ""},
-	{"watches silent", (*store.Store).SilenceWatches, nothing, 0, ""},
-	{"history compacted", func(s *store.Store) { s.Compact(); s.CloseWatches() }, nothing, 0, ""},
-	{"a bad value", func(s *store.Store) { s.Put(shopKey, []byte(`{"rate":`)) }, nothing, 0, ""},
-	{"the key deleted", func(s *store.Store) { s.Delete(shopKey) }, nothing, 0, ""},
+	{"down for longer than the leases", setMode(store.Down), setMode(store.Up), 4500 * time.Millisecond, operator.CodeStoreUnavailable},
+	{"refusing connections", setMode(store.CloseConnections), setMode(store.Up), time.Second, operator.CodeStoreUnavailable},
+	{"silent", setMode(store.Silent), setMode(store.Up), time.Second, operator.CodeStoreUnavailable},
+	{"slow", setDelay(200 * time.Millisecond), setDelay(0), 0, ""},
+	{"answer lost after the write", func(s *store.Store) { s.LoseResponses(1) }, noop, 0, ""},
+	{"write late and its answer lost", func(s *store.Store) { s.DelayWrites(1, 700*time.Millisecond) }, noop, time.Second, ""},
+	{"watches cut", (*store.Store).CloseWatches, noop, 0, ""},
+	{"watches silent", (*store.Store).SilenceWatches, noop, 0, ""},
+	{"history compacted", func(s *store.Store) { s.Compact(); s.CloseWatches() }, noop, 0, ""},
+	{"a bad value", func(s *store.Store) { s.Put(shopKey, []byte(`{"rate":`)) }, noop, 0, ""},
+	{"the key deleted", func(s *store.Store) { s.Delete(shopKey) }, noop, 0, ""},
 }
 
-func delay(d time.Duration) func(*store.Store) {
+func setDelay(d time.Duration) func(*store.Store) {
 	return func(s *store.Store) { s.SetDelay(d) }
 }
 
-// The store fails in one way after the other while callers submit jobs and an
-// operator makes a change under each failure. Callers see nothing of it: no job
-// is refused or lost. A change is refused as not made, or accepted and in force
-// everywhere soon after the store is back, and no entry ever goes back behind it.
+// The store fails in one way after the other while callers submit jobs and an operator makes
+// a change during each failure. Callers notice nothing: no job is refused or lost. A change is
+// refused as not made, or accepted and in force everywhere soon after the store is back, and
+// no entry ever goes back to an older revision.
 func TestStoreFailsUnderLoad(t *testing.T) {
-	sideBySide(t)
-	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
+	parallelPerCPU(t)
+	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: shortTimeouts})
 	seen := watchRevisions(t, c.Entries)
 	version := 0
 	v := underLoad(t, c, c.Entries, func() {
@@ -186,16 +188,16 @@
 	assertAllComplete(t, v)
 }
 
-// All leases end at the store although their holders live: each finds its name
-// gone, registers again before it takes more work, and counts the others on. A
-// job that comes just then is refused as not run; nothing else is to be seen.
-func TestLeasesLapseUnderLoad(t *testing.T) {
-	sideBySide(t)
-	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
+// All leases expire at the store although their holders live: each entry finds its key gone,
+// registers again before it accepts more work, and still counts the others as members. A job
+// that arrives at that moment is refused as not run; there is no other visible effect.
+func TestLeasesExpireUnderLoad(t *testing.T) {
+	parallelPerCPU(t)
+	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: shortTimeouts})
 	v := underLoad(t, c, c.Entries, func() {
 		for version := range 3 {
 			c.Store.RevokeLeases(0)
-			apply(t, c.Entries[version], version)
+			applyVersion(t, c.Entries[version], version)
 			waitVersion(t, c.Entries, version)
 			assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
 		}
@@ -209,50 +211,50 @@
 	begin := time.Now()
 	defer func() { t.Logf("store %s: %v in all", f.name, time.Since(begin).Round(time.Millisecond)) }()
 	through := c.Entries[version%len(c.Entries)]
-	f.fail(c.Store)
-	_, err := through.Operator().Apply(t.Context(), rated(version), contracts.Precondition{AnyRevision: true})
-	time.Sleep(f.lasts)
+	f.inject(c.Store)
+	_, err := through.Operator().Apply(t.Context(), shopContract(version), contracts.Precondition{AnyRevision: true})
+	time.Sleep(f.hold)
 	f.heal(c.Store)
 	if f.code == "" {
 		assert.NilError(t, err)
 	} else {
 		assert.Assert(t, client.IsCode(err, f.code), "%v", err)
 		assert.Assert(t, !hasVersion(t, through, version), "a change said not to be made is in force")
-		apply(t, through, version)
+		applyVersion(t, through, version)
 	}
 	waitVersion(t, c.Entries, version)
 }
 
-// The store is restored from a copy older than an accepted change. Every entry
-// keeps the change, the store gets it back from them, and the next change is
-// accepted and in force everywhere although the store's own revision went back.
+// The store is restored from a backup older than an accepted change. Every entry keeps the
+// change and writes it back to the store, and the next change is accepted and in force
+// everywhere although the store's own revision decreased.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
-	sideBySide(t)
-	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
+	parallelPerCPU(t)
+	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: shortTimeouts})
 	seen := watchRevisions(t, c.Entries)
 	underLoad(t, c, c.Entries, func() {
-		apply(t, c.Entries[0], 1)
+		applyVersion(t, c.Entries[0], 1)
 		c.Store.Save()
 		for i := range 5 {
-			apply(t, c.Entries[i%3], 2+i)
+			applyVersion(t, c.Entries[i%3], 2+i)
 		}
 		waitVersion(t, c.Entries, 6)
 		before := c.Store.Revision()
 		assert.Assert(t, c.Store.Restore())
 		assert.Assert(t, c.Store.Revision() < before)
-		waitStored(t, c, 6)
+		waitVersionStored(t, c, 6)
 		waitVersion(t, c.Entries, 6)
-		apply(t, c.Entries[1], 7)
+		applyVersion(t, c.Entries[1], 7)
 		waitVersion(t, c.Entries, 7)
-		waitStored(t, c, 7)
+		waitVersionStored(t, c, 7)
 	})
 	seen.check(t)
 }
 
-// waitStored waits until the store holds the version.
-func waitStored(t *testing.T, c *harness.Cluster, version int) {
+// waitVersionStored waits until the store holds the version.
+func waitVersionStored(t *testing.T, c *harness.Cluster, version int) {
 	t.Helper()
-	wanted := fmt.Sprintf(`"rate":%g`, rated(version).Rate)
+	wanted := fmt.Sprintf(`"rate":%g`, shopContract(version).Rate)
 	begin := time.Now()
 	for {
 		value, _ := c.Store.Value(shopKey)
@@ -260,18 +262,18 @@
 		if strings.Contains(current, wanted) {
 			return
 		}
-		assert.Assert(t, time.Since(begin) < spreadLimit, "the store holds %s", value)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "the store holds %s", value)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// An entry is frozen for longer than its lease, while a customer's contract is
-// retired, and thawed. The others go on meanwhile. It must not act on the lease
-// it believes to hold, and takes the change in before it takes work again:
-// callers that come to it at once are refused as not run.
-func TestEntryFrozenPastItsLease(t *testing.T) {
-	sideBySide(t)
-	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
+// An entry is suspended for longer than its lease, while a client's contract is retired, and
+// resumed. The other entries keep serving meanwhile. The resumed entry must not act on the
+// lease that it believes to hold, and must apply the change before it accepts work again:
+// callers that reach it first are refused as not run.
+func TestEntrySuspendedPastItsLease(t *testing.T) {
+	parallelPerCPU(t)
+	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: shortTimeouts})
 	gone := harness.Contract("gone")
 	_, err := c.Entries[0].Operator().Apply(t.Context(), gone, contracts.Precondition{})
 	assert.NilError(t, err)
@@ -281,7 +283,7 @@
 		frozen.Freeze()
 		_, err := c.Entries[0].Operator().Retire(t.Context(), "gone", contracts.Precondition{AnyRevision: true})
 		assert.NilError(t, err)
-		apply(t, c.Entries[1], 1)
+		applyVersion(t, c.Entries[1], 1)
 		time.Sleep(5 * time.Second)
 		late := harness.StartLoad(t.Context(), "gone", 4, []*harness.Entry{frozen}, smallJobs)
 		time.Sleep(100 * time.Millisecond)
@@ -296,31 +298,31 @@
 	})
 }
 
-// The store is down when an entry starts that has never run. It learns the
-// contracts and the other entries from a peer and serves, in the same limits.
+// The store is down when an entry starts that has never run. It learns the contracts and the
+// other entries from a peer and serves, within the same limits.
 func TestNewEntryDuringOutage(t *testing.T) {
-	sideBySide(t)
-	c, client := startCluster(t, harness.Options{Entries: 2, Spare: 1, Guards: 2, EntrySettings: hasty})
-	apply(t, c.Entries[0], 1)
+	parallelPerCPU(t)
+	c, client := startCluster(t, harness.Options{Entries: 2, Spare: 1, Guards: 2, EntrySettings: shortTimeouts})
+	applyVersion(t, c.Entries[0], 1)
 	waitVersion(t, c.Entries, 1)
 	fresh := c.Spare[0]
 	underLoad(t, c, c.Entries, func() {
-		mode(store.Down)(c.Store)
+		setMode(store.Down)(c.Store)
 		time.Sleep(time.Second)
 		assert.NilError(t, c.LaunchSpare(fresh))
 		assert.NilError(t, c.WaitEntry(fresh))
 		waitVersion(t, []*harness.Entry{fresh}, 1)
-		waitServes(t, fresh, client)
-		mode(store.Up)(c.Store)
-		apply(t, c.Entries[0], 2)
+		waitJobCompletes(t, fresh, client)
+		setMode(store.Up)(c.Store)
+		applyVersion(t, c.Entries[0], 2)
 		waitVersion(t, append(c.Entries, fresh), 2)
-		waitServes(t, fresh, client)
+		waitJobCompletes(t, fresh, client)
 	})
 }
 
-// waitServes waits until a job completes at the entry; until then it may only be
-// refused as not run.
-func waitServes(t *testing.T, e *harness.Entry, client *harness.Client) {
+// waitJobCompletes waits until a job completes at the entry; until then the entry may only
+// refuse jobs as not run.
+func waitJobCompletes(t *testing.T, e *harness.Entry, client *harness.Client) {
 	t.Helper()
 	begin := time.Now()
 	for {
@@ -331,18 +333,18 @@
 		}
 		assert.Equal(t, a.Ran(), "no", "%+v", a.Error)
 		assert.Assert(t, a.RetryAfter != "", "%+v", a.Error)
-		assert.Assert(t, time.Since(begin) < spreadLimit, "%s does not serve: %+v", e.ID, a.Error)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "%s does not serve: %+v", e.ID, a.Error)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// An entry starts while the store is down and no other entry runs. It knows no
-// contract, so it can't tell a customer from a stranger: it is not ready and
-// refuses as not run, to be repeated. It serves once the store is back.
+// An entry starts while the store is down and no other entry runs. It knows no contract, so
+// it can't authenticate any client: it is not ready and refuses jobs as not run, to be
+// retried. It serves once the store is back.
 func TestEntryAloneWithoutStore(t *testing.T) {
-	sideBySide(t)
-	c, client := startCluster(t, harness.Options{Entries: 1, Spare: 1, Guards: 1, NoRelays: true, EntrySettings: hasty})
-	mode(store.Down)(c.Store)
+	parallelPerCPU(t)
+	c, client := startCluster(t, harness.Options{Entries: 1, Spare: 1, Guards: 1, NoRelays: true, EntrySettings: shortTimeouts})
+	setMode(store.Down)(c.Store)
 	c.Entries[0].Kill()
 	alone := c.Spare[0]
 	assert.NilError(t, c.LaunchSpare(alone))
@@ -357,12 +359,12 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	assert.Equal(t, c.Starts().Total, 0)
-	mode(store.Up)(c.Store)
+	setMode(store.Up)(c.Store)
 	assert.NilError(t, c.WaitEntry(alone))
-	waitServes(t, alone, client)
+	waitJobCompletes(t, alone, client)
 }
 
-// waitHealthy waits until the entry answers.
+// waitHealthy waits until the entry answers its health check.
 func waitHealthy(t *testing.T, e *harness.Entry) {
 	t.Helper()
 	begin := time.Now()
@@ -372,65 +374,65 @@
 			_ = answer.Body.Close()
 			return
 		}
-		assert.Assert(t, time.Since(begin) < spreadLimit, "%v", err)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "%v", err)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 var (
-	passing  = relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
-	dropping = relay.State{ToTarget: relay.Drop, ToClient: relay.Drop}
+	healthyLink  = relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
+	droppingLink = relay.State{ToTarget: relay.Drop, ToClient: relay.Drop}
 )
 
-func set(t *testing.T, s relay.State, relays ...*relay.Relay) {
+func setRelays(t *testing.T, s relay.State, relays ...*relay.Relay) {
 	t.Helper()
 	for _, r := range relays {
 		assert.NilError(t, r.Set(s))
 	}
 }
 
-// One entry alone loses its way to the store, silently. It goes on serving, and
-// a change made elsewhere reaches it from a peer within seconds.
-func TestEntryCutFromStore(t *testing.T) {
-	sideBySide(t)
-	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, StoreRelays: true, EntrySettings: hasty})
+// One entry alone is partitioned from the store: its traffic is dropped without an error. It
+// keeps serving, and a change made elsewhere reaches it from a peer within seconds.
+func TestEntryPartitionedFromStore(t *testing.T) {
+	parallelPerCPU(t)
+	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, StoreRelays: true, EntrySettings: shortTimeouts})
 	seen := watchRevisions(t, c.Entries)
 	cut := c.Entries[2]
 	v := underLoad(t, c, c.Entries, func() {
-		set(t, dropping, cut.StoreRelay)
+		setRelays(t, droppingLink, cut.StoreRelay)
 		time.Sleep(3 * time.Second)
-		apply(t, c.Entries[0], 1)
+		applyVersion(t, c.Entries[0], 1)
 		waitVersion(t, c.Entries, 1)
-		set(t, passing, cut.StoreRelay)
-		apply(t, cut, 2)
+		setRelays(t, healthyLink, cut.StoreRelay)
+		applyVersion(t, cut, 2)
 		waitVersion(t, c.Entries, 2)
 	})
 	seen.check(t)
 	assertAllComplete(t, v)
 }
 
-// An entry hears neither the store nor the other entry, and may be the only one
-// that missed a change: after a few seconds it refuses new work as not run, and
-// tells that it is not ready. The other, which has the store, goes on; the first
-// serves again, with the change made meanwhile, when the cut is mended.
+// An entry reaches neither the store nor the other entry, and may be the only one that missed
+// a change: after a few seconds it refuses new work as not run and reports that it is not
+// ready. The other entry, which reaches the store, keeps serving; the isolated one serves
+// again, with the change made meanwhile, once the partition heals.
 func TestEntryIsolated(t *testing.T) {
-	sideBySide(t)
-	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 2, StoreRelays: true, EntrySettings: hasty})
+	parallelPerCPU(t)
+	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 2, StoreRelays: true, EntrySettings: shortTimeouts})
 	cut := c.Entries[1]
 	underLoad(t, c, c.Entries[:1], func() {
-		set(t, dropping, cut.StoreRelay, cut.Relay, c.Entries[0].Relay)
+		setRelays(t, droppingLink, cut.StoreRelay, cut.Relay, c.Entries[0].Relay)
 		waitIsolated(t, cut, client)
 		waitUnready(t, cut)
-		apply(t, c.Entries[0], 1)
+		applyVersion(t, c.Entries[0], 1)
 		for range 10 {
 			a, err := client.Run(t.Context(), cut.Callers, jobOf(1, "{}"))
 			assert.NilError(t, err)
 			assert.Equal(t, a.Ran(), "no")
 			time.Sleep(100 * time.Millisecond)
 		}
-		set(t, passing, cut.StoreRelay, cut.Relay, c.Entries[0].Relay)
+		setRelays(t, healthyLink, cut.StoreRelay, cut.Relay, c.Entries[0].Relay)
 		waitVersion(t, c.Entries, 1)
-		waitServes(t, cut, client)
+		waitJobCompletes(t, cut, client)
 	})
 }
 
@@ -447,7 +449,7 @@
 			t.Logf("isolated after %v", time.Since(begin).Round(time.Millisecond))
 			return
 		}
-		assert.Assert(t, time.Since(begin) < spreadLimit, "still serves")
+		assert.Assert(t, time.Since(begin) < propagationLimit, "still serves")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -456,7 +458,7 @@
 	t.Helper()
 	begin := time.Now()
 	for e.Ready() {
-		assert.Assert(t, time.Since(begin) < spreadLimit, "%s is ready", e.ID)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "%s is ready", e.ID)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/e2e/submission_test.go
+++ b/e2e/submission_test.go
@@ -20,7 +20,7 @@
 	"almondstand.dev/settings"
 )
 
-// Codes that callers see.
+// Error codes that callers see.
 const (
 	codeUnknown     = "unknown_submission"
 	codeEvicted     = "answer_evicted"
@@ -30,22 +30,22 @@
 	codeCancelled   = "cancelled"
 )
 
-func mintOne(t *testing.T, client *harness.Client, e *harness.Entry) string {
+func mintID(t *testing.T, client *harness.Client, e *harness.Entry) string {
 	t.Helper()
 	ids, err := client.Mint(answerLimit(t), e.Callers, 1)
 	assert.NilError(t, err)
 	return ids[0]
 }
 
-// answerLimit ends a request that would otherwise hang a test for good.
+// answerLimit bounds a request that could otherwise block a test forever.
 func answerLimit(t *testing.T) context.Context {
 	t.Helper()
-	ctx, stop := context.WithTimeout(t.Context(), 2*patient)
+	ctx, stop := context.WithTimeout(t.Context(), 2*promptLimit)
 	t.Cleanup(stop)
 	return ctx
 }
 
-// background puts a job and gives its reply on the channel.
+// background submits a job in the background and sends its reply on the channel.
 func background(t *testing.T, client *harness.Client, address, id string, j harness.Job) <-chan harness.Reply {
 	t.Helper()
 	done := make(chan harness.Reply, 1)
@@ -57,10 +57,10 @@
 	return done
 }
 
-// waitStarted waits until so many tasks of a submission have started.
+// waitStarted waits until n tasks of a submission have started.
 func waitStarted(t *testing.T, c *harness.Cluster, id string, n int) {
 	t.Helper()
-	deadline := time.Now().Add(patient)
+	deadline := time.Now().Add(promptLimit)
 	for startsOf(c, id) < n {
 		assert.Assert(t, time.Now().Before(deadline), "%s: %d of %d started", id, startsOf(c, id), n)
 		time.Sleep(10 * time.Millisecond)
@@ -77,7 +77,7 @@
 	return n
 }
 
-// assertFailure checks an answer that is a failure.
+// assertFailure checks the status, code and ran of an answer that is a failure.
 func assertFailure(t *testing.T, a *harness.Answer, status int, code, ran string) {
 	t.Helper()
 	assert.Assert(t, a.Error != nil, "status %d", a.Status)
@@ -85,8 +85,9 @@
 	assert.DeepEqual(t, got, []any{status, code, ran})
 }
 
-// every calls f for each of the three ways to ask about a submission at an address.
-func every(t *testing.T, client *harness.Client, address, id string, j harness.Job, f func(method string, a *harness.Answer)) {
+// forEachMethod calls f with the answer to each of the three methods on a submission at an
+// address.
+func forEachMethod(t *testing.T, client *harness.Client, address, id string, j harness.Job, f func(method string, a *harness.Answer)) {
 	t.Helper()
 	a, err := client.Put(answerLimit(t), address, id, j)
 	assert.NilError(t, err)
@@ -99,9 +100,9 @@
 	f(http.MethodDelete, a)
 }
 
-// The same submissions are put many times at once through all entries. The owner
-// begins each job once, and all the other requests join it, passed on or not: one
-// run, and the same bytes for everyone.
+// The same submissions are put many times concurrently through all entries. The owner starts
+// each job once, and all other requests join it, whether forwarded or not: one run, and
+// byte-identical answers for all.
 func TestSameSubmissionThroughAllEntries(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 2})
@@ -111,7 +112,7 @@
 	ctx := answerLimit(t)
 	var all sync.WaitGroup
 	for s := range submissions {
-		id := mintOne(t, client, c.Entries[s%len(c.Entries)])
+		id := mintID(t, client, c.Entries[s%len(c.Entries)])
 		answers[s], errs[s] = make([]*harness.Answer, copies), make([]error, copies)
 		for k := range copies {
 			all.Go(func() {
@@ -132,9 +133,9 @@
 	judgeReplies(t, c, replies)
 }
 
-// An answer is gone, by its time at one entry and by the bound in bytes at the
-// other. A caller that repeats its submission then, at any entry, learns that it
-// was accepted and is not run again; the record shows one start.
+// An answer has been evicted, by its retention time at one entry and by the limit in bytes at
+// the other. A caller that then retries its submission, at any entry, is told that it was
+// accepted, and it is not run again; the runners record one start.
 func TestRepeatAfterEviction(t *testing.T) {
 	parallel(t)
 	const keep = 300 * time.Millisecond
@@ -147,17 +148,17 @@
 	}})
 	job := jobOf(1, `{"echo":"`+strings.Repeat("x", 600)+`"}`)
 	for _, owner := range c.Entries {
-		id := mintOne(t, client, owner)
+		id := mintID(t, client, owner)
 		a, err := client.Put(answerLimit(t), owner.Callers, id, job)
 		assert.NilError(t, err)
 		assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
 		for range 2 { // more than the bound
-			_, err = client.Put(answerLimit(t), owner.Callers, mintOne(t, client, owner), job)
+			_, err = client.Put(answerLimit(t), owner.Callers, mintID(t, client, owner), job)
 			assert.NilError(t, err)
 		}
 		time.Sleep(2 * keep)
 		for _, e := range c.Entries {
-			every(t, client, e.Callers, id, job, func(method string, a *harness.Answer) {
+			forEachMethod(t, client, e.Callers, id, job, func(method string, a *harness.Answer) {
 				assertFailure(t, a, http.StatusGone, codeEvicted, "unknown")
 			})
 		}
@@ -166,30 +167,30 @@
 	assert.Equal(t, c.Starts().Total, 6)
 }
 
-// A customer has minted so many ids that its oldest ones are no longer known as
-// used or unused. A repeat of one that ran and of one that never did, at any
-// entry, is told that nobody knows, and runs nothing; a cancel doesn't claim that
-// nothing ran. A job that was under way when its id expired is still joined.
+// A client has minted so many ids that it is no longer known whether its oldest ones were
+// used. Retries of one that ran and of one that never did, at any entry, are answered as
+// unknown and run nothing; a cancel doesn't claim that nothing ran. A job that was running
+// when its id expired is still joined.
 func TestRepeatAfterExpiry(t *testing.T) {
 	parallel(t)
 	const keep = 100 * time.Millisecond
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
 		s.Callers.AnswerRetention = settings.Duration(keep)
 	}})
 	owner, other := c.Entries[0], c.Entries[1]
-	used, unused, running := mintOne(t, client, owner), mintOne(t, client, owner), mintOne(t, client, owner)
+	used, unused, running := mintID(t, client, owner), mintID(t, client, owner), mintID(t, client, owner)
 	short, long := jobOf(2, `{"echo":1}`), jobOf(1, `{"run":"8s","echo":2}`)
 	first, err := client.Put(answerLimit(t), owner.Callers, used, short)
 	assert.NilError(t, err)
 	assert.Assert(t, first.OK(), "%d %+v", first.Status, first.Error)
 
-	mintMany(t, client, owner, submission.DefaultValidIDs-10_000)
+	mintIDs(t, client, owner, submission.DefaultValidIDs-10_000)
 	reply := background(t, client, owner.Callers, running, long)
 	waitStarted(t, c, running, 1)
-	mintMany(t, client, owner, 20_000)
+	mintIDs(t, client, owner, 20_000)
 	assertExpired := func(e *harness.Entry, id string) {
 		t.Helper()
-		every(t, client, e.Callers, id, short, func(_ string, a *harness.Answer) {
+		forEachMethod(t, client, e.Callers, id, short, func(_ string, a *harness.Answer) {
 			assertFailure(t, a, http.StatusGone, codeExpired, "unknown")
 			assert.Equal(t, a.RetryAfter, "")
 		})
@@ -211,8 +212,8 @@
 	assert.DeepEqual(t, []int{startsOf(c, used), startsOf(c, unused), startsOf(c, running), c.Starts().Total}, []int{2, 0, 1, 3})
 }
 
-// mintMany mints n ids, rounded up, with several callers at once.
-func mintMany(t *testing.T, client *harness.Client, e *harness.Entry, n int) {
+// mintIDs mints n ids, rounded up, with several concurrent callers.
+func mintIDs(t *testing.T, client *harness.Client, e *harness.Entry, n int) {
 	t.Helper()
 	const each, at = 100, 16
 	var left atomic.Int64
@@ -231,28 +232,28 @@
 	assert.NilError(t, errors.Join(errs...))
 }
 
-// A customer learns another one's id, or makes one up. It is answered as if the
-// id had never been minted, whether or not the job runs; it neither reads nor
-// cancels it, and nothing starts. The rightful caller gets its answer.
+// A client learns another client's id, or forges one. It is answered as if the id had never
+// been minted, whether or not the job runs; it can neither read nor cancel the job, and
+// nothing starts. The rightful caller gets its answer.
 func TestForgedAndForeignIDs(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1})
 	assert.NilError(t, c.Apply(t.Context(), harness.Contract("rival")))
 	assert.NilError(t, c.WaitSettled(t.Context(), "rival"))
 	rival := harness.NewClient("rival")
-	running, unused := mintOne(t, client, c.Entries[0]), mintOne(t, client, c.Entries[0])
+	running, unused := mintID(t, client, c.Entries[0]), mintID(t, client, c.Entries[0])
 	job := jobOf(2, `{"run":"1500ms","echo":{"part":"core"}}`)
 	reply := background(t, client, c.Entries[0].Callers, running, job)
 	waitStarted(t, c, running, 2)
 
 	for _, e := range c.Entries {
 		for _, id := range []string{running, unused} {
-			every(t, rival, e.Callers, id, job, func(_ string, a *harness.Answer) {
+			forEachMethod(t, rival, e.Callers, id, job, func(_ string, a *harness.Answer) {
 				assertFailure(t, a, http.StatusNotFound, codeUnknown, "no")
 			})
 		}
 		for _, id := range []string{forgeSequence(unused), forgeMAC(unused)} {
-			every(t, client, e.Callers, id, job, func(_ string, a *harness.Answer) {
+			forEachMethod(t, client, e.Callers, id, job, func(_ string, a *harness.Answer) {
 				assertFailure(t, a, http.StatusNotFound, codeUnknown, "no")
 			})
 		}
@@ -262,7 +263,7 @@
 	assert.NilError(t, r.Err)
 	assert.Assert(t, r.Answer.OK(), "%d %+v", r.Answer.Status, r.Answer.Error)
 	for _, e := range c.Entries {
-		every(t, rival, e.Callers, running, job, func(_ string, a *harness.Answer) {
+		forEachMethod(t, rival, e.Callers, running, job, func(_ string, a *harness.Answer) {
 			assertFailure(t, a, http.StatusNotFound, codeUnknown, "no")
 		})
 	}
@@ -272,7 +273,8 @@
 	assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
 }
 
-// forgeSequence names another submission of the same entry with the MAC of this one.
+// forgeSequence returns an id with another sequence number of the same entry and the MAC of
+// this id.
 func forgeSequence(id string) string {
 	parts := strings.Split(id, ".")
 	parts[2] += "1"
@@ -289,19 +291,19 @@
 	return id[:i] + letter + id[i+1:]
 }
 
-// untilLost asks in the three ways until an entry says that a submission is lost.
-// Until then it may only say that the owner is silent and when to come back.
-func untilLost(t *testing.T, client *harness.Client, e *harness.Entry, id string, j harness.Job) time.Duration {
+// waitLost repeats the three methods until an entry answers that a submission is lost. Until
+// then it may only answer that the owner is silent, with a Retry-After.
+func waitLost(t *testing.T, client *harness.Client, e *harness.Entry, id string, j harness.Job) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	lost := 0
 	for lost < 3 {
 		assert.Assert(t, time.Since(begin) < time.Minute, "%s does not say that %s is lost", e.ID, id)
 		lost = 0
-		every(t, client, e.Callers, id, j, func(_ string, a *harness.Answer) {
-			assert.Assert(t, a.Took < patient, "%s", a.Took)
+		forEachMethod(t, client, e.Callers, id, j, func(_ string, a *harness.Answer) {
+			assert.Assert(t, a.Took < promptLimit, "%s", a.Took)
 			if a.Error != nil && a.Error.Code == codeOwnerSilent {
-				assertSilent(t, a)
+				assertOwnerSilent(t, a)
 				return
 			}
 			assertFailure(t, a, http.StatusGone, codeLost, "unknown")
@@ -313,22 +315,21 @@
 	return time.Since(begin).Round(10 * time.Millisecond)
 }
 
-func assertSilent(t *testing.T, a *harness.Answer) {
+func assertOwnerSilent(t *testing.T, a *harness.Answer) {
 	t.Helper()
 	assertFailure(t, a, http.StatusServiceUnavailable, codeOwnerSilent, "unknown")
 	assert.Assert(t, a.RetryAfter != "")
 }
 
-// An entry dies with a job open and is started again under its id. The id names
-// the dead incarnation: the new one can't know what became of the job, and says
-// so at once, as does the other entry as soon as it has heard of the new one.
-// Neither says "not run", neither runs it again; an id that was never used is
-// lost in the same way.
+// An entry dies with a job open and is restarted under its id. The submission's id names the
+// dead incarnation: the new one can't know the outcome of the job, and says so at once, as
+// does the other entry as soon as it knows the new incarnation. Neither answers "not run",
+// neither runs the job again; an id that was never used is reported lost in the same way.
 func TestIDOfOlderIncarnation(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1})
 	owner, other := c.Entries[0], c.Entries[1]
-	id, unused := mintOne(t, client, owner), mintOne(t, client, owner)
+	id, unused := mintID(t, client, owner), mintID(t, client, owner)
 	job := jobOf(2, `{"run":"600ms","echo":1}`)
 	reply := background(t, client, owner.Callers, id, job)
 	waitStarted(t, c, id, 2)
@@ -336,10 +337,10 @@
 	assert.Assert(t, (<-reply).Err != nil)
 	assert.NilError(t, c.RestartEntry(owner))
 	for _, text := range []string{id, unused} {
-		every(t, client, owner.Callers, text, job, func(_ string, a *harness.Answer) {
+		forEachMethod(t, client, owner.Callers, text, job, func(_ string, a *harness.Answer) {
 			assertFailure(t, a, http.StatusGone, codeLost, "unknown")
 		})
-		t.Logf("lost at the other entry after %s", untilLost(t, client, other, text, job))
+		t.Logf("lost at the other entry after %s", waitLost(t, client, other, text, job))
 	}
 	c.WaitIdle(t.Context())
 	assert.Equal(t, startsOf(c, id), 2)
@@ -347,42 +348,42 @@
 	assert.Equal(t, c.Starts().Doubles, 0)
 }
 
-// The owner is frozen with a job open. A repeat at another entry is not held until
-// the owner comes back, or its deadline: the caller is told that the job may run
-// and when to ask again, under the same id. After the thaw the same request gets
-// the answer of the one run.
-func TestOwnerFrozen(t *testing.T) {
+// The owner is suspended with a job open. A retry at another entry is not held until the
+// owner resumes, or until its deadline: the caller is told that the job may run and when to
+// retry, under the same id. Once the owner has resumed, the same request gets the answer of
+// the one run.
+func TestOwnerSuspended(t *testing.T) {
 	parallel(t)
-	c, client := startClusterFor(t, patientContract(), harness.Options{Entries: 2, Guards: 1})
+	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 1})
 	owner, other := c.Entries[0], c.Entries[1]
-	id := mintOne(t, client, owner)
+	id := mintID(t, client, owner)
 	job := jobOf(3, `{"run":"300ms","echo":{"part":"core"}}`)
 	reply := background(t, client, owner.Callers, id, job)
 	waitStarted(t, c, id, 3)
 	owner.Freeze()
 	for range 3 {
-		every(t, client, other.Callers, id, job, func(method string, a *harness.Answer) {
+		forEachMethod(t, client, other.Callers, id, job, func(method string, a *harness.Answer) {
 			t.Logf("%s answered after %s", method, a.Took.Round(time.Millisecond))
-			assertSilent(t, a)
-			assert.Assert(t, a.Took < patient, "%s held for %s", method, a.Took)
+			assertOwnerSilent(t, a)
+			assert.Assert(t, a.Took < promptLimit, "%s held for %s", method, a.Took)
 		})
 	}
 	owner.Thaw()
-	a, _, err := client.PutUntilFinal(t.Context(), []string{other.Callers}, id, job, harness.Patience{Attempt: patient, All: time.Minute})
+	a, _, err := client.PutUntilFinal(t.Context(), []string{other.Callers}, id, job, harness.Patience{Attempt: promptLimit, All: time.Minute})
 	assert.NilError(t, err)
 	r := <-reply
-	// Both are complete, or both are cancelled by a DELETE that was passed on while
-	// the freeze was not noticed yet.
+	// Both are complete, or both are cancelled by a DELETE that was forwarded before the
+	// suspension was noticed.
 	assert.NilError(t, r.Err)
 	judgeReplies(t, c, []harness.Reply{{Answer: a, Job: job}, r})
 	assert.Assert(t, bytes.Equal(a.Body, r.Answer.Body), "%s\n%s", a.Body, r.Answer.Body)
 	assert.Equal(t, startsOf(c, id), 3)
 }
 
-// The owner dies with jobs open and does not come back. Another entry learns of it
-// from the store: it holds the owner to be gone once its lease has lapsed (lease_ttl,
-// shortened here) and neither the store nor anybody has heard of it for 10 s more.
-// From then on repeats are told "lost, unknown" at once; before, to ask again.
+// The owner dies with jobs open and does not come back. Other entries learn it from the
+// store: they consider the owner gone once its lease has expired (lease_ttl, shortened here)
+// and neither the store nor any entry has seen it for 10 s more. From then on retries are
+// answered "lost, unknown" at once; before that, they are told to retry.
 func TestOwnerKilled(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 1, EntrySettings: func(s *node.Settings) {
@@ -390,17 +391,17 @@
 		s.Peers.IsolationTimeout = settings.Duration(2 * time.Second)
 	}})
 	owner := c.Entries[0]
-	id := mintOne(t, client, owner)
+	id := mintID(t, client, owner)
 	job := jobOf(2, `{"run":"500ms","echo":1}`)
 	reply := background(t, client, c.Entries[1].Callers, id, job)
 	waitStarted(t, c, id, 2)
 	owner.Kill()
 	r := <-reply // passed on by an entry that lives
 	assert.NilError(t, r.Err)
-	assertSilent(t, r.Answer)
+	assertOwnerSilent(t, r.Answer)
 	for _, e := range c.Entries[1:] {
-		t.Logf("%s: lost after %s", e.ID, untilLost(t, client, e, id, job))
-		every(t, client, e.Callers, id, job, func(_ string, a *harness.Answer) {
+		t.Logf("%s: lost after %s", e.ID, waitLost(t, client, e, id, job))
+		forEachMethod(t, client, e.Callers, id, job, func(_ string, a *harness.Answer) {
 			assertFailure(t, a, http.StatusGone, codeLost, "unknown")
 		})
 	}
@@ -409,11 +410,10 @@
 	assert.Equal(t, c.Starts().Doubles, 0)
 }
 
-// Callers cancel a wave of jobs, at an entry that mostly isn't the owner, while
-// a few of the tasks run and most wait. Everyone who waits is told "cancelled".
-// A task that was said not to have run never starts afterwards, and the slots of
-// those that were stopped are free again.
-func TestCancelWave(t *testing.T) {
+// Callers cancel many jobs at once, at an entry that mostly isn't the owner, while a few of
+// the tasks run and most are queued. Every waiting caller is told "cancelled". A task that was
+// reported as not run never starts afterwards, and the slots of stopped tasks are released.
+func TestBulkCancel(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 2, Slots: 4})
 	const wave = 40
@@ -422,7 +422,7 @@
 	var ids []string
 	for i := range wave {
 		owner := c.Entries[i%len(c.Entries)]
-		id := mintOne(t, client, owner)
+		id := mintID(t, client, owner)
 		ids = append(ids, id)
 		waiting = append(waiting, background(t, client, owner.Callers, id, job))
 	}
@@ -447,14 +447,14 @@
 	assert.Assert(t, wide.OK(), "%d %+v", wide.Status, wide.Error)
 	v := judgeReplies(t, c, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
 	assert.Equal(t, v.Complete, 1)
-	assertLateStartsOwned(t, c, settled, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
+	assertLateStartsAllowed(t, c, settled, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
 }
 
-// assertLateStartsOwned holds each task that the runners took after settled against
-// what its caller was told. A call can be on its way to a runner when its job is
-// cancelled: the caller is told that such a task may have run, and it may start
-// once. Any other start must be of a job that completed.
-func assertLateStartsOwned(t *testing.T, c *harness.Cluster, settled harness.Starts, replies []harness.Reply) {
+// assertLateStartsAllowed checks each task that the runners started after settled against
+// the answer to its caller. A start request can be in transit to a runner when its job is
+// cancelled: the caller is told that such a task may have run, and it may start once. Any
+// other start must be of a job that completed.
+func assertLateStartsAllowed(t *testing.T, c *harness.Cluster, settled harness.Starts, replies []harness.Reply) {
 	t.Helper()
 	allowed := map[string]bool{}
 	for _, r := range replies {
@@ -474,7 +474,7 @@
 // waitAccepted waits until the owner holds a job under the id.
 func waitAccepted(t *testing.T, client *harness.Client, e *harness.Entry, id string) {
 	t.Helper()
-	deadline := time.Now().Add(patient)
+	deadline := time.Now().Add(promptLimit)
 	for {
 		a, err := client.Get(answerLimit(t), e.Callers, id)
 		assert.NilError(t, err)
@@ -503,25 +503,25 @@
 	return answers
 }
 
-// A PUT is held up on its way, and its caller settles the matter by a DELETE over
-// another connection: "not run". When the PUT arrives after that, it is refused:
-// the answer "not run" stays true.
+// A PUT is stalled on its way, and its caller cancels the submission by a DELETE over another
+// connection: "not run". When the PUT arrives after that, it is refused: the answer "not run"
+// stays true.
 func TestCancelOvertakesSubmission(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1})
 	way, front, err := c.FrontCallers(c.Entries[0])
 	assert.NilError(t, err)
-	held := clearNetwork
+	held := healthyNetwork
 	held.ToTarget = "stall"
 	for range 10 {
-		id := mintOne(t, client, c.Entries[0])
+		id := mintID(t, client, c.Entries[0])
 		assert.NilError(t, way.Set(held))
 		reply := background(t, client, front.Callers, id, jobOf(2, `{"echo":1}`))
 		a, err := client.Cancel(answerLimit(t), c.Entries[1].Callers, id)
 		assert.NilError(t, err)
 		assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
 		assert.Equal(t, a.Outcome, "cancelled")
-		assert.NilError(t, way.Set(clearNetwork))
+		assert.NilError(t, way.Set(healthyNetwork))
 		r := <-reply
 		assert.NilError(t, r.Err)
 		assertFailure(t, r.Answer, http.StatusConflict, codeCancelled, "no")
--- a/e2e/suspend_test.go
+++ b/e2e/suspend_test.go
@@ -8,12 +8,12 @@
 	"almondstand.dev/standin/store"
 )
 
-// Guards against an entry that takes the time for which it was suspended for the silence of
-// the store and of its peers.
+// Guards against an entry that, after it was suspended, takes that time for a time in which the
+// store and its peers were silent.
 func TestSuspendedEntryRejectsNobody(t *testing.T) {
 	const suspended, between = 1700 * time.Millisecond, 700 * time.Millisecond
 	parallel(t)
-	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: hasty})
+	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: shortTimeouts})
 	v := underLoad(t, c, c.Entries, func() {
 		c.Store.SetMode(store.CloseConnections)
 		c.Store.CloseWatches()
