--- a/e2e/combined_test.go
+++ b/e2e/combined_test.go
@@ -14,9 +14,9 @@
 
 // runDoubleFault injects two faults while callers retry their submissions under one id
 // until they get a final answer, as a well-behaved caller does, and judges all replies.
-func runDoubleFault(t *testing.T, c *harness.Cluster, customer string, faults func(load *harness.Load)) harness.Verdict {
+func runDoubleFault(t *testing.T, c *harness.Cluster, clientName string, faults func(load *harness.Load)) harness.Verdict {
 	t.Helper()
-	load := harness.StartRepeatingLoad(t.Context(), customer, callers, c.Entries, retryTimeouts, numberedJobs)
+	load := harness.StartRepeatingLoad(t.Context(), clientName, callers, c.Entries, retryTimeouts, numberedJobs)
 	waitReplies(t, load, 80)
 	faults(load)
 	waitReplies(t, load, load.Count()+150)
@@ -180,19 +180,19 @@
 // and the third incarnation serves.
 func TestEntryDiesTwice(t *testing.T) {
 	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		twice := c.Entries[0]
-		ids := []string{mintID(t, client, twice)}
+		restarted := c.Entries[0]
+		ids := []string{mintID(t, client, restarted)}
 		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
-			twice.Kill()
-			assert.NilError(t, c.RestartEntry(twice))
+			restarted.Kill()
+			assert.NilError(t, c.RestartEntry(restarted))
 			waitReplies(t, load, load.Count()+30)
-			ids = append(ids, mintID(t, client, twice))
-			twice.Kill()
-			assert.NilError(t, c.RestartEntry(twice))
+			ids = append(ids, mintID(t, client, restarted))
+			restarted.Kill()
+			assert.NilError(t, c.RestartEntry(restarted))
 			waitReplies(t, load, load.Count()+30)
 		})
 		for _, id := range ids {
-			forEachMethod(t, client, twice.Callers, id, jobOf(1, `{}`), func(_ string, a *harness.Answer) {
+			forEachMethod(t, client, restarted.Callers, id, jobOf(1, `{}`), func(_ string, a *harness.Answer) {
 				assertFailure(t, a, http.StatusGone, codeLost, "unknown")
 			})
 			waitLost(t, client, c.Entries[1], id, jobOf(1, `{}`))
--- a/e2e/connection_test.go
+++ b/e2e/connection_test.go
@@ -74,9 +74,9 @@
 			continue
 		}
 		for i, one := range r.Answer.Tasks {
-			var asked struct{ Echo json.RawMessage }
-			assert.NilError(t, json.Unmarshal(r.Job.Tasks[i].Payload, &asked))
-			assert.Assert(t, bytes.Equal(one.Payload, asked.Echo), "%s/%d: %s for %s", r.Answer.Submission, i, one.Payload, asked.Echo)
+			var sent struct{ Echo json.RawMessage }
+			assert.NilError(t, json.Unmarshal(r.Job.Tasks[i].Payload, &sent))
+			assert.Assert(t, bytes.Equal(one.Payload, sent.Echo), "%s/%d: %s for %s", r.Answer.Submission, i, one.Payload, sent.Echo)
 		}
 	}
 }
@@ -94,13 +94,13 @@
 }
 
 func longestAnswer(replies []harness.Reply) time.Duration {
-	var most time.Duration
+	var longest time.Duration
 	for _, r := range replies {
 		if r.Err == nil {
-			most = max(most, r.Answer.Took)
+			longest = max(longest, r.Answer.Took)
 		}
 	}
-	return most.Round(time.Millisecond)
+	return longest.Round(time.Millisecond)
 }
 
 // blackholeDirection is the direction in which open connections go silent while new
@@ -111,9 +111,9 @@
 }
 
 var blackholeDirections = []blackholeDirection{
-	{"towards the server", true, false},
-	{"towards the client", false, true},
-	{"both ways", true, true},
+	{"to the server", true, false},
+	{"to the client", false, true},
+	{"both directions", true, true},
 }
 
 // blackholeUnderLoad blackholes the relays' connections in each direction under a load,
@@ -125,7 +125,7 @@
 		for _, r := range relays {
 			n += r.Blackhole(s.toTarget, s.toClient)
 		}
-		t.Logf("%s: %d connections silent", s.name, n)
+		t.Logf("%s: %d connections blackholed", s.name, n)
 		assert.Assert(t, n > 0)
 		waitReplies(t, load, load.Count()+150)
 	}
@@ -144,15 +144,15 @@
 func TestCallerConnectionsSilent(t *testing.T) {
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
-	var fronts []*harness.Entry
+	var relayedEntries []*harness.Entry
 	var relays []*relay.Relay
 	for _, e := range c.Entries {
-		r, front, err := c.FrontCallers(e)
+		r, relayed, err := c.FrontCallers(e)
 		assert.NilError(t, err)
-		fronts = append(fronts, front)
+		relayedEntries = append(relayedEntries, relayed)
 		relays = append(relays, r)
 	}
-	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, fronts, retryTimeouts, numberedJobs)
+	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, relayedEntries, retryTimeouts, numberedJobs)
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, relays...)
 	v := judgeReplies(t, c, load.Stop())
@@ -166,7 +166,7 @@
 func TestForwardConnectionsSilent(t *testing.T) {
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
-	// Callers ask only the entry that is not the owner, so that every request is forwarded.
+	// Each submission goes first to the entry that does not own it, so that it is forwarded.
 	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, c.Entries,
 		harness.Patience{Attempt: 10 * time.Second, All: time.Minute}, numberedJobs)
 	waitReplies(t, load, 100)
@@ -177,9 +177,9 @@
 
 // The connections from the entries to all guards go silent, with starts and results in
 // transit. The entry's ping times out; it opens a new connection and queries the same
-// guard for each start: the guard returns the result, or fences the start off, which may
-// then run elsewhere. The guards are alive, so no outcome stays unknown, and no answer
-// waits for its job's deadline.
+// guard for each start: the guard returns the result, or records a tombstone for the
+// start, which may then run elsewhere. The guards are alive, so no outcome stays
+// unknown, and no answer waits for its job's deadline.
 func TestGuardConnectionsSilent(t *testing.T) {
 	parallel(t)
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
@@ -203,8 +203,8 @@
 
 // The network between the entries and a guard drops or stalls all traffic for longer
 // than an entry waits for a reply, and then recovers. Stalled messages arrive after the
-// entry has queried the starts: the guard rejects a late Start that a query has fenced
-// off, and a late reply matches no open start. No caller gets the answer of another one.
+// entry has queried the starts: a late Start meets the tombstone that the query left in
+// the guard, and a late reply matches no open start. No caller gets another one's answer.
 func TestTemporaryGuardNetworkOutage(t *testing.T) {
 	parallel(t)
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
@@ -283,7 +283,7 @@
 	waitReplies(t, load, 100)
 	for _, s := range blackholeDirections {
 		n := c.Runners[0].Relay.Blackhole(s.toTarget, s.toClient)
-		t.Logf("%s: %d connections silent", s.name, n)
+		t.Logf("%s: %d connections blackholed", s.name, n)
 		assert.Assert(t, n > 0)
 		waitReplies(t, load, load.Count()+100)
 	}
--- a/e2e/contract_test.go
+++ b/e2e/contract_test.go
@@ -68,10 +68,10 @@
 }
 
 // recordChange makes one change through an entry and adds it to the history.
-func (h *history) recordChange(t *testing.T, who int, e *harness.Entry, in compareAndSwap) (outcome, error) {
+func (h *history) recordChange(t *testing.T, clientID int, e *harness.Entry, in compareAndSwap) (outcome, error) {
 	k := harness.Contract("raced")
 	k.Rate = in.rate
-	op := porcupine.Operation{ClientId: who, Input: in, Call: h.clock.Add(1)}
+	op := porcupine.Operation{ClientId: clientID, Input: in, Call: h.clock.Add(1)}
 	changed, err := e.Operator().Apply(t.Context(), k, contracts.Precondition{Revision: in.expect})
 	op.Return = h.clock.Add(1)
 	out, err := outcomeOf(in, changed, err)
@@ -120,18 +120,18 @@
 // changeConcurrently has six operators change the version current and returns the winner's.
 func changeConcurrently(t *testing.T, c *harness.Cluster, h *history, round int, current register) register {
 	t.Helper()
-	const rivals = 6
-	outcomes := make([]outcome, rivals)
-	faults := make([]error, rivals)
+	const operators = 6
+	outcomes := make([]outcome, operators)
+	errs := make([]error, operators)
 	var all sync.WaitGroup
-	for i := range rivals {
+	for i := range operators {
 		all.Go(func() {
-			in := compareAndSwap{expect: current.revision, rate: float64(100 + rivals*round + i)}
-			outcomes[i], faults[i] = h.recordChange(t, i, c.Entries[i%len(c.Entries)], in)
+			in := compareAndSwap{expect: current.revision, rate: float64(100 + operators*round + i)}
+			outcomes[i], errs[i] = h.recordChange(t, i, c.Entries[i%len(c.Entries)], in)
 		})
 	}
 	all.Wait()
-	assert.NilError(t, errors.Join(faults...))
+	assert.NilError(t, errors.Join(errs...))
 	var winners []register
 	for _, out := range outcomes {
 		if out.code == "" {
@@ -157,28 +157,28 @@
 	assert.NilError(t, err)
 	var all sync.WaitGroup
 	accepted := make([]int, 6)
-	for who := range accepted {
+	for clientID := range accepted {
 		all.Go(func() {
 			for n := range 15 {
-				e := c.Entries[who%len(c.Entries)]
+				e := c.Entries[clientID%len(c.Entries)]
 				seen, err := e.Operator().Contract(t.Context(), "raced")
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				out, err := h.recordChange(t, who, e, compareAndSwap{seen.Revision, float64(100*(who+1) + n)})
+				out, err := h.recordChange(t, clientID, e, compareAndSwap{seen.Revision, float64(100*(clientID+1) + n)})
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				if out.code == "" {
-					accepted[who]++
+					accepted[clientID]++
 				}
 			}
 		})
 	}
 	all.Wait()
-	t.Logf("accepted of 15 each: %v", accepted)
+	t.Logf("accepted changes of 15 per operator: %v", accepted)
 	assert.Equal(t, porcupine.CheckOperations(registerModel, h.ops), true)
 	checkFinalVersion(t, c, h.ops)
 }
@@ -304,7 +304,7 @@
 			return
 		}
 		assert.Assert(t, a.OK(), "%+v", a.Error)
-		assert.Assert(t, time.Since(begin) < propagationLimit, "%s still serves", e.ID)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "%s still accepts the client's work", e.ID)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -387,55 +387,56 @@
 	begin := time.Now()
 	assert.NilError(t, c.Apply(t.Context(), limitedContract(rate, burst, 10000)))
 	assert.NilError(t, c.WaitSettled(t.Context(), "narrow"))
-	within := func(accepted int64) {
+	checkLimit := func(accepted int64) {
 		t.Helper()
-		most := rate*time.Since(begin).Seconds() + burst
-		assert.Assert(t, float64(accepted) <= most, "%d tasks accepted, %.0f were bought", accepted, most)
+		limit := rate*time.Since(begin).Seconds() + burst
+		assert.Assert(t, float64(accepted) <= limit, "%d tasks accepted, the contract allows %.0f", accepted, limit)
 	}
 	one := startCountingLoad(t, c.Entries[:1], 6, `{"run":"5ms"}`)
-	waitRateShare(t, one, rate, within)
+	waitRateShare(t, one, rate, checkLimit)
 	before := one.finish()
 	all := startCountingLoad(t, c.Entries, 9, `{"run":"5ms"}`)
 	for range 20 {
 		time.Sleep(100 * time.Millisecond)
-		within(before + all.accepted.Load())
+		checkLimit(before + all.accepted.Load())
 	}
-	within(before + all.finish())
+	checkLimit(before + all.finish())
 }
 
 // waitRateShare waits until the entry accepts 90 % of the rate within one second.
-func waitRateShare(t *testing.T, l *countingLoad, rate float64, within func(int64)) {
+func waitRateShare(t *testing.T, l *countingLoad, rate float64, checkLimit func(int64)) {
 	t.Helper()
 	begin := time.Now()
 	for {
 		start, n := time.Now(), l.accepted.Load()
 		time.Sleep(time.Second)
 		now := l.accepted.Load()
-		within(now)
+		checkLimit(now)
 		got := float64(now-n) / time.Since(start).Seconds()
 		t.Logf("after %v: %.0f tasks/s of %.0f", time.Since(begin).Round(time.Second), got, rate)
 		if got >= 0.9*rate {
 			return
 		}
-		assert.Assert(t, time.Since(begin) < 2*propagationLimit, "one entry never gets 90 %% of the rate")
+		assert.Assert(t, time.Since(begin) < 2*propagationLimit, "one entry does not get 90 %% of the rate")
 	}
 }
 
 // A client that may have 12 tasks in flight sends more to three entries at once, and is
 // refused above its limit: the only runner never runs more than 12 tasks at a time, and
-// runs more than half of that once the entries have redistributed the shares.
+// comes close to that once the entries have redistributed the shares (the test asserts
+// more than half).
 func TestInFlightLimitHoldsAcrossEntries(t *testing.T) {
-	const most = 12
+	const limit = 12
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 1, Slots: 64, NoRelays: true})
-	assert.NilError(t, c.Apply(t.Context(), limitedContract(10000, 10000, most)))
+	assert.NilError(t, c.Apply(t.Context(), limitedContract(10000, 10000, limit)))
 	assert.NilError(t, c.WaitSettled(t.Context(), "narrow"))
 	load := startCountingLoad(t, c.Entries, 30, `{"run":"100ms"}`)
 	time.Sleep(3 * time.Second)
 	accepted := load.finish()
 	record := c.Runners[0].Starts()
-	t.Logf("%d accepted, %d at a time", accepted, record.PeakRunning)
-	assert.Assert(t, record.PeakRunning <= most, "%d at a time", record.PeakRunning)
-	assert.Assert(t, record.PeakRunning > most/2, "%d at a time", record.PeakRunning)
+	t.Logf("%d accepted, at most %d running at a time", accepted, record.PeakRunning)
+	assert.Assert(t, record.PeakRunning <= limit, "%d at a time", record.PeakRunning)
+	assert.Assert(t, record.PeakRunning > limit/2, "%d at a time", record.PeakRunning)
 	assert.Equal(t, int64(record.Total), accepted)
 	assert.Equal(t, record.DuplicateStarts, 0)
 }
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -62,8 +62,8 @@
 }
 
 // A guard is suspended for longer than its callers wait, with starts in its socket
-// buffers, and resumed. By then each of those starts is fenced off, resolved or reported
-// as unknown; no task starts twice and no "not run" was false.
+// buffers, and resumed. By then each of those starts has a tombstone, is resolved or has long
+// been reported as unknown; no task starts twice and no "not run" was false.
 func TestGuardSuspendedAndResumedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
 	underLoad(t, c, c.Entries, func() {
--- a/e2e/endpoint_test.go
+++ b/e2e/endpoint_test.go
@@ -55,12 +55,12 @@
 func TestGuardDrainsUnderLoad(t *testing.T) {
 	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
-	leaving := c.Guards[0]
+	draining := c.Guards[0]
 	v := underLoad(t, c, c.Entries, func() {
-		leaving.Terminate()
-		last := lastStart(c.Runners[0], leaving)
-		assert.NilError(t, leaving.Err())
-		t.Logf("the last start came %v after the notice", last.Round(time.Millisecond))
+		draining.Terminate()
+		last := lastStart(c.Runners[0], draining)
+		assert.NilError(t, draining.Err())
+		t.Logf("the last start was %v after the drain notice", last.Round(time.Millisecond))
 		assert.Assert(t, last < drainNoticeLimit)
 	})
 	assertAllComplete(t, v)
@@ -88,13 +88,13 @@
 // running task is cancelled, and callers notice nothing.
 func TestRunnerDrainsUnderLoad(t *testing.T) {
 	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
-		leaving := c.Runners[0]
+		draining := c.Runners[0]
 		v := underLoad(t, c, c.Entries, func() {
-			leaving.Drain()
+			draining.Drain()
 			time.Sleep(drainNoticeLimit)
 		})
-		record := leaving.Runner.Starts()
-		t.Logf("%d starts after the notice, the last after %d ms", record.StartsAfterDrain, record.LastStartAfterDrainMs)
+		record := draining.Runner.Starts()
+		t.Logf("%d starts after the drain notice, the last after %d ms", record.StartsAfterDrain, record.LastStartAfterDrainMs)
 		assert.Assert(t, record.LastStartAfterDrainMs < drainNoticeLimit.Milliseconds())
 		assert.Equal(t, record.Cancelled, 0)
 		assertAllComplete(t, v)
@@ -121,9 +121,9 @@
 func waitStarts(t *testing.T, r *harness.Runner, n int) {
 	t.Helper()
 	begin := time.Now()
-	wanted := r.Runner.Starts().Total + n
-	for r.Runner.Starts().Total < wanted {
-		assert.Assert(t, time.Since(begin) < time.Minute, "the runner gets no work")
+	target := r.Runner.Starts().Total + n
+	for r.Runner.Starts().Total < target {
+		assert.Assert(t, time.Since(begin) < time.Minute, "the runner gets no tasks")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -157,7 +157,8 @@
 }
 
 // One of three runners is twenty times slower than the others. It is given less work than
-// they are, no job fails or is refused because of it, and no task is hedged elsewhere.
+// they are, no job fails or is refused because of it, and no task is started a second time
+// (hedged) elsewhere.
 func TestStraggler(t *testing.T) {
 	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
 		assertAllComplete(t, runLoad(t, c, 60, smallJobs))
@@ -166,11 +167,11 @@
 		before := startsByRunner(c)
 		assertAllComplete(t, runLoad(t, c, 400, smallJobs))
 		after := startsByRunner(c)
-		few := after[0] - before[0]
+		slowStarts := after[0] - before[0]
 		for i := range c.Runners[1:] {
 			n := after[1+i] - before[1+i]
-			t.Logf("%d starts at the straggler, %d at another", few, n)
-			assert.Assert(t, few < n/2)
+			t.Logf("%d starts at the straggler, %d at another", slowStarts, n)
+			assert.Assert(t, slowStarts < n/2)
 		}
 	})
 }
@@ -195,25 +196,25 @@
 	assert.NilError(t, err)
 	_, err = harness.WaitInForce(t.Context(), c.Entries, "small", changed.Revision)
 	assert.NilError(t, err)
-	unknown, none := jobOf(1, "{}"), jobOf(0, "{}")
+	unknown, empty := jobOf(1, "{}"), jobOf(0, "{}")
 	unknown.Service = "unheard-of"
 	for _, e := range c.Entries {
-		for _, one := range []struct {
+		for _, tc := range []struct {
 			client *harness.Client
 			job    harness.Job
 			status int
 			code   string
 		}{
 			{client, unknown, http.StatusNotFound, "unknown_service"},
-			{client, none, http.StatusBadRequest, "bad_request"},
+			{client, empty, http.StatusBadRequest, "bad_request"},
 			{client, jobOf(101, "{}"), http.StatusBadRequest, "bad_request"},
 			{harness.NewClient("small"), jobOf(11, "{}"), http.StatusUnprocessableEntity, "job_too_large"},
 			{harness.NewClient("nobody"), jobOf(1, "{}"), http.StatusUnauthorized, "unauthenticated"},
 		} {
-			a, err := one.client.Run(t.Context(), e.Callers, one.job)
+			a, err := tc.client.Run(t.Context(), e.Callers, tc.job)
 			assert.NilError(t, err)
-			assert.Equal(t, a.Status, one.status, "%+v", a.Error)
-			assert.Equal(t, a.Error.Code, one.code)
+			assert.Equal(t, a.Status, tc.status, "%+v", a.Error)
+			assert.Equal(t, a.Error.Code, tc.code)
 			assert.Equal(t, a.Ran(), "no")
 			assert.Equal(t, a.RetryAfter, "", "%+v", a.Error)
 		}
--- a/e2e/fleet_cancel_test.go
+++ b/e2e/fleet_cancel_test.go
@@ -55,9 +55,9 @@
 		r.SetFault(worker.Fault{LateShare: 1, LateBy: late})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	left := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(returned)
 		j := fleet.NewJob(4, 20_000)
 		j.Deadline = 30 * time.Second
 		f.Try(ctx, f.Entries[0], fleet.Prefix, j)
@@ -68,7 +68,7 @@
 	}
 	time.Sleep(cancelAfter - unanswered)
 	cancel()
-	<-left
+	<-returned
 	replace(t, f)
 	time.Sleep(late)
 	stop()
@@ -76,7 +76,7 @@
 	defer cancel()
 	assert.NilError(t, eventually(ctx, func() error {
 		if n := f.Judge.Running(); n > 0 {
-			return fmt.Errorf("%d tasks run on", n)
+			return fmt.Errorf("%d tasks are still running", n)
 		}
 		return nil
 	}))
@@ -89,22 +89,22 @@
 	net := f.EntryNets[0]
 	job := fleet.NewJob(1, 5000)
 	job.Deadline = 7 * time.Second
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	var caller sync.WaitGroup
 	caller.Go(func() { f.Try(ctx, f.Entries[0], fleet.Prefix, job) })
-	waitUntil(t, 5*time.Second, "the run begins", func() bool { return f.Judge.Running() == 1 })
+	waitUntil(t, 5*time.Second, "the run has not started", func() bool { return f.Judge.Running() == 1 })
 	assert.NilError(t, net.Set(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true}))
 	net.Reset()
 	time.Sleep(50 * time.Millisecond)
-	leave()
+	disconnect()
 	caller.Wait()
 	time.Sleep(50 * time.Millisecond)
 	assert.NilError(t, net.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}))
-	waitUntil(t, cancelLimit, "the run is stopped", func() bool { return f.Judge.Running() == 0 })
+	waitUntil(t, cancelLimit, "the run has not been stopped", func() bool { return f.Judge.Running() == 0 })
 }
 
-// waitUntil waits until a condition holds.
-func waitUntil(t *testing.T, limit time.Duration, what string, done func() bool) {
+// waitUntil waits until done holds; unmet is the error if it does not within the limit.
+func waitUntil(t *testing.T, limit time.Duration, unmet string, done func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
@@ -112,6 +112,6 @@
 		if done() {
 			return nil
 		}
-		return errors.New(what)
+		return errors.New(unmet)
 	}))
 }
--- a/e2e/fleet_crash_test.go
+++ b/e2e/fleet_crash_test.go
@@ -19,10 +19,10 @@
 	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 4, Direct: true})
 	stop := load(t, f, 25*time.Millisecond, 4, 40)
 	time.Sleep(300 * time.Millisecond)
-	poison := fleet.NewJob(1, 60)
-	poison.CrashMs = 20
-	poison.Deadline = 9 * time.Second
-	a := f.Submit(t.Context(), 0, poison, 1)
+	crashing := fleet.NewJob(1, 60)
+	crashing.CrashMs = 20
+	crashing.Deadline = 9 * time.Second
+	a := f.Submit(t.Context(), 0, crashing, 1)
 	assert.Equal(t, a.State, "failed", "%d %s", a.Status, a.Text)
 	time.Sleep(worker.CrashRestartDelay)
 	got := stop()
--- a/e2e/fleet_foreign_test.go
+++ b/e2e/fleet_foreign_test.go
@@ -31,23 +31,23 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	x := &foreignWriter{fleet: f, address: l.Addr().String()}
+	w := &foreignWriter{fleet: f, address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			x.calls.Add(1)
+			w.calls.Add(1)
 			_ = c.Close()
 		}
 	}()
-	return x
+	return w
 }
 
 // heartbeats sends heartbeats that lack a field or have an invalid value; all of them name the
 // foreign address.
-func (x *foreignWriter) heartbeats(t *testing.T) {
+func (w *foreignWriter) heartbeats(t *testing.T) {
 	for i, body := range []string{
 		`{"address":"%s","state":"ready","capacity":{"cpu":64000,"mem_mb":1000},"clock_ms":1,"seq":1}`,
 		`{"service":"teardown","address":"%s","state":"resting","capacity":{"cpu":64000},"clock_ms":1,"seq":1}`,
@@ -55,8 +55,8 @@
 		`{"service":"teardown","address":"%s","state":"ready","clock_ms":1,"seq":1}`,
 		`{"service":"teardown","address":"%s`,
 	} {
-		for _, g := range x.fleet.Guards {
-			text := strings.Replace(body, "%s", x.address, 1)
+		for _, g := range w.fleet.Guards {
+			text := strings.Replace(body, "%s", w.address, 1)
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, fmt.Sprintf("http://%s/instances/foreign-%d", g.Control, i), strings.NewReader(text))
 			assert.NilError(t, err)
 			res, err := http.DefaultClient.Do(req)
@@ -69,19 +69,19 @@
 
 // keys writes keys beside those of the entries that belong to no entry, and an invalid
 // configuration.
-func (x *foreignWriter) keys() {
-	for i, value := range []string{"", "7", "somewhere", x.address + "/", "http://" + x.address, "0.0.0.0:7720", "\x00\xff"} {
-		x.fleet.Store.Put(fmt.Sprint(fleetwire.EntriesPrefix, "foreign-", i), []byte(value))
+func (w *foreignWriter) keys() {
+	for i, value := range []string{"", "7", "somewhere", w.address + "/", "http://" + w.address, "0.0.0.0:7720", "\x00\xff"} {
+		w.fleet.Store.Put(fmt.Sprint(fleetwire.EntriesPrefix, "foreign-", i), []byte(value))
 	}
-	x.fleet.Store.Put(metastore.ConfigKey, []byte(`{"version":99,"routes":[{"host":"shop.example"}]}`))
+	w.fleet.Store.Put(metastore.ConfigKey, []byte(`{"version":99,"routes":[{"host":"shop.example"}]}`))
 }
 
 // messages sends the entries a message that names the foreign address, and bytes that are no
 // valid message.
-func (x *foreignWriter) messages(t *testing.T) {
-	for _, n := range x.fleet.Entries {
+func (w *foreignWriter) messages(t *testing.T) {
+	for _, n := range w.fleet.Entries {
 		client := fleetwire.NewClient(http2Client(), n.Outside+":7720")
-		_, err := client.Meet(t.Context(), connect.NewRequest(&wirev1.MeetRequest{Entry: "foreign", Address: "http://" + x.address}))
+		_, err := client.Meet(t.Context(), connect.NewRequest(&wirev1.MeetRequest{Entry: "foreign", Address: "http://" + w.address}))
 		assert.NilError(t, err)
 		c, err := net.DialTimeout("tcp", n.Outside+":7720", time.Second)
 		assert.NilError(t, err)
@@ -101,12 +101,12 @@
 // configuration in force stays, and each kind of invalid data is logged.
 func TestForeignWritersChangeNothing(t *testing.T) {
 	f := startFleet(t, 2, 3)
-	x := newForeignWriter(t, f)
+	w := newForeignWriter(t, f)
 	stop := steadyLoad(t, f, f.Entries, 30*time.Millisecond)
-	x.keys()
+	w.keys()
 	for range 3 {
-		x.heartbeats(t)
-		x.messages(t)
+		w.heartbeats(t)
+		w.messages(t)
 		time.Sleep(300 * time.Millisecond)
 	}
 	f.Guards[0].Process().Terminate()
@@ -114,7 +114,7 @@
 	assert.NilError(t, f.Guards[0].Start())
 	time.Sleep(4 * time.Second)
 	assert.Equal(t, strings.Join(stop(), "\n"), "")
-	assert.Equal(t, x.calls.Load(), int64(0), "something was sent to the foreign address")
+	assert.Equal(t, w.calls.Load(), int64(0), "connections to the foreign address")
 	for node, events := range map[*fleet.Node][]string{
 		f.Guards[0]:  {"guard.side_malformed_entries"},
 		f.Guards[1]:  {"guard.report_malformed"},
--- a/e2e/fleet_held_test.go
+++ b/e2e/fleet_held_test.go
@@ -39,19 +39,19 @@
 func TestGuardHeldBackSendsOrdersOnce(t *testing.T) {
 	parallel(t)
 	f := startFleet(t, 1, 2)
-	release := suspendPeriodically(f.Guards[0], 60*time.Millisecond, 20*time.Millisecond)
+	stopSuspending := suspendPeriodically(f.Guards[0], 60*time.Millisecond, 20*time.Millisecond)
 	ordersBefore, pollsBefore := f.Runners[0].Calls()
 	startsBefore := f.Judge.Starts()
 	otherBefore, otherPollsBefore := f.Runners[1].Calls()
 	stop := load(t, f, 20*time.Millisecond, 4, 40)
 	time.Sleep(4 * time.Second)
 	got := stop()
-	release()
+	stopSuspending()
 	orders, polls := f.Runners[0].Calls()
 	other, otherPolls := f.Runners[1].Calls()
 	orders, polls, other, otherPolls = orders-ordersBefore, polls-pollsBefore, other-otherBefore, otherPolls-otherPollsBefore
 	starts := f.Judge.Starts() - startsBefore
-	t.Logf("%d starts, answers %v; held back: %d orders, %d polls; the other: %d orders, %d polls", starts, got, orders, polls, other, otherPolls)
+	t.Logf("%d starts, answers %v; suspended guard: %d orders, %d polls; the other: %d orders, %d polls", starts, got, orders, polls, other, otherPolls)
 	assert.Assert(t, starts > 200 && orders > 100)
 	assert.Assert(t, (orders+other)*10 <= starts*11, "%d orders for %d starts", orders+other, starts)
 	assert.Assert(t, polls*other <= 2*otherPolls*orders, "more than twice the polls of the other guard for each order")
--- a/e2e/fleet_metrics_test.go
+++ b/e2e/fleet_metrics_test.go
@@ -38,7 +38,7 @@
 		}
 		for _, s := range series {
 			if !strings.Contains(text, "\n"+s) {
-				return fmt.Errorf("%s shows no %s", n.ID, s)
+				return fmt.Errorf("%s does not export %s", n.ID, s)
 			}
 		}
 		return nil
--- a/e2e/fleet_restart_test.go
+++ b/e2e/fleet_restart_test.go
@@ -15,17 +15,17 @@
 func TestFleetRunnersRestartUnderTheirIDs(t *testing.T) {
 	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 2, Direct: true})
 	stop := load(t, f, 25*time.Millisecond, 4, 60)
-	for turn := range 6 {
-		r := f.Runners[turn%2]
-		r.SetFault(worker.Fault{LateShare: 0.5, LateBy: time.Duration(turn%3) * 300 * time.Millisecond, LateStarts: true})
+	for round := range 6 {
+		r := f.Runners[round%2]
+		r.SetFault(worker.Fault{LateShare: 0.5, LateBy: time.Duration(round%3) * 300 * time.Millisecond, LateStarts: true})
 		time.Sleep(300 * time.Millisecond)
-		report := r.DelayedReport(t.Context())
+		sendDelayedReport := r.DelayedReport(t.Context())
 		r.Kill()
 		r.SetFault(worker.Fault{})
 		time.Sleep(300 * time.Millisecond)
 		r.Restart()
 		time.Sleep(300 * time.Millisecond)
-		report()
+		sendDelayedReport()
 		r.Deregister(t.Context(), r.Instance())
 	}
 	f.Runners[0].Drain()
--- a/e2e/fleet_size_test.go
+++ b/e2e/fleet_size_test.go
@@ -20,9 +20,9 @@
 func steadyLoad(t *testing.T, f *fleet.Fleet, entries []*fleet.Node, every time.Duration) (stop func() []string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
-	var wrong []string
-	var open sync.WaitGroup
-	open.Go(func() {
+	var failures []string
+	var inFlight sync.WaitGroup
+	inFlight.Go(func() {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
 		for i := 0; ; i++ {
@@ -32,7 +32,7 @@
 			case <-tick.C:
 			}
 			n := entries[i%len(entries)]
-			open.Go(func() {
+			inFlight.Go(func() {
 				j := fleet.NewJob(4, 60)
 				a := f.Try(t.Context(), n, fleet.Prefix, j)
 				if a.Status == http.StatusOK && a.State == "completed" {
@@ -41,14 +41,14 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				wrong = append(wrong, fmt.Sprintf("%s at %s: %d %s after %s", j.ID, n.ID, a.Status, a.Text, a.Took))
+				failures = append(failures, fmt.Sprintf("%s at %s: %d %s after %s", j.ID, n.ID, a.Status, a.Text, a.Took))
 			})
 		}
 	})
 	return func() []string {
 		cancel()
-		open.Wait()
-		return wrong
+		inFlight.Wait()
+		return failures
 	}
 }
 
@@ -73,23 +73,23 @@
 // not notice.
 func TestEntryJoinsUnderLoad(t *testing.T) {
 	f := startFleet(t, 4, 3)
-	joins := f.Entries[3]
-	joins.Process().Terminate()
-	<-joins.Process().Done()
+	joining := f.Entries[3]
+	joining.Process().Terminate()
+	<-joining.Process().Done()
 	stop := steadyLoad(t, f, f.Entries[:3], 40*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
-	assert.NilError(t, joins.Start())
+	assert.NilError(t, joining.Start())
 	ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 	defer cancel()
 	assert.NilError(t, eventually(ctx, func() error {
-		if !f.IsReady(joins) {
-			return fmt.Errorf("%s is not ready", joins.ID)
+		if !f.IsReady(joining) {
+			return fmt.Errorf("%s is not ready", joining.ID)
 		}
 		return nil
 	}))
-	joined := steadyLoad(t, f, f.Entries[3:], 40*time.Millisecond)
+	stopJoining := steadyLoad(t, f, f.Entries[3:], 40*time.Millisecond)
 	time.Sleep(time.Second)
-	assert.Equal(t, strings.Join(joined(), "\n"), "")
+	assert.Equal(t, strings.Join(stopJoining(), "\n"), "")
 	assert.Equal(t, strings.Join(stop(), "\n"), "")
 }
 
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -20,7 +20,7 @@
 )
 
 // startFleet starts a fleet, waits until it is ready, and fails the test at its end if the
-// judge found a violation.
+// fleet's checker (Judge) found a violation.
 func startFleet(t *testing.T, entries, guards int) *fleet.Fleet {
 	t.Helper()
 	return startFleetOf(t, fleet.Options{Entries: entries, Guards: guards})
@@ -35,9 +35,9 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		f.Close()
-		if faults := f.Judge.Violations(); len(faults) > 0 {
-			t.Errorf("broken promises:\n%s", strings.Join(faults, "\n"))
-			t.Logf("what the processes wrote of these jobs:\n%s", logLinesOfJobs(strings.Join(faults, "\n"), append(f.Entries, f.Guards...)))
+		if violations := f.Judge.Violations(); len(violations) > 0 {
+			t.Errorf("violations:\n%s", strings.Join(violations, "\n"))
+			t.Logf("log lines of these jobs:\n%s", logLinesOfJobs(strings.Join(violations, "\n"), append(f.Entries, f.Guards...)))
 		}
 		if t.Failed() {
 			for _, n := range append(f.Entries, f.Guards...) {
@@ -62,9 +62,9 @@
 var jobID = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
 // logLinesOfJobs returns the lines of all logs that name a job in the given violations.
-func logLinesOfJobs(faults string, nodes []*fleet.Node) string {
+func logLinesOfJobs(violations string, nodes []*fleet.Node) string {
 	named := map[string]bool{}
-	for _, id := range jobID.FindAllString(faults, -1) {
+	for _, id := range jobID.FindAllString(violations, -1) {
 		named[id] = true
 	}
 	var lines []string
@@ -84,9 +84,9 @@
 }
 
 // eventually retries until there is no error, or the context ends.
-func eventually(ctx context.Context, ask func() error) error {
+func eventually(ctx context.Context, check func() error) error {
 	for {
-		err := ask()
+		err := check()
 		if err == nil {
 			return nil
 		}
@@ -104,9 +104,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
 	got := map[int]int{}
-	var open sync.WaitGroup
-	var turn atomic.Int64
-	open.Go(func() {
+	var inFlight sync.WaitGroup
+	var next atomic.Int64
+	inFlight.Go(func() {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
 		for {
@@ -115,8 +115,8 @@
 				return
 			case <-tick.C:
 			}
-			open.Go(func() {
-				a := f.Submit(t.Context(), int(turn.Add(1)), fleet.NewJob(tasks, ms), 3)
+			inFlight.Go(func() {
+				a := f.Submit(t.Context(), int(next.Add(1)), fleet.NewJob(tasks, ms), 3)
 				mu.Lock()
 				got[a.Status]++
 				mu.Unlock()
@@ -125,7 +125,7 @@
 	})
 	return func() map[int]int {
 		cancel()
-		open.Wait()
+		inFlight.Wait()
 		return got
 	}
 }
@@ -191,7 +191,8 @@
 }
 
 // 30 % of the orders get no answer and are carried out 2 s later. A start without an answer
-// is fenced off, so it doesn't run beside the start that replaced it.
+// must be ruled out, by an acknowledged stop or the end of its lease, before another start
+// replaces it: otherwise both would run.
 func TestFleetLateOrders(t *testing.T) {
 	f := startFleet(t, 2, 3)
 	for _, r := range f.Runners {
@@ -224,23 +225,23 @@
 func TestFleetRunnerRestartsWithNewID(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	r := f.Runners[0]
-	held := r.DelayedReport(t.Context())
+	sendDelayedReport := r.DelayedReport(t.Context())
 	r.Crash()
 	time.Sleep(200 * time.Millisecond)
 	r.RestartWithNewID()
 	r.Report(t.Context())
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	serves := func() error {
+	submitOne := func() error {
 		if a := f.Submit(ctx, 0, fleet.NewJob(2, 10), 1); a.Status != 200 {
 			return fmt.Errorf("%d %s", a.Status, a.Text)
 		}
 		return nil
 	}
-	assert.NilError(t, eventually(ctx, serves))
-	held()
+	assert.NilError(t, eventually(ctx, submitOne))
+	sendDelayedReport()
 	for range 20 {
-		assert.NilError(t, serves())
+		assert.NilError(t, submitOne())
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -252,9 +253,9 @@
 	for _, n := range append(f.Entries, f.Guards...) {
 		n.Process().Hangup()
 	}
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	for range 12 {
-		open.Go(func() {
+		inFlight.Go(func() {
 			a := f.Try(t.Context(), f.Entries[0], fleet.Prefix, fleet.NewJob(1, 800))
 			assert.Check(t, a.Status == 200, "%d %s", a.Status, a.Text)
 		})
@@ -264,8 +265,8 @@
 	time.Sleep(50 * time.Millisecond)
 	assert.Assert(t, !f.IsReady(f.Entries[0]))
 	a := f.Try(t.Context(), f.Entries[0], fleet.Prefix, fleet.NewJob(1, 10))
-	assert.Equal(t, a.Status, 200, "new work is taken until the balancer has noticed: %s", a.Text)
-	open.Wait()
+	assert.Equal(t, a.Status, 200, "new work must be accepted until the balancer has noticed: %s", a.Text)
+	inFlight.Wait()
 	<-f.Entries[0].Process().Done()
 	assert.NilError(t, f.Entries[0].Process().Err())
 }
@@ -384,9 +385,9 @@
 	n.Process().Terminate()
 	<-n.Process().Done()
 	assert.NilError(t, n.Start())
-	again, cancelAgain := context.WithTimeout(t.Context(), 15*time.Second)
-	defer cancelAgain()
-	assert.NilError(t, f.AwaitReady(again))
+	restartCtx, cancelRestart := context.WithTimeout(t.Context(), 15*time.Second)
+	defer cancelRestart()
+	assert.NilError(t, f.AwaitReady(restartCtx))
 	answers := stop()
 	assert.Assert(t, answers[500]+answers[502]+answers[504] == 0, "%v", answers)
 	assert.Assert(t, answers[200] > 0, "%v", answers)
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -32,7 +32,7 @@
 	code string
 }
 
-const goodBody = `{"service":"teardown","tasks":[{"payload":""}]}`
+const validBody = `{"service":"teardown","tasks":[{"payload":""}]}`
 
 // post returns a job's request with further header lines.
 func post(body string, lines ...string) string {
@@ -62,17 +62,17 @@
 
 func badInputs() []badInput {
 	deep := strings.Repeat("[", 1<<20)
-	large := strings.Repeat(" ", 8<<20) + goodBody
+	large := strings.Repeat(" ", 8<<20) + validBody
 	long := strings.Repeat("a", 32<<10)
 	many := strings.Repeat("X-Many: value\r\n", 2000) + "X-Last: 1"
-	wrongToken := strings.Replace(post(goodBody), harness.Token("shop"), "wrong", 1)
-	longToken := strings.Replace(post(goodBody), harness.Token("shop"), long[:8<<10], 1)
-	basic := strings.Replace(post(goodBody), "Bearer "+harness.Token("shop"), "Basic c2hvcDo=", 1)
+	wrongToken := strings.Replace(post(validBody), harness.Token("shop"), "wrong", 1)
+	longToken := strings.Replace(post(validBody), harness.Token("shop"), long[:8<<10], 1)
+	basic := strings.Replace(post(validBody), "Bearer "+harness.Token("shop"), "Basic c2hvcDo=", 1)
 	return []badInput{
 		{"empty", post(""), 400, "bad_request"},
 		{"not JSON", post("teardown, please"), 400, "bad_request"},
-		{"cut JSON", post(goodBody[:20]), 400, "bad_request"},
-		{"trailing text", post(goodBody + goodBody), 400, "bad_request"},
+		{"cut JSON", post(validBody[:20]), 400, "bad_request"},
+		{"trailing text", post(validBody + validBody), 400, "bad_request"},
 		{"an array", post("[]"), 400, "bad_request"},
 		{"null", post("null"), 400, "bad_request"},
 		{"bytes of no text", post("\x00\xff\xfe"), 400, "bad_request"},
@@ -92,14 +92,14 @@
 		{"too deep in a payload", withTask(`{"payload":` + deep), 400, "bad_request"},
 		{"too large", post(large), 413, "body_too_large"},
 		{"too large without a length", chunked(large), 413, "body_too_large"},
-		{"body cut short", requestHead(http.MethodPost, "/v1/jobs", "Content-Length: 1000") + goodBody, 400, "bad_request"},
+		{"body cut short", requestHead(http.MethodPost, "/v1/jobs", "Content-Length: 1000") + validBody, 400, "bad_request"},
 		{"broken chunk", requestHead(http.MethodPost, "/v1/jobs", "Transfer-Encoding: chunked") + "zz\r\n", 400, "bad_request"},
-		{"another media type", post(goodBody, "Content-Type: text/xml"), 415, "unsupported_media_type"},
-		{"no media type at all", post(goodBody, "Content-Type: ;;"), 415, "unsupported_media_type"},
-		{"compressed", post(goodBody, "Content-Encoding: gzip"), 415, "unsupported_media_type"},
-		{"another digest", post(goodBody, "Content-Digest: sha-256=:"+strings.Repeat("A", 43)+"=:"), 400, "digest_mismatch"},
-		{"broken digest", post(goodBody, "Content-Digest: sha-256=:A"), 400, "bad_request"},
-		{"no token", withoutHeader(post(goodBody), "Authorization"), 401, "unauthenticated"},
+		{"another media type", post(validBody, "Content-Type: text/xml"), 415, "unsupported_media_type"},
+		{"no media type at all", post(validBody, "Content-Type: ;;"), 415, "unsupported_media_type"},
+		{"compressed", post(validBody, "Content-Encoding: gzip"), 415, "unsupported_media_type"},
+		{"another digest", post(validBody, "Content-Digest: sha-256=:"+strings.Repeat("A", 43)+"=:"), 400, "digest_mismatch"},
+		{"broken digest", post(validBody, "Content-Digest: sha-256=:A"), 400, "bad_request"},
+		{"no token", withoutHeader(post(validBody), "Authorization"), 401, "unauthenticated"},
 		{"wrong token", wrongToken, 401, "unauthenticated"},
 		{"long token", longToken, 401, "unauthenticated"},
 		{"another scheme", basic, 401, "unauthenticated"},
@@ -108,14 +108,14 @@
 		{"no id", requestHead(http.MethodGet, "/v1/submissions/none"), 404, "unknown_submission"},
 		{"an endless id", requestHead(http.MethodGet, "/v1/submissions/"+long[:8<<10]), 404, "unknown_submission"},
 		{"a broken path", requestHead(http.MethodGet, "/v1/submissions/%zz"), 400, ""},
-		{"long header", post(goodBody, "X-Long: "+long), 431, ""},
-		{"many headers", post(goodBody, many), 431, ""},
-		{"header of no name", post(goodBody, "bad name: 1"), 400, ""},
-		{"two lengths", post(goodBody, "Content-Length: 1"), 400, ""},
+		{"long header", post(validBody, "X-Long: "+long), 431, ""},
+		{"many headers", post(validBody, many), 431, ""},
+		{"header of no name", post(validBody, "bad name: 1"), 400, ""},
+		{"two lengths", post(validBody, "Content-Length: 1"), 400, ""},
 		{"negative length", requestHead(http.MethodPost, "/v1/jobs", "Content-Length: -1"), 400, ""},
-		{"no host", withoutHeader(post(goodBody), "Host"), 400, ""},
+		{"no host", withoutHeader(post(validBody), "Host"), 400, ""},
 		{"no HTTP", "EHLO entry\r\n\r\n", 400, ""},
-		{"unknown expectation", post(goodBody, "Expect: miracles"), 417, ""},
+		{"unknown expectation", post(validBody, "Expect: miracles"), 417, ""},
 	}
 }
 
@@ -192,7 +192,7 @@
 		t.Errorf("%s: %+v", in.name, a.Error)
 	}
 	if len(body) > 1000 {
-		t.Errorf("%s: an answer of %d bytes", in.name, len(body))
+		t.Errorf("%s: the answer has %d bytes", in.name, len(body))
 	}
 }
 
@@ -215,7 +215,7 @@
 	load := harness.StartLoad(t.Context(), "shop", 12, c.Entries, smallJobs)
 	var slow sync.WaitGroup
 	for range 50 {
-		slow.Go(func() { sendSlowly(t, e.Callers, "", post(goodBody), 0) })
+		slow.Go(func() { sendSlowly(t, e.Callers, "", post(validBody), 0) })
 		slow.Go(func() {
 			start := requestHead(http.MethodPost, "/v1/jobs", "Content-Length: 1000")
 			sendSlowly(t, e.Callers, start, strings.Repeat(" ", 1000), http.StatusRequestTimeout)
@@ -240,8 +240,8 @@
 	limit.Cur = limit.Max
 	assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
 	// Other tests and the load need file descriptors too.
-	const others = 2000
-	n := int(min(idleConnections, int64(limit.Cur)-others))
+	const otherFiles = 2000
+	n := int(min(idleConnections, int64(limit.Cur)-otherFiles))
 	if n < idleConnections {
 		t.Logf("the limit of open files allows %d of %d idle connections", n, idleConnections)
 	}
@@ -253,14 +253,14 @@
 func openIdleConnections(t *testing.T, address string, n int) []net.Conn {
 	t.Helper()
 	all := make([]net.Conn, n)
-	faults := make([]error, n)
+	errs := make([]error, n)
 	var workers sync.WaitGroup
 	const parallel = 64
 	for w := range parallel {
 		workers.Go(func() {
 			for i := w; i < n; i += parallel {
-				if all[i], faults[i] = net.Dial("tcp", address); faults[i] == nil {
-					faults[i] = checkHealth(all[i])
+				if all[i], errs[i] = net.Dial("tcp", address); errs[i] == nil {
+					errs[i] = checkHealth(all[i])
 				}
 			}
 		})
@@ -273,7 +273,7 @@
 			}
 		}
 	})
-	assert.NilError(t, errors.Join(faults...))
+	assert.NilError(t, errors.Join(errs...))
 	return all
 }
 
@@ -329,7 +329,7 @@
 
 func checkSlowSenderAnswer(t *testing.T, text []byte, status int) {
 	if string(text) == "nothing" {
-		t.Errorf("a slow sender is kept for %v", slowSenderLimit)
+		t.Errorf("the connection of a slow sender is still open after %v", slowSenderLimit)
 		return
 	}
 	if status == 0 {
--- a/e2e/replace_test.go
+++ b/e2e/replace_test.go
@@ -89,15 +89,15 @@
 	owner, other := c.Entries[0], c.Entries[1]
 	id := mintID(t, client, owner)
 	job := jobOf(30, `{"run":"1s","echo":"`+strings.Repeat("x", 1<<20)+`"}`)
-	passedOn := background(t, client, other.Callers, id, job)
+	forwarded := background(t, client, other.Callers, id, job)
 	waitStarted(t, c, id, 1)
 	assert.NilError(t, owner.Relay.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 300 * time.Millisecond}))
-	direct := putWithSlowReader(t, owner.Callers, id, client.Customer, job)
+	slowAnswer := putWithSlowReader(t, owner.Callers, id, client.Customer, job)
 	owner.Terminate()
 	waitPortClosed(t, owner.Callers)
-	answer, err := io.ReadAll(direct)
+	answer, err := io.ReadAll(slowAnswer)
 	assert.NilError(t, err)
-	r := <-passedOn
+	r := <-forwarded
 	assert.NilError(t, r.Err)
 	assert.Assert(t, r.Answer.OK(), "%d %+v", r.Answer.Status, r.Answer.Error)
 	assert.Equal(t, len(r.Answer.Tasks), len(job.Tasks))
@@ -115,11 +115,11 @@
 		s.DrainTimeout, s.ShutdownDelay = settings.Duration(5*time.Second), settings.Duration(10*time.Millisecond)
 	}})
 	id := mintID(t, client, c.Entries[0])
-	direct := putWithSlowReader(t, c.Entries[0].Callers, id, client.Customer, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
+	slowAnswer := putWithSlowReader(t, c.Entries[0].Callers, id, client.Customer, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
 	c.Entries[0].Terminate()
 	<-c.Entries[0].Done()
 	assert.ErrorContains(t, c.Entries[0].Err(), "exit status")
-	_, err := io.ReadAll(direct)
+	_, err := io.ReadAll(slowAnswer)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
@@ -130,16 +130,16 @@
 	parallel(t)
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 1})
 	id := mintID(t, client, c.Entries[0])
-	ends := c.Entries[1]
+	draining := c.Entries[1]
 	job := jobOf(1, `{"run":"13s","echo":1}`)
-	reply := background(t, client, ends.Callers, id, job)
+	reply := background(t, client, draining.Callers, id, job)
 	waitStarted(t, c, id, 1)
-	ends.Terminate()
+	draining.Terminate()
 	r := <-reply
 	assert.NilError(t, r.Err)
 	assert.Assert(t, r.Answer.OK(), "%d %+v", r.Answer.Status, r.Answer.Error)
-	<-ends.Done()
-	assert.NilError(t, ends.Err())
+	<-draining.Done()
+	assert.NilError(t, draining.Err())
 	judgeReplies(t, c, []harness.Reply{r})
 }
 
@@ -154,18 +154,18 @@
 
 // putWithSlowReader submits a job over a connection with a small receive buffer, and returns
 // a reader of the answer as soon as its header has arrived.
-func putWithSlowReader(t *testing.T, address, id, customer string, j harness.Job) io.Reader {
+func putWithSlowReader(t *testing.T, address, id, clientName string, j harness.Job) io.Reader {
 	t.Helper()
-	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
+	smallBuffer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10) })
 	}}
 	text, err := json.Marshal(j)
 	assert.NilError(t, err)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+address+"/v1/submissions/"+id, bytes.NewReader(text))
 	assert.NilError(t, err)
-	request.Header.Set("Authorization", "Bearer "+harness.Token(customer))
+	request.Header.Set("Authorization", "Bearer "+harness.Token(clientName))
 	request.Header.Set("Content-Type", "application/json")
-	response, err := (&http.Transport{DialContext: small.DialContext}).RoundTrip(request)
+	response, err := (&http.Transport{DialContext: smallBuffer.DialContext}).RoundTrip(request)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = response.Body.Close() })
 	assert.Equal(t, response.StatusCode, http.StatusOK)
@@ -264,14 +264,14 @@
 func TestRestartedEntryServesDuringStoreOutage(t *testing.T) {
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 2, NoRelays: true})
 	c.Store.SetMode(store.Down)
-	fresh := c.Entries[0]
-	fresh.Kill()
-	assert.NilError(t, c.RestartEntry(fresh))
+	newEntry := c.Entries[0]
+	newEntry.Kill()
+	assert.NilError(t, c.RestartEntry(newEntry))
 	assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
-	a, err := client.Run(t.Context(), fresh.Callers, jobOf(10, `{"run":"20ms","echo":1}`))
+	a, err := client.Run(t.Context(), newEntry.Callers, jobOf(10, `{"run":"20ms","echo":1}`))
 	assert.NilError(t, err)
 	assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
-	assert.Equal(t, revisionAt(t, fresh), revisionAt(t, c.Entries[1]))
+	assert.Equal(t, revisionAt(t, newEntry), revisionAt(t, c.Entries[1]))
 }
 
 // An entry that no guard knows starts while the store is down; the next announcement, which
@@ -285,15 +285,15 @@
 		GuardSettings: func(s *config.Settings) { s.Balancers = s.Balancers[:2] },
 	})
 	c.Store.SetMode(store.Down)
-	fresh := c.Spare[0]
-	assert.NilError(t, c.LaunchSpare(fresh))
-	assert.NilError(t, c.WaitEntry(fresh))
+	newEntry := c.Spare[0]
+	assert.NilError(t, c.LaunchSpare(newEntry))
+	assert.NilError(t, c.WaitEntry(newEntry))
 	// More tasks than one guard has slots.
-	a, err := client.Run(t.Context(), fresh.Callers, jobOf(12, `{"run":"20ms","echo":1}`))
+	a, err := client.Run(t.Context(), newEntry.Callers, jobOf(12, `{"run":"20ms","echo":1}`))
 	assert.NilError(t, err)
-	assert.Assert(t, a.OK(), "%d %+v\n%s", a.Status, a.Error, fresh.Log())
+	assert.Assert(t, a.OK(), "%d %+v\n%s", a.Status, a.Error, newEntry.Log())
 	for _, r := range c.Runners {
-		assert.Assert(t, r.Starts().Total > 0, "one of the guards got no task")
+		assert.Assert(t, r.Starts().Total > 0, "one of the runners got no task")
 	}
 }
 
@@ -324,28 +324,28 @@
 // One entry is partitioned from the store and still reaches its peers. Changes of a contract
 // reach it through them; its revision only increases, also when the store is reachable again.
 func TestChangesReachEntryPartitionedFromStore(t *testing.T) {
-	var cut *relay.Relay
+	var storeRelay *relay.Relay
 	c, _ := startCluster(t, harness.Options{
 		Entries: 3, Guards: 1, NoRelays: true,
 		EntrySettings: func(s *node.Settings) {
 			if s.ID == "entry-1" {
 				var err error
-				cut, err = harness.StoreRelay(t.Context(), s)
+				storeRelay, err = harness.StoreRelay(t.Context(), s)
 				assert.NilError(t, err)
 			}
 		},
 	})
 	entry := c.Entries[0]
-	assert.NilError(t, harness.Cut(cut))
+	assert.NilError(t, harness.Cut(storeRelay))
 	last := revisionAt(t, entry)
 	for rate := range 5 {
 		k := harness.Contract("shop")
 		k.Rate += float64(rate + 1)
 		assert.NilError(t, applyAt(t, c.Entries[1], k))
-		wanted := revisionAt(t, c.Entries[1])
-		last = waitRevision(t, entry, last, wanted)
+		target := revisionAt(t, c.Entries[1])
+		last = waitRevision(t, entry, last, target)
 	}
-	assert.NilError(t, harness.Mend(cut))
+	assert.NilError(t, harness.Mend(storeRelay))
 	for range 30 {
 		now := revisionAt(t, entry)
 		assert.Assert(t, now >= last, "revision went from %d to %d", last, now)
@@ -356,11 +356,11 @@
 
 // waitRevision waits until the entry has the revision, and checks that its revision never
 // decreases meanwhile.
-func waitRevision(t *testing.T, e *harness.Entry, last, wanted int64) int64 {
+func waitRevision(t *testing.T, e *harness.Entry, last, target int64) int64 {
 	t.Helper()
 	deadline := time.Now().Add(time.Minute)
-	for last < wanted {
-		assert.Assert(t, time.Now().Before(deadline), "%s stays at revision %d", e.ID, last)
+	for last < target {
+		assert.Assert(t, time.Now().Before(deadline), "%s is still at revision %d", e.ID, last)
 		now := revisionAt(t, e)
 		assert.Assert(t, now >= last, "revision went from %d to %d", last, now)
 		last = now
@@ -372,17 +372,17 @@
 // revisionAt returns the revision of the contract in force at one entry.
 func revisionAt(t *testing.T, e *harness.Entry) int64 {
 	t.Helper()
-	var held operator.ContractList
-	status, err := harness.Operate(t.Context(), e.Operators, http.MethodGet, "/v1/contracts", nil, &held)
+	var list operator.ContractList
+	status, err := harness.Operate(t.Context(), e.Operators, http.MethodGet, "/v1/contracts", nil, &list)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, len(held.Contracts), 1)
-	return held.Contracts[0].Revision
+	assert.Equal(t, len(list.Contracts), 1)
+	return list.Contracts[0].Revision
 }
 
 // applyAt applies a contract through one entry.
 func applyAt(t *testing.T, e *harness.Entry, k contract.Contract) error {
 	t.Helper()
-	one := harness.Cluster{Entries: []*harness.Entry{e}}
-	return one.Apply(t.Context(), k)
+	single := harness.Cluster{Entries: []*harness.Entry{e}}
+	return single.Apply(t.Context(), k)
 }
--- a/e2e/rest_test.go
+++ b/e2e/rest_test.go
@@ -26,13 +26,13 @@
 		EntrySettings: func(s *node.Settings) { s.Fleet.PingBytesPerSecond = 1 },
 		GuardSettings: func(s *config.Settings) { s.SessionLease = settings.Duration(lease) },
 	})
-	rest := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 24 {
-		pause := lease*6/10 + time.Duration(rest.Int64N(int64(lease)*6/10))
+		idle := lease*6/10 + time.Duration(random.Int64N(int64(lease)*6/10))
 		if i%8 == 7 {
-			pause = 5 * lease
+			idle = 5 * lease
 		}
-		time.Sleep(pause)
+		time.Sleep(idle)
 		ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 		a, err := client.Run(ctx, c.Entries[i%2].Callers, numberedJobs(i))
 		stop()
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -13,13 +13,13 @@
 // regressionSeeds are run every time: one with planned operations only, and one for each fault
 // that the soak test has found.
 var regressionSeeds = []struct {
-	seed uint64
-	why  string
+	seed   uint64
+	reason string
 }{
-	{5, "planned work only: no request may be cut, a configuration is in force within 2 s"},
-	{2, "a guard's stream to an entry went silent, and the entry had no runners for good"},
-	{11, "the same, by another way: no recovery"},
-	{1001, "a stop was lost with a session: tasks ran on, and a second time when their job was handed in again"},
+	{5, "planned operations only: no request may be cut, a configuration is in force within 2 s"},
+	{2, "a guard's stream to an entry went silent, and the entry never got runners again"},
+	{11, "the same fault with another cause: no recovery"},
+	{1001, "a stop order was lost with a session: tasks ran on, and ran twice once their job was resubmitted"},
 }
 
 // Guards against duplicate runs, exceeded capacity, false "not run" answers and missing
@@ -28,7 +28,7 @@
 	for _, k := range regressionSeeds {
 		t.Run(fmt.Sprint(k.seed), func(t *testing.T) {
 			report, err := soak.Run(t.Context(), soak.Options{Binaries: binaries, Dir: t.TempDir(), Seed: k.seed, Length: 8 * time.Second})
-			assert.NilError(t, err, "%s\n%s", k.why, report.Text())
+			assert.NilError(t, err, "%s\n%s", k.reason, report.Text())
 		})
 	}
 }
--- a/e2e/store_test.go
+++ b/e2e/store_test.go
@@ -128,7 +128,7 @@
 	r.stop()
 	r.done.Wait()
 	assert.Assert(t, r.seen > 0)
-	assert.Assert(t, len(r.decreases) == 0, "revisions went down: %v", r.decreases)
+	assert.Assert(t, len(r.decreases) == 0, "revisions decreased: %v", r.decreases)
 }
 
 // storeFault is one failure of the store and the result of a change during it.
@@ -209,18 +209,18 @@
 func runStoreFault(t *testing.T, c *harness.Cluster, f storeFault, version int) {
 	t.Helper()
 	begin := time.Now()
-	defer func() { t.Logf("store %s: %v in all", f.name, time.Since(begin).Round(time.Millisecond)) }()
-	through := c.Entries[version%len(c.Entries)]
+	defer func() { t.Logf("store fault %s: took %v", f.name, time.Since(begin).Round(time.Millisecond)) }()
+	entry := c.Entries[version%len(c.Entries)]
 	f.inject(c.Store)
-	_, err := through.Operator().Apply(t.Context(), shopContract(version), contracts.Precondition{AnyRevision: true})
+	_, err := entry.Operator().Apply(t.Context(), shopContract(version), contracts.Precondition{AnyRevision: true})
 	time.Sleep(f.hold)
 	f.heal(c.Store)
 	if f.code == "" {
 		assert.NilError(t, err)
 	} else {
 		assert.Assert(t, client.IsCode(err, f.code), "%v", err)
-		assert.Assert(t, !hasVersion(t, through, version), "a change said not to be made is in force")
-		applyVersion(t, through, version)
+		assert.Assert(t, !hasVersion(t, entry, version), "a refused change is in force")
+		applyVersion(t, entry, version)
 	}
 	waitVersion(t, c.Entries, version)
 }
@@ -254,12 +254,12 @@
 // waitVersionStored waits until the store holds the version.
 func waitVersionStored(t *testing.T, c *harness.Cluster, version int) {
 	t.Helper()
-	wanted := fmt.Sprintf(`"rate":%g`, shopContract(version).Rate)
+	want := fmt.Sprintf(`"rate":%g`, shopContract(version).Rate)
 	begin := time.Now()
 	for {
 		value, _ := c.Store.Value(shopKey)
 		current, _, _ := strings.Cut(string(value), `"history"`)
-		if strings.Contains(current, wanted) {
+		if strings.Contains(current, want) {
 			return
 		}
 		assert.Assert(t, time.Since(begin) < propagationLimit, "the store holds %s", value)
@@ -274,24 +274,24 @@
 func TestEntrySuspendedPastItsLease(t *testing.T) {
 	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, EntrySettings: shortTimeouts})
-	gone := harness.Contract("gone")
-	_, err := c.Entries[0].Operator().Apply(t.Context(), gone, contracts.Precondition{})
+	retired := harness.Contract("gone")
+	_, err := c.Entries[0].Operator().Apply(t.Context(), retired, contracts.Precondition{})
 	assert.NilError(t, err)
 	assert.NilError(t, c.WaitSettled(t.Context(), "gone"))
-	frozen := c.Entries[2]
+	suspended := c.Entries[2]
 	underLoad(t, c, c.Entries[:2], func() {
-		frozen.Freeze()
+		suspended.Freeze()
 		_, err := c.Entries[0].Operator().Retire(t.Context(), "gone", contracts.Precondition{AnyRevision: true})
 		assert.NilError(t, err)
 		applyVersion(t, c.Entries[1], 1)
 		time.Sleep(5 * time.Second)
-		late := harness.StartLoad(t.Context(), "gone", 4, []*harness.Entry{frozen}, smallJobs)
+		lateLoad := harness.StartLoad(t.Context(), "gone", 4, []*harness.Entry{suspended}, smallJobs)
 		time.Sleep(100 * time.Millisecond)
-		frozen.Thaw()
+		suspended.Thaw()
 		waitVersion(t, c.Entries, 1)
 		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
-		waitReplies(t, late, 50)
-		for _, r := range late.Stop() {
+		waitReplies(t, lateLoad, 50)
+		for _, r := range lateLoad.Stop() {
 			assert.NilError(t, r.Err)
 			assert.Equal(t, r.Answer.Ran(), "no", "%+v", r.Answer)
 		}
@@ -305,18 +305,18 @@
 	c, client := startCluster(t, harness.Options{Entries: 2, Spare: 1, Guards: 2, EntrySettings: shortTimeouts})
 	applyVersion(t, c.Entries[0], 1)
 	waitVersion(t, c.Entries, 1)
-	fresh := c.Spare[0]
+	newEntry := c.Spare[0]
 	underLoad(t, c, c.Entries, func() {
 		setMode(store.Down)(c.Store)
 		time.Sleep(time.Second)
-		assert.NilError(t, c.LaunchSpare(fresh))
-		assert.NilError(t, c.WaitEntry(fresh))
-		waitVersion(t, []*harness.Entry{fresh}, 1)
-		waitJobCompletes(t, fresh, client)
+		assert.NilError(t, c.LaunchSpare(newEntry))
+		assert.NilError(t, c.WaitEntry(newEntry))
+		waitVersion(t, []*harness.Entry{newEntry}, 1)
+		waitJobCompletes(t, newEntry, client)
 		setMode(store.Up)(c.Store)
 		applyVersion(t, c.Entries[0], 2)
-		waitVersion(t, append(c.Entries, fresh), 2)
-		waitJobCompletes(t, fresh, client)
+		waitVersion(t, append(c.Entries, newEntry), 2)
+		waitJobCompletes(t, newEntry, client)
 	})
 }
 
@@ -333,7 +333,7 @@
 		}
 		assert.Equal(t, a.Ran(), "no", "%+v", a.Error)
 		assert.Assert(t, a.RetryAfter != "", "%+v", a.Error)
-		assert.Assert(t, time.Since(begin) < propagationLimit, "%s does not serve: %+v", e.ID, a.Error)
+		assert.Assert(t, time.Since(begin) < propagationLimit, "%s completes no job: %+v", e.ID, a.Error)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -397,14 +397,14 @@
 	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, StoreRelays: true, EntrySettings: shortTimeouts})
 	seen := watchRevisions(t, c.Entries)
-	cut := c.Entries[2]
+	partitioned := c.Entries[2]
 	v := underLoad(t, c, c.Entries, func() {
-		setRelays(t, droppingLink, cut.StoreRelay)
+		setRelays(t, droppingLink, partitioned.StoreRelay)
 		time.Sleep(3 * time.Second)
 		applyVersion(t, c.Entries[0], 1)
 		waitVersion(t, c.Entries, 1)
-		setRelays(t, healthyLink, cut.StoreRelay)
-		applyVersion(t, cut, 2)
+		setRelays(t, healthyLink, partitioned.StoreRelay)
+		applyVersion(t, partitioned, 2)
 		waitVersion(t, c.Entries, 2)
 	})
 	seen.check(t)
@@ -418,21 +418,21 @@
 func TestEntryIsolated(t *testing.T) {
 	parallelPerCPU(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 2, StoreRelays: true, EntrySettings: shortTimeouts})
-	cut := c.Entries[1]
+	partitioned := c.Entries[1]
 	underLoad(t, c, c.Entries[:1], func() {
-		setRelays(t, droppingLink, cut.StoreRelay, cut.Relay, c.Entries[0].Relay)
-		waitIsolated(t, cut, client)
-		waitUnready(t, cut)
+		setRelays(t, droppingLink, partitioned.StoreRelay, partitioned.Relay, c.Entries[0].Relay)
+		waitIsolated(t, partitioned, client)
+		waitUnready(t, partitioned)
 		applyVersion(t, c.Entries[0], 1)
 		for range 10 {
-			a, err := client.Run(t.Context(), cut.Callers, jobOf(1, "{}"))
+			a, err := client.Run(t.Context(), partitioned.Callers, jobOf(1, "{}"))
 			assert.NilError(t, err)
 			assert.Equal(t, a.Ran(), "no")
 			time.Sleep(100 * time.Millisecond)
 		}
-		setRelays(t, healthyLink, cut.StoreRelay, cut.Relay, c.Entries[0].Relay)
+		setRelays(t, healthyLink, partitioned.StoreRelay, partitioned.Relay, c.Entries[0].Relay)
 		waitVersion(t, c.Entries, 1)
-		waitJobCompletes(t, cut, client)
+		waitJobCompletes(t, partitioned, client)
 	})
 }
 
@@ -449,7 +449,7 @@
 			t.Logf("isolated after %v", time.Since(begin).Round(time.Millisecond))
 			return
 		}
-		assert.Assert(t, time.Since(begin) < propagationLimit, "still serves")
+		assert.Assert(t, time.Since(begin) < propagationLimit, "the isolated entry still accepts work")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/e2e/submission_test.go
+++ b/e2e/submission_test.go
@@ -138,10 +138,10 @@
 // accepted, and it is not run again; the runners record one start.
 func TestRepeatAfterEviction(t *testing.T) {
 	parallel(t)
-	const keep = 300 * time.Millisecond
+	const retention = 300 * time.Millisecond
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
 		if s.ID == "entry-1" {
-			s.Callers.AnswerRetention = settings.Duration(keep)
+			s.Callers.AnswerRetention = settings.Duration(retention)
 		} else {
 			s.Callers.MaxKeptAnswerBytes = 2048
 		}
@@ -156,7 +156,7 @@
 			_, err = client.Put(answerLimit(t), owner.Callers, mintID(t, client, owner), job)
 			assert.NilError(t, err)
 		}
-		time.Sleep(2 * keep)
+		time.Sleep(2 * retention)
 		for _, e := range c.Entries {
 			forEachMethod(t, client, e.Callers, id, job, func(method string, a *harness.Answer) {
 				assertFailure(t, a, http.StatusGone, codeEvicted, "unknown")
@@ -173,9 +173,9 @@
 // when its id expired is still joined.
 func TestRepeatAfterExpiry(t *testing.T) {
 	parallel(t)
-	const keep = 100 * time.Millisecond
+	const retention = 100 * time.Millisecond
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
-		s.Callers.AnswerRetention = settings.Duration(keep)
+		s.Callers.AnswerRetention = settings.Duration(retention)
 	}})
 	owner, other := c.Entries[0], c.Entries[1]
 	used, unused, running := mintID(t, client, owner), mintID(t, client, owner), mintID(t, client, owner)
@@ -204,7 +204,7 @@
 	r := <-reply
 	assert.NilError(t, r.Err)
 	assert.Assert(t, r.Answer.OK() && bytes.Equal(joined.Body, r.Answer.Body), "%s\n%s", r.Answer.Body, joined.Body)
-	time.Sleep(2 * keep)
+	time.Sleep(2 * retention)
 	for _, e := range c.Entries {
 		assertExpired(e, running)
 	}
@@ -215,16 +215,16 @@
 // mintIDs mints n ids, rounded up, with several concurrent callers.
 func mintIDs(t *testing.T, client *harness.Client, e *harness.Entry, n int) {
 	t.Helper()
-	const each, at = 100, 16
-	var left atomic.Int64
-	left.Store(int64(n))
-	errs := make([]error, at)
+	const batch, workers = 100, 16
+	var remaining atomic.Int64
+	remaining.Store(int64(n))
+	errs := make([]error, workers)
 	var all sync.WaitGroup
 	ctx := answerLimit(t)
-	for i := range at {
+	for i := range workers {
 		all.Go(func() {
-			for errs[i] == nil && left.Add(-each) > -each {
-				_, errs[i] = client.Mint(ctx, e.Callers, each)
+			for errs[i] == nil && remaining.Add(-batch) > -batch {
+				_, errs[i] = client.Mint(ctx, e.Callers, batch)
 			}
 		})
 	}
@@ -298,7 +298,7 @@
 	begin := time.Now()
 	lost := 0
 	for lost < 3 {
-		assert.Assert(t, time.Since(begin) < time.Minute, "%s does not say that %s is lost", e.ID, id)
+		assert.Assert(t, time.Since(begin) < time.Minute, "%s does not report %s as lost", e.ID, id)
 		lost = 0
 		forEachMethod(t, client, e.Callers, id, j, func(_ string, a *harness.Answer) {
 			assert.Assert(t, a.Took < promptLimit, "%s", a.Took)
@@ -365,7 +365,7 @@
 		forEachMethod(t, client, other.Callers, id, job, func(method string, a *harness.Answer) {
 			t.Logf("%s answered after %s", method, a.Took.Round(time.Millisecond))
 			assertOwnerSilent(t, a)
-			assert.Assert(t, a.Took < promptLimit, "%s held for %s", method, a.Took)
+			assert.Assert(t, a.Took < promptLimit, "%s was answered only after %s", method, a.Took)
 		})
 	}
 	owner.Thaw()
@@ -396,7 +396,7 @@
 	reply := background(t, client, c.Entries[1].Callers, id, job)
 	waitStarted(t, c, id, 2)
 	owner.Kill()
-	r := <-reply // passed on by an entry that lives
+	r := <-reply // forwarded by an entry that is alive
 	assert.NilError(t, r.Err)
 	assertOwnerSilent(t, r.Answer)
 	for _, e := range c.Entries[1:] {
@@ -416,11 +416,11 @@
 func TestBulkCancel(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 3, Guards: 2, Slots: 4})
-	const wave = 40
+	const jobs = 40
 	job := jobOf(5, `{"run":"3s","echo":1}`)
 	var waiting []<-chan harness.Reply
 	var ids []string
-	for i := range wave {
+	for i := range jobs {
 		owner := c.Entries[i%len(c.Entries)]
 		id := mintID(t, client, owner)
 		ids = append(ids, id)
@@ -440,32 +440,32 @@
 		replies = append(replies, r)
 	}
 	c.WaitIdle(t.Context())
-	settled := c.Starts()
+	beforeLate := c.Starts()
 	wideJob := jobOf(8, `{"run":"300ms","echo":1}`)
 	wide, err := client.Run(answerLimit(t), c.Entries[2].Callers, wideJob)
 	assert.NilError(t, err)
 	assert.Assert(t, wide.OK(), "%d %+v", wide.Status, wide.Error)
 	v := judgeReplies(t, c, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
 	assert.Equal(t, v.Complete, 1)
-	assertLateStartsAllowed(t, c, settled, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
+	assertLateStartsAllowed(t, c, beforeLate, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
 }
 
-// assertLateStartsAllowed checks each task that the runners started after settled against
+// assertLateStartsAllowed checks each task that the runners started since beforeLate against
 // the answer to its caller. A start request can be in transit to a runner when its job is
 // cancelled: the caller is told that such a task may have run, and it may start once. Any
 // other start must be of a job that completed.
-func assertLateStartsAllowed(t *testing.T, c *harness.Cluster, settled harness.Starts, replies []harness.Reply) {
+func assertLateStartsAllowed(t *testing.T, c *harness.Cluster, beforeLate harness.Starts, replies []harness.Reply) {
 	t.Helper()
 	allowed := map[string]bool{}
 	for _, r := range replies {
 		for i := range r.Job.Tasks {
-			told := r.Answer.OK() || r.Answer.Tasks[i].Ran == "unknown"
-			allowed[fmt.Sprintf("%s/%d", r.Answer.Submission, i)] = told
+			mayStart := r.Answer.OK() || r.Answer.Tasks[i].Ran == "unknown"
+			allowed[fmt.Sprintf("%s/%d", r.Answer.Submission, i)] = mayStart
 		}
 	}
 	now := c.Starts()
 	for task, n := range now.Tasks {
-		late := n - settled.Tasks[task]
+		late := n - beforeLate.Tasks[task]
 		assert.Assert(t, late == 0 || allowed[task], "%s started after its job was cancelled", task)
 		assert.Assert(t, n == 1, "%s started %d times", task, n)
 	}
@@ -509,19 +509,19 @@
 func TestCancelOvertakesSubmission(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1})
-	way, front, err := c.FrontCallers(c.Entries[0])
+	callerRelay, relayed, err := c.FrontCallers(c.Entries[0])
 	assert.NilError(t, err)
-	held := healthyNetwork
-	held.ToTarget = "stall"
+	stalled := healthyNetwork
+	stalled.ToTarget = "stall"
 	for range 10 {
 		id := mintID(t, client, c.Entries[0])
-		assert.NilError(t, way.Set(held))
-		reply := background(t, client, front.Callers, id, jobOf(2, `{"echo":1}`))
+		assert.NilError(t, callerRelay.Set(stalled))
+		reply := background(t, client, relayed.Callers, id, jobOf(2, `{"echo":1}`))
 		a, err := client.Cancel(answerLimit(t), c.Entries[1].Callers, id)
 		assert.NilError(t, err)
 		assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
 		assert.Equal(t, a.Outcome, "cancelled")
-		assert.NilError(t, way.Set(healthyNetwork))
+		assert.NilError(t, callerRelay.Set(healthyNetwork))
 		r := <-reply
 		assert.NilError(t, r.Err)
 		assertFailure(t, r.Answer, http.StatusConflict, codeCancelled, "no")
