--- a/e2e/fleet_size_test.go
+++ b/e2e/fleet_size_test.go
@@ -15,14 +15,14 @@
 	"almondstand.dev/e2e/fleet"
 )
 
-// steady submits a job each few milliseconds, in turn at the entries, until stop is
-// called, which returns the answers that were no "completed". Nothing is tried again.
-func steady(t *testing.T, f *fleet.Fleet, entries []*fleet.Node, every time.Duration) (stop func() []string) {
+// steadyLoad submits a job at each interval, round robin over the entries, until stop is called,
+// which returns the answers other than "completed". No request is retried.
+func steadyLoad(t *testing.T, f *fleet.Fleet, entries []*fleet.Node, every time.Duration) (stop func() []string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
-	var wrong []string
-	var open sync.WaitGroup
-	open.Go(func() {
+	var failures []string
+	var inFlight sync.WaitGroup
+	inFlight.Go(func() {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
 		for i := 0; ; i++ {
@@ -32,7 +32,7 @@
 			case <-tick.C:
 			}
 			n := entries[i%len(entries)]
-			open.Go(func() {
+			inFlight.Go(func() {
 				j := fleet.NewJob(4, 60)
 				a := f.Try(t.Context(), n, fleet.Prefix, j)
 				if a.Status == http.StatusOK && a.State == "completed" {
@@ -41,23 +41,23 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				wrong = append(wrong, fmt.Sprintf("%s at %s: %d %s after %s", j.ID, n.ID, a.Status, a.Text, a.Took))
+				failures = append(failures, fmt.Sprintf("%s at %s: %d %s after %s", j.ID, n.ID, a.Status, a.Text, a.Took))
 			})
 		}
 	})
 	return func() []string {
 		cancel()
-		open.Wait()
-		return wrong
+		inFlight.Wait()
+		return failures
 	}
 }
 
-// Agents beside runners are stopped and started in turn, as an upgrade does it. Callers
-// wait for nothing but what the other runners can't take: no request fails, none is
-// turned away, no task runs twice and no answer is lost.
-func TestGuardsRolledInTurnCostNoRequest(t *testing.T) {
+// Guards are stopped and restarted in turn, as in a rolling upgrade. Callers wait only for the
+// capacity that the other runners lack: no request fails, none is rejected, no task runs twice
+// and no answer is lost.
+func TestRollingRestartOfGuardsFailsNoRequest(t *testing.T) {
 	f := startFleet(t, 3, 4)
-	stop := steady(t, f, f.Entries, 40*time.Millisecond)
+	stop := steadyLoad(t, f, f.Entries, 40*time.Millisecond)
 	for _, g := range f.Guards {
 		time.Sleep(300 * time.Millisecond)
 		g.Process().Terminate()
@@ -68,34 +68,34 @@
 	assert.Equal(t, strings.Join(stop(), "\n"), "")
 }
 
-// A host joins at an address that no settings name. Guards must find it through the
-// store and the other entries, its first callers must be served, and those of the others
-// must not notice.
+// An entry joins at an address that no settings name. Guards must find it through the store and
+// the other entries, its first callers must be served, and the callers of the other entries must
+// not notice.
 func TestEntryJoinsUnderLoad(t *testing.T) {
 	f := startFleet(t, 4, 3)
-	joins := f.Entries[3]
-	joins.Process().Terminate()
-	<-joins.Process().Done()
-	stop := steady(t, f, f.Entries[:3], 40*time.Millisecond)
+	joining := f.Entries[3]
+	joining.Process().Terminate()
+	<-joining.Process().Done()
+	stop := steadyLoad(t, f, f.Entries[:3], 40*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
-	assert.NilError(t, joins.Start())
+	assert.NilError(t, joining.Start())
 	ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 	defer cancel()
 	assert.NilError(t, eventually(ctx, func() error {
-		if !f.IsReady(joins) {
-			return fmt.Errorf("%s is not ready", joins.ID)
+		if !f.IsReady(joining) {
+			return fmt.Errorf("%s is not ready", joining.ID)
 		}
 		return nil
 	}))
-	joined := steady(t, f, f.Entries[3:], 40*time.Millisecond)
+	stopJoining := steadyLoad(t, f, f.Entries[3:], 40*time.Millisecond)
 	time.Sleep(time.Second)
-	assert.Equal(t, strings.Join(joined(), "\n"), "")
+	assert.Equal(t, strings.Join(stopJoining(), "\n"), "")
 	assert.Equal(t, strings.Join(stop(), "\n"), "")
 }
 
-// More entries than a guard serves. Guards find all of them through the three that their
-// settings name, keep sessions with twelve, and are released by the others; every entry
-// serves its callers, before and after one of them is killed, and no task runs twice.
+// Runs more entries than a guard serves. Guards discover all of them through the three seeds in
+// their settings, keep sessions with twelve, and are released by the others; every entry serves
+// its callers, before and after one of them is killed, and no task runs twice.
 func TestGuardsServeASubsetOfManyEntries(t *testing.T) {
 	const entries, guards = 15, 30
 	f := startFleetOf(t, fleet.Options{Entries: entries, Guards: guards, Direct: true})
@@ -112,7 +112,7 @@
 		}
 		return nil
 	}))
-	stop := steady(t, f, f.Entries[1:], 20*time.Millisecond)
+	stop := steadyLoad(t, f, f.Entries[1:], 20*time.Millisecond)
 	time.Sleep(time.Second)
 	f.Entries[0].Process().Kill()
 	time.Sleep(1500 * time.Millisecond)
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -10,30 +10,30 @@
 	"almondstand.dev/e2e/soak"
 )
 
-// keptSeeds are played on every run: one of planned work only, and one for each
-// fault that the soak has found.
-var keptSeeds = []struct {
-	seed uint64
-	why  string
+// regressionSeeds are run every time: one with planned operations only, and one for each fault
+// that the soak test has found.
+var regressionSeeds = []struct {
+	seed   uint64
+	reason string
 }{
-	{5, "planned work only: no request may be cut, a configuration is in force within 2 s"},
-	{2, "a guard's stream to an entry went silent, and the entry had no runners for good"},
-	{11, "the same, by another way: no recovery"},
-	{1001, "a stop was lost with a session: tasks ran on, and a second time when their job was handed in again"},
+	{5, "planned operations only: no request may be cut, a configuration is in force within 2 s"},
+	{2, "a guard's stream to an entry went silent, and the entry never got runners again"},
+	{11, "the same fault with another cause: no recovery"},
+	{1001, "a stop order was lost with a session: tasks ran on, and ran twice once their job was resubmitted"},
 }
 
-// Callers see runs doubled, capacity exceeded, false refusals or no recovery
-// under overlapping faults. Each seed that ever failed is played again.
+// Guards against duplicate runs, exceeded capacity, false "not run" answers and missing
+// recovery under overlapping faults. Each seed that ever failed is run again.
 func TestSoakSeeds(t *testing.T) {
-	for _, k := range keptSeeds {
+	for _, k := range regressionSeeds {
 		t.Run(fmt.Sprint(k.seed), func(t *testing.T) {
 			report, err := soak.Run(t.Context(), soak.Options{Binaries: binaries, Dir: t.TempDir(), Seed: k.seed, Length: 8 * time.Second})
-			assert.NilError(t, err, "%s\n%s", k.why, report.Text())
+			assert.NilError(t, err, "%s\n%s", k.reason, report.Text())
 		})
 	}
 }
 
-// The schedule follows from the seed alone.
+// The schedule depends on the seed alone.
 func TestSoakScheduleRepeats(t *testing.T) {
 	assert.DeepEqual(t, soak.Schedule(7, 8*time.Second), soak.Schedule(7, 8*time.Second))
 }
