--- a/bench/experiment/experiment.go
+++ b/bench/experiment/experiment.go
@@ -66,9 +66,9 @@
 type Client struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
-	// Urgency and AnswerTime are those of the contract, and so are Rate, Burst and
+	// Priority and AnswerTime are those of the contract, and so are Rate, Burst and
 	// InFlight if they are set.
-	Urgency    int               `json:"urgency"`
+	Priority   int               `json:"urgency"`
 	AnswerTime settings.Duration `json:"answer_time"`
 	Rate       float64           `json:"rate,omitempty"`
 	Burst      int               `json:"burst,omitempty"`
@@ -127,8 +127,8 @@
 		MaxRun:          settings.Duration(5 * time.Second),
 		MaxRetries:      2,
 		Clients: []Client{
-			{Name: "fitters", Weight: 3, Urgency: 8, AnswerTime: settings.Duration(10 * time.Second)},
-			{Name: "events", Weight: 1, Urgency: 2, AnswerTime: settings.Duration(20 * time.Second)},
+			{Name: "fitters", Weight: 3, Priority: 8, AnswerTime: settings.Duration(10 * time.Second)},
+			{Name: "events", Weight: 1, Priority: 2, AnswerTime: settings.Duration(20 * time.Second)},
 		},
 	}
 }
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -69,7 +69,7 @@
 		Bare:        e.Bare,
 		Slots:       e.Slots,
 		Connections: e.Connections,
-		Zones:       e.dataCentres(),
+		DataCentres: e.dataCentres(),
 		Delay:       e.Delay.Std(),
 		NoRelays:    e.Delay == 0,
 		EntryEnv:    []string{VariantEnv + "=" + string(variant)},
@@ -109,7 +109,7 @@
 	}
 	for _, c := range r.e.Clients {
 		k := harness.Contract(c.Name)
-		k.Priority = c.Urgency
+		k.Priority = c.Priority
 		k.AnswerTime = contract.Duration(c.AnswerTime)
 		if c.Rate > 0 {
 			k.Rate = c.Rate
@@ -123,7 +123,7 @@
 		if err := r.cluster.Apply(ctx, k); err != nil {
 			return err
 		}
-		if err := r.cluster.WaitSettled(ctx, c.Name); err != nil {
+		if err := r.cluster.WaitServing(ctx, c.Name); err != nil {
 			return err
 		}
 		r.clients[c.Name] = harness.NewClient(c.Name)
@@ -190,9 +190,9 @@
 		time.Sleep(f.For.Std())
 		r.cluster.Store.SetMode(store.Up)
 	case FreezeGuard:
-		r.cluster.Guards[f.Target].Freeze()
+		r.cluster.Guards[f.Target].Suspend()
 		time.Sleep(f.For.Std())
-		r.cluster.Guards[f.Target].Thaw()
+		r.cluster.Guards[f.Target].Resume()
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	starts := r.cluster.Starts()
 	out := r.result.Result(r.e.Name, r.e.Duration.Std())
-	out.Verdict = harness.Judge(starts, r.replies)
+	out.Verdict = harness.Check(starts, r.replies)
 	out.Starts = starts.Total
 	out.Messages = after.messages.minus(before.messages)
 	out.ComputeMessageCounts(len(r.replies))
--- a/bench/overhead/overhead.go
+++ b/bench/overhead/overhead.go
@@ -116,7 +116,7 @@
 	if err := c.Apply(ctx, harness.Contract(clientName)); err != nil {
 		return err
 	}
-	if err := c.WaitSettled(ctx, clientName); err != nil {
+	if err := c.WaitServing(ctx, clientName); err != nil {
 		return err
 	}
 	return measure(c)
--- a/bench/replay/large.go
+++ b/bench/replay/large.go
@@ -23,9 +23,9 @@
 		RunnerCPU: 32_000,
 		Sizes:     []float64{1, 1, 1.5},
 		Kinds: []Kind{
-			{Name: "wide", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeWideRate, Deadline: wait, Urgency: 0},
-			{Name: "long", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeLongRate, Deadline: 3 * wait, Urgency: 2},
-			{Name: "pair", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largePairRate, Deadline: wait, Urgency: 1},
+			{Name: "wide", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeWideRate, Deadline: wait, Priority: 0},
+			{Name: "long", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largeLongRate, Deadline: 3 * wait, Priority: 2},
+			{Name: "pair", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: largeTaskCPU, PerSecond: largePairRate, Deadline: wait, Priority: 1},
 		},
 		DataCentres: []DataCentre{
 			{Name: "a", Entries: 10, Runners: 40, Callers: 0.19, Addresses: 16},
--- a/bench/replay/load.go
+++ b/bench/replay/load.go
@@ -21,8 +21,8 @@
 	PerSecond float64
 	// Deadline is how long the caller waits.
 	Deadline time.Duration
-	// Urgency is that of the contract; 0 is the most urgent.
-	Urgency int
+	// Priority is that of the contract; 0 is the most urgent.
+	Priority int
 }
 
 // DataCentre is a data centre with its entries and runners and its share of the callers.
--- a/bench/replay/sim.go
+++ b/bench/replay/sim.go
@@ -236,7 +236,7 @@
 		Declared: time.Duration(float64(k.Run) * a.declared),
 	}}}
 	terms := e.sim.policy.Terms(planner.Terms{
-		Contract: k.Name, Service: service, Priority: k.Urgency, MaxAttempts: 2, TargetFactor: targetFactor, TargetMargin: targetAllowance,
+		Contract: k.Name, Service: service, Priority: k.Priority, MaxAttempts: 2, TargetFactor: targetFactor, TargetMargin: targetAllowance,
 	})
 	e.plan.Submit(e.sim.now, e.sim.now+k.Deadline, j, terms)
 	e.runPlanner()
--- a/bench/replay/thin.go
+++ b/bench/replay/thin.go
@@ -23,9 +23,9 @@
 		For:       12 * time.Second,
 		RunnerCPU: 16_000,
 		Kinds: []Kind{
-			{Name: "hold", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: 1600, PerSecond: thinHoldRate, Deadline: wait, Urgency: 0},
-			{Name: "quote", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 1600, PerSecond: thinQuoteRate, Deadline: 3 * wait, Urgency: 2},
-			{Name: "check", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 1600, PerSecond: thinCheckRate, Deadline: wait, Urgency: 1},
+			{Name: "hold", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: 1600, PerSecond: thinHoldRate, Deadline: wait, Priority: 0},
+			{Name: "quote", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 1600, PerSecond: thinQuoteRate, Deadline: 3 * wait, Priority: 2},
+			{Name: "check", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 1600, PerSecond: thinCheckRate, Deadline: wait, Priority: 1},
 		},
 		DataCentres: []DataCentre{
 			{Name: "a", Entries: 3, Runners: 17, Callers: 0.27},
--- a/bench/replay/travel.go
+++ b/bench/replay/travel.go
@@ -20,9 +20,9 @@
 		For:       14 * time.Second,
 		RunnerCPU: 16_000,
 		Kinds: []Kind{
-			{Name: "hold", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: 1600, PerSecond: holdRate, Deadline: wait, Urgency: 0},
-			{Name: "quote", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 1600, PerSecond: quoteRate, Deadline: 3 * wait, Urgency: 2},
-			{Name: "check", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 1600, PerSecond: checkRate, Deadline: wait, Urgency: 1},
+			{Name: "hold", Tasks: 8, Run: 60 * time.Millisecond, CPUMilli: 1600, PerSecond: holdRate, Deadline: wait, Priority: 0},
+			{Name: "quote", Tasks: 4, Run: 900 * time.Millisecond, CPUMilli: 1600, PerSecond: quoteRate, Deadline: 3 * wait, Priority: 2},
+			{Name: "check", Tasks: 2, Run: 200 * time.Millisecond, CPUMilli: 1600, PerSecond: checkRate, Deadline: wait, Priority: 1},
 		},
 		DataCentres: []DataCentre{
 			{Name: "a", Entries: 1, Runners: 4, Callers: 0.32},
--- a/bench/result/result.go
+++ b/bench/result/result.go
@@ -101,9 +101,9 @@
 	Processes           map[string]Process `json:"processes"`
 	// Cancellations summarizes the calls that cancelled a job, Recovery the recovery after a
 	// burst.
-	Cancels  *Cancellations  `json:"cancels,omitempty"`
-	Recovery *Recovery       `json:"back_after,omitempty"`
-	Verdict  harness.Verdict `json:"verdict"`
+	Cancels  *Cancellations      `json:"cancels,omitempty"`
+	Recovery *Recovery           `json:"back_after,omitempty"`
+	Verdict  harness.CheckResult `json:"verdict"`
 }
 
 // lateRatio is the ratio of response time to ideal response time above which a job
--- a/dispatch/baseline/baseline.go
+++ b/dispatch/baseline/baseline.go
@@ -131,8 +131,8 @@
 	IgnoreDataCentre bool `json:"no_zone,omitempty"`
 	// DeclaredOnly uses declared run times and disables learning.
 	DeclaredOnly bool `json:"declared_only,omitempty"`
-	// AdmitAll rejects no job for its forecast lateness.
-	AdmitAll bool `json:"admit_all,omitempty"`
+	// IgnoreLateness rejects no job for its forecast lateness.
+	IgnoreLateness bool `json:"admit_all,omitempty"`
 }
 
 // Apply returns the options with the changes that the variant selects.
@@ -177,7 +177,7 @@
 		o.DataCentre = ""
 	}
 	o.Estimate.DeclaredOnly = v.DeclaredOnly
-	o.IgnoreLateness = v.AdmitAll
+	o.IgnoreLateness = v.IgnoreLateness
 	return o, nil
 }
 
--- a/dispatch/placement/endpoint.go
+++ b/dispatch/placement/endpoint.go
@@ -48,8 +48,8 @@
 // Others returns the number of tasks held there for other entries, by the last report.
 func (e *Endpoint) Others() int { return e.others }
 
-// Leaving reports whether the endpoint is draining: no new task may be started there.
-func (e *Endpoint) Leaving() bool { return e.leaving }
+// Draining reports whether the endpoint is draining: no new task may be started there.
+func (e *Endpoint) Draining() bool { return e.leaving }
 
 // Excluded reports whether the endpoint is excluded from placement by SetExcluded.
 func (e *Endpoint) Excluded() bool { return e.excluded }
--- a/dispatch/planner/planner.go
+++ b/dispatch/planner/planner.go
@@ -139,8 +139,8 @@
 	StartIn, MaxWait time.Duration
 	// ExpectedRunTime is the expected run time of a task of the first step.
 	ExpectedRunTime time.Duration
-	// JobsWaiting counts the waiting jobs.
-	JobsWaiting int
+	// JobsAhead counts the waiting jobs.
+	JobsAhead int
 }
 
 // Forecast returns the forecast for an open job.
@@ -153,7 +153,7 @@
 		StartIn:         j.startBy - j.arrived,
 		MaxWait:         j.keepUntil - j.arrived,
 		ExpectedRunTime: j.expected[0],
-		JobsWaiting:     len(j.service.unstarted) + len(j.service.started),
+		JobsAhead:       len(j.service.unstarted) + len(j.service.started),
 	}
 }
 
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -13,8 +13,8 @@
 type Options struct {
 	// Order is the order of jobs; nil takes LeastWork.
 	Order Order
-	// NoFairQueueing turns fair queueing between clients off.
-	NoFairQueueing bool
+	// DisableFairQueueing turns fair queueing between clients off.
+	DisableFairQueueing bool
 	// Slack is how far a client may be ahead of its fair share, in time of the whole service.
 	// Zero enforces the share task by task.
 	Slack time.Duration
--- a/dispatch/queue/shares.go
+++ b/dispatch/queue/shares.go
@@ -83,7 +83,7 @@
 }
 
 func newShares(o Options) shares {
-	return shares{fair: !o.NoFairQueueing, slack: o.Slack, accounts: map[string]*account{}}
+	return shares{fair: !o.DisableFairQueueing, slack: o.Slack, accounts: map[string]*account{}}
 }
 
 // account returns the client's account and sets its current weight. The number of accounts is
--- a/dispatch/scheduler/machine_test.go
+++ b/dispatch/scheduler/machine_test.go
@@ -208,7 +208,7 @@
 	job := m.jobs[a.Task.Job]
 	if requeued {
 		assert.Assert(t, job != nil, "requeued a task of a job that is gone")
-		retryAllowed := outcome == scheduler.Refused
+		retryAllowed := outcome == scheduler.Rejected
 		retryAllowed = retryAllowed || job.Idempotent && (outcome == scheduler.Failed || outcome == scheduler.Lost)
 		assert.Assert(t, retryAllowed, "retried after verdict %d", outcome)
 		job.waiting[a.Task.Index] = true
@@ -234,7 +234,7 @@
 			t.Skip("the same assignment at the same time")
 		}
 	}
-	assert.Assert(t, !m.s.Done(m.now, a, scheduler.Result{Outcome: scheduler.Refused}))
+	assert.Assert(t, !m.s.Done(m.now, a, scheduler.Result{Outcome: scheduler.Rejected}))
 }
 
 func (m *machine) Drop(t *rapid.T) {
--- a/dispatch/scheduler/model_test.go
+++ b/dispatch/scheduler/model_test.go
@@ -428,7 +428,7 @@
 func (g *modelGuard) receive(st *modelStart) {
 	if g.m.Bound > 0 && g.running >= modelSlots && len(g.queue) >= g.m.Bound {
 		g.m.result.refusals++
-		g.answer(st, scheduler.Result{Outcome: scheduler.Refused})
+		g.answer(st, scheduler.Result{Outcome: scheduler.Rejected})
 		return
 	}
 	g.open[st.entry.id]++
--- a/dispatch/scheduler/options.go
+++ b/dispatch/scheduler/options.go
@@ -120,9 +120,9 @@
 
 func (o Options) queue() queue.Options {
 	return queue.Options{
-		Order:          o.Order,
-		NoFairQueueing: o.DisableFairQueueing,
-		Slack:          o.fairnessSlack(),
-		Ageing:         o.ageing(),
+		Order:               o.Order,
+		DisableFairQueueing: o.DisableFairQueueing,
+		Slack:               o.fairnessSlack(),
+		Ageing:              o.ageing(),
 	}
 }
--- a/dispatch/scheduler/scheduler.go
+++ b/dispatch/scheduler/scheduler.go
@@ -74,8 +74,8 @@
 	Completed Outcome = iota
 	// Failed: the endpoint reported a failure; the task ran or may have run.
 	Failed
-	// Refused: the endpoint refused the task, which definitely did not start.
-	Refused
+	// Rejected: the endpoint refused the task, which definitely did not start.
+	Rejected
 	// Lost: the endpoint could not be reached within the time budget; the task may have
 	// run.
 	Lost
@@ -186,9 +186,9 @@
 	// assignment counts as in flight until Done is called for it.
 	Next(now time.Time) (Assignment, bool)
 	// Done ends an assignment. It returns true when the task went back into the queue:
-	// after Refused unless the task's retry limit is reached or the job is gone, and
+	// after Rejected unless the task's retry limit is reached or the job is gone, and
 	// after Lost and Failed of an idempotent job as far as the retry budget allows.
-	// When it returns false after Refused, the owner fails the task as not run.
+	// When it returns false after Rejected, the owner fails the task as not run.
 	Done(now time.Time, a Assignment, r Result) (requeued bool)
 	// Drop removes a job and returns its queued tasks, which will never start.
 	// Assignments of the job that are still in flight must be ended by Done all the
--- a/dispatch/scheduler/scheduler_test.go
+++ b/dispatch/scheduler/scheduler_test.go
@@ -72,7 +72,7 @@
 		idempotent bool
 		starts     int
 	}{
-		{scheduler.Refused, false, 16},
+		{scheduler.Rejected, false, 16},
 		{scheduler.Failed, false, 1},
 		{scheduler.Lost, false, 1},
 		{scheduler.Failed, true, 2},
@@ -92,7 +92,7 @@
 			for ; !ok; a, ok = s.Next(now) {
 				now = s.NextWakeup(now)
 			}
-			assert.Assert(t, a.Endpoint != last || c.outcome == scheduler.Refused)
+			assert.Assert(t, a.Endpoint != last || c.outcome == scheduler.Rejected)
 			last = a.Endpoint
 			requeued = s.Done(now, a, scheduler.Result{Outcome: c.outcome})
 		}
@@ -113,7 +113,7 @@
 	assert.NilError(t, s.Admit(start, newJob("j", 6)))
 	now := start.Add(time.Second)
 	for _, a := range drain(s, start) {
-		s.Done(now, a, scheduler.Result{Outcome: scheduler.Refused})
+		s.Done(now, a, scheduler.Result{Outcome: scheduler.Rejected})
 	}
 	next := newJob("k", 4)
 	next.Deadline = start.Add(time.Minute)
--- a/dispatch/scheduler/settle.go
+++ b/dispatch/scheduler/settle.go
@@ -47,7 +47,7 @@
 // runTime returns how long the attempt occupied a slot.
 func runTime(now time.Time, ended *attempt, r Result) time.Duration {
 	switch {
-	case r.Outcome == Refused:
+	case r.Outcome == Rejected:
 		return 0
 	case r.RunTime > 0:
 		return r.RunTime
@@ -66,7 +66,7 @@
 	if !e.monitored {
 		return
 	}
-	if r.Outcome == Refused {
+	if r.Outcome == Rejected {
 		e.backOff(now, s.refusalBackoff())
 	}
 	if ended.probe && e.health.Probing() {
@@ -84,7 +84,7 @@
 		s.health.ProbeCompleted(now, record, ended.expected, run)
 	case Failed, Lost:
 		s.health.ProbeFailed(now, record, ended.healthTask(run))
-	case Refused, Cancelled:
+	case Rejected, Cancelled:
 		s.health.ProbeInconclusive(record)
 	}
 }
@@ -97,7 +97,7 @@
 		s.health.TaskCompleted(now, e.health, task)
 	case Failed, Lost:
 		s.health.TaskFailed(now, e.health, task)
-	case Refused, Cancelled:
+	case Rejected, Cancelled:
 		return
 	}
 	s.evaluate(now, e)
@@ -125,7 +125,7 @@
 	}
 	attempts := job.attempts[ended.index] + 1
 	switch r.Outcome {
-	case Refused:
+	case Rejected:
 		return attempts < maxRefusedStarts
 	case Failed:
 		return job.Idempotent && attempts < maxFailedStarts && s.budget.Spend()
--- a/e2e/cmd/almonddemo/main.go
+++ b/e2e/cmd/almonddemo/main.go
@@ -57,9 +57,9 @@
 	job.CPU = taskCPU
 	fmt.Printf("Submitting job %s: %d tasks of %d ms\n", job.ID, tasks, taskMs)
 	answer := f.Submit(ctx, 0, job, 1)
-	fmt.Printf("Answered %d %s after %d ms; the runners started %d tasks\n", answer.Status, strings.TrimSpace(answer.Text), answer.Took.Milliseconds(), f.Judge.Starts())
-	if answer.State != "completed" || f.Judge.Starts() != tasks || len(f.Judge.Violations()) > 0 {
-		return fmt.Errorf("%w: %v", errDemo, f.Judge.Violations())
+	fmt.Printf("Answered %d %s after %d ms; the runners started %d tasks\n", answer.Status, strings.TrimSpace(answer.Text), answer.Took.Milliseconds(), f.Checker.Starts())
+	if answer.State != "completed" || f.Checker.Starts() != tasks || len(f.Checker.Violations()) > 0 {
+		return fmt.Errorf("%w: %v", errDemo, f.Checker.Violations())
 	}
 	return printTimeline(f, job.ID)
 }
--- a/e2e/cmd/almondsoak/main.go
+++ b/e2e/cmd/almondsoak/main.go
@@ -132,5 +132,5 @@
 	path := filepath.Join(s.out, fmt.Sprintf("seed-%d.txt", seed))
 	_ = os.MkdirAll(s.out, 0o755)
 	_ = os.WriteFile(path, []byte(text), 0o644)
-	fmt.Printf("seed %d FAILED: %v; %d broken; report %s\n", seed, err, len(report.Broken), path)
+	fmt.Printf("seed %d FAILED: %v; %d broken; report %s\n", seed, err, len(report.Violations), path)
 }
--- a/e2e/combined_test.go
+++ b/e2e/combined_test.go
@@ -14,9 +14,9 @@
 
 // runDoubleFault injects two faults while callers retry their submissions under one id
 // until they get a final answer, as a well-behaved caller does, and judges all replies.
-func runDoubleFault(t *testing.T, c *harness.Cluster, clientName string, faults func(load *harness.Load)) harness.Verdict {
+func runDoubleFault(t *testing.T, c *harness.Cluster, clientName string, faults func(load *harness.Load)) harness.CheckResult {
 	t.Helper()
-	load := harness.StartRepeatingLoad(t.Context(), clientName, callers, c.Entries, retryTimeouts, numberedJobs)
+	load := harness.StartRetryingLoad(t.Context(), clientName, callers, c.Entries, retryTimeouts, numberedJobs)
 	waitReplies(t, load, 80)
 	faults(load)
 	waitReplies(t, load, load.Count()+150)
@@ -51,13 +51,13 @@
 	t.Helper()
 	if len(c.Guards) > 0 {
 		g := c.Guards[0]
-		return endpointFaults{g.Freeze, g.Thaw, g.Kill, func() { assert.NilError(t, c.RestartGuard(g)) }}
+		return endpointFaults{g.Suspend, g.Resume, g.Kill, func() { assert.NilError(t, c.RestartGuard(g)) }}
 	}
 	r := c.Runners[0].Relay
 	set := func(s relay.State) func() { return func() { assert.NilError(t, r.Set(s)) } }
 	return endpointFaults{
 		set(relay.State{ToTarget: relay.Stall, ToClient: relay.Stall}), set(healthyNetwork),
-		func() { assert.NilError(t, harness.Cut(r)) }, func() { assert.NilError(t, harness.Mend(r)) },
+		func() { assert.NilError(t, harness.Partition(r)) }, func() { assert.NilError(t, harness.Heal(r)) },
 	}
 }
 
@@ -80,7 +80,7 @@
 // sent and may run it, as no caller was told that it did not run. No task starts twice.
 func TestGuardSuspendedWhileEntryDies(t *testing.T) {
 	forGuardedAndBare(t, 3, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+		runDoubleFault(t, c, client.ClientAccount, func(load *harness.Load) {
 			e := firstEndpointFaults(t, c)
 			e.suspend()
 			waitReplies(t, load, load.Count()+20)
@@ -99,7 +99,7 @@
 // was written to a bare runner is unknown too, and is not written to another runner.
 func TestConnectionsSilentWhileGuardRestarts(t *testing.T) {
 	forGuardedAndBare(t, 2, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+		runDoubleFault(t, c, client.ClientAccount, func(load *harness.Load) {
 			for _, s := range blackholeDirections {
 				for _, r := range endpointRelays(c) {
 					r.Blackhole(s.toTarget, s.toClient)
@@ -120,12 +120,12 @@
 	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
 		restarted := c.Entries[0]
 		id := mintID(t, client, restarted)
-		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+		runDoubleFault(t, c, client.ClientAccount, func(load *harness.Load) {
 			c.Store.SetMode(store.CloseConnections)
 			waitReplies(t, load, load.Count()+50)
 			restarted.Kill()
 			assert.NilError(t, c.RestartEntry(restarted))
-			assert.NilError(t, c.WaitSettled(t.Context(), client.Customer))
+			assert.NilError(t, c.WaitServing(t.Context(), client.ClientAccount))
 			a, err := client.Run(answerLimit(t), restarted.Callers, jobOf(1, `{"echo":1}`))
 			assert.NilError(t, err)
 			assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
@@ -141,13 +141,13 @@
 // callers are told that the tasks may have run, and no task is started again.
 func TestEntryFrozenWhileGuardDies(t *testing.T) {
 	forGuardedAndBare(t, 2, 3, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
-		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
-			c.Entries[0].Freeze()
+		runDoubleFault(t, c, client.ClientAccount, func(load *harness.Load) {
+			c.Entries[0].Suspend()
 			waitReplies(t, load, load.Count()+20)
 			e := firstEndpointFaults(t, c)
 			e.kill()
 			time.Sleep(2 * time.Second)
-			c.Entries[0].Thaw()
+			c.Entries[0].Resume()
 			e.restart()
 		})
 	})
@@ -160,7 +160,7 @@
 func TestPeerAndGuardConnectionsSilent(t *testing.T) {
 	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
 		relays := append(endpointRelays(c), c.Entries[0].Relay, c.Entries[1].Relay)
-		v := runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+		v := runDoubleFault(t, c, client.ClientAccount, func(load *harness.Load) {
 			for range 2 {
 				for _, r := range relays {
 					r.Blackhole(true, true)
@@ -170,7 +170,7 @@
 		})
 		if len(c.Guards) > 0 {
 			assert.Equal(t, v.Unknown, 0)
-			assert.Equal(t, v.Failed+v.Refused, 0)
+			assert.Equal(t, v.Failed+v.Rejected, 0)
 		}
 	})
 }
@@ -182,7 +182,7 @@
 	forGuardedAndBare(t, 2, 2, func(t *testing.T, c *harness.Cluster, client *harness.Client) {
 		restarted := c.Entries[0]
 		ids := []string{mintID(t, client, restarted)}
-		runDoubleFault(t, c, client.Customer, func(load *harness.Load) {
+		runDoubleFault(t, c, client.ClientAccount, func(load *harness.Load) {
 			restarted.Kill()
 			assert.NilError(t, c.RestartEntry(restarted))
 			waitReplies(t, load, load.Count()+30)
@@ -211,9 +211,9 @@
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
 	runDoubleFault(t, c, "shop", func(*harness.Load) {
 		setGuardRelays(t, c.Guards[:1], relay.State{ToTarget: relay.Stall, ToClient: relay.Stall})
-		c.Guards[0].Freeze()
+		c.Guards[0].Suspend()
 		time.Sleep(2 * time.Second)
-		c.Guards[0].Thaw()
+		c.Guards[0].Resume()
 		time.Sleep(time.Second)
 		setGuardRelays(t, c.Guards[:1], healthyNetwork)
 	})
--- a/e2e/connection_test.go
+++ b/e2e/connection_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	c, _ := startCluster(t, o)
 	assert.NilError(t, c.Apply(t.Context(), k))
-	assert.NilError(t, c.WaitSettled(t.Context(), k.Client))
+	assert.NilError(t, c.WaitServing(t.Context(), k.Client))
 	return c, harness.NewClient(k.Client)
 }
 
@@ -82,13 +82,13 @@
 }
 
 // judgeReplies checks replies against the starts recorded by the runners, once no task runs.
-func judgeReplies(t *testing.T, c *harness.Cluster, replies []harness.Reply) harness.Verdict {
+func judgeReplies(t *testing.T, c *harness.Cluster, replies []harness.Reply) harness.CheckResult {
 	t.Helper()
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
+	v := harness.Check(c.Starts(), replies)
 	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v; longest answer %s",
-		v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown, v.Codes, longestAnswer(replies))
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+		v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown, v.Codes, longestAnswer(replies))
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 	assertAnswersMatchTasks(t, replies)
 	return v
 }
@@ -135,7 +135,7 @@
 // the queue, can delay an answer.
 const callers = 8
 
-var retryTimeouts = harness.Patience{Attempt: time.Second, All: time.Minute}
+var retryTimeouts = harness.RetryPolicy{PerTryTimeout: time.Second, Timeout: time.Minute}
 
 // Callers' connections to the entries go silent. A caller times out after a second and
 // retries under the same id at another entry over a new connection; the first request
@@ -147,16 +147,16 @@
 	var relayedEntries []*harness.Entry
 	var relays []*relay.Relay
 	for _, e := range c.Entries {
-		r, relayed, err := c.FrontCallers(e)
+		r, relayed, err := c.RelayCallers(e)
 		assert.NilError(t, err)
 		relayedEntries = append(relayedEntries, relayed)
 		relays = append(relays, r)
 	}
-	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, relayedEntries, retryTimeouts, numberedJobs)
+	load := harness.StartRetryingLoad(t.Context(), "shop", callers, relayedEntries, retryTimeouts, numberedJobs)
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, relays...)
 	v := judgeReplies(t, c, load.Stop())
-	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Refused+v.NoAnswer)
+	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Rejected+v.NoAnswer)
 }
 
 // The connections between entries go silent, so that requests forwarded to the owner, or
@@ -167,12 +167,12 @@
 	parallel(t)
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 2})
 	// Each submission goes first to the entry that does not own it, so that it is forwarded.
-	load := harness.StartRepeatingLoad(t.Context(), "shop", callers, c.Entries,
-		harness.Patience{Attempt: 10 * time.Second, All: time.Minute}, numberedJobs)
+	load := harness.StartRetryingLoad(t.Context(), "shop", callers, c.Entries,
+		harness.RetryPolicy{PerTryTimeout: 10 * time.Second, Timeout: time.Minute}, numberedJobs)
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, c.Entries[0].Relay, c.Entries[1].Relay)
 	v := judgeReplies(t, c, load.Stop())
-	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Refused+v.NoAnswer)
+	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Rejected+v.NoAnswer)
 }
 
 // The connections from the entries to all guards go silent, with starts and results in
@@ -183,13 +183,13 @@
 func TestGuardConnectionsSilent(t *testing.T) {
 	parallel(t)
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
-	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
+	load := harness.StartLoad(t.Context(), client.ClientAccount, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, guardRelays(c)...)
 	replies := load.Stop()
 	v := judgeReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
-	assert.Equal(t, v.Failed+v.Refused+v.NoAnswer, 0)
+	assert.Equal(t, v.Failed+v.Rejected+v.NoAnswer, 0)
 	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
 
@@ -208,7 +208,7 @@
 func TestTemporaryGuardNetworkOutage(t *testing.T) {
 	parallel(t)
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
-	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
+	load := harness.StartLoad(t.Context(), client.ClientAccount, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	for _, s := range []relay.State{
 		{ToTarget: relay.Stall, ToClient: relay.Pass},
@@ -243,7 +243,7 @@
 func TestRepliesLateAndReordered(t *testing.T) {
 	parallel(t)
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 3})
-	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
+	load := harness.StartLoad(t.Context(), client.ClientAccount, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	for _, delay := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond} {
 		slow := healthyNetwork
@@ -279,7 +279,7 @@
 
 func blackholeRunnerUnderLoad(t *testing.T, c *harness.Cluster, client *harness.Client) {
 	t.Helper()
-	load := harness.StartLoad(t.Context(), client.Customer, callers, c.Entries, numberedJobs)
+	load := harness.StartLoad(t.Context(), client.ClientAccount, callers, c.Entries, numberedJobs)
 	waitReplies(t, load, 100)
 	for _, s := range blackholeDirections {
 		n := c.Runners[0].Relay.Blackhole(s.toTarget, s.toClient)
@@ -306,5 +306,5 @@
 			assert.NilError(t, err)
 		}
 	}
-	assert.Equal(t, c.Starts().Doubles, 0)
+	assert.Equal(t, c.Starts().Duplicates, 0)
 }
--- a/e2e/contract_test.go
+++ b/e2e/contract_test.go
@@ -113,7 +113,7 @@
 		current = changeConcurrently(t, c, &h, round, current)
 	}
 	assert.Equal(t, porcupine.CheckOperations(registerModel, h.ops), true)
-	_, err := harness.WaitInForce(t.Context(), c.Entries, "raced", current.revision)
+	_, err := harness.WaitContractApplied(t.Context(), c.Entries, "raced", current.revision)
 	assert.NilError(t, err)
 }
 
@@ -153,7 +153,7 @@
 	var h history
 	first, err := h.recordChange(t, 0, c.Entries[0], compareAndSwap{rate: 1})
 	assert.NilError(t, err)
-	_, err = harness.WaitInForce(t.Context(), c.Entries, "raced", first.version.revision)
+	_, err = harness.WaitContractApplied(t.Context(), c.Entries, "raced", first.version.revision)
 	assert.NilError(t, err)
 	var all sync.WaitGroup
 	accepted := make([]int, 6)
@@ -193,7 +193,7 @@
 			last = out.version
 		}
 	}
-	_, err := harness.WaitInForce(t.Context(), c.Entries, "raced", last.revision)
+	_, err := harness.WaitContractApplied(t.Context(), c.Entries, "raced", last.revision)
 	assert.NilError(t, err)
 	for _, e := range c.Entries {
 		v, err := e.Operator().Contract(t.Context(), "raced")
@@ -235,9 +235,9 @@
 	assert.Equal(t, status, everywhere, text)
 	assert.Assert(t, strings.Contains(text, "in force on 3 of 3 live entries"), text)
 	declare(2)
-	c.Entries[2].Freeze()
+	c.Entries[2].Suspend()
 	text, status = runOperatorCommand(t, c.Entries[0], "contract", "apply", "--wait=2s", file)
-	c.Entries[2].Thaw()
+	c.Entries[2].Resume()
 	assert.Equal(t, status, notEverywhere, text)
 	assert.Assert(t, strings.Contains(text, "in force on 2 of 3 live entries"), text)
 	assert.Assert(t, strings.Contains(text, c.Entries[2].ID), text)
@@ -255,7 +255,7 @@
 	parallelPerCPU(t)
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2})
 	assert.NilError(t, c.Apply(t.Context(), harness.Contract("gone")))
-	assert.NilError(t, c.WaitSettled(t.Context(), "gone"))
+	assert.NilError(t, c.WaitServing(t.Context(), "gone"))
 	v := underLoad(t, c, c.Entries, func() {
 		load := harness.StartLoad(t.Context(), "gone", 6, c.Entries, smallJobs)
 		waitReplies(t, load, 20)
@@ -386,7 +386,7 @@
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 2, Slots: 32, NoRelays: true})
 	begin := time.Now()
 	assert.NilError(t, c.Apply(t.Context(), limitedContract(rate, burst, 10000)))
-	assert.NilError(t, c.WaitSettled(t.Context(), "narrow"))
+	assert.NilError(t, c.WaitServing(t.Context(), "narrow"))
 	checkLimit := func(accepted int64) {
 		t.Helper()
 		limit := rate*time.Since(begin).Seconds() + burst
@@ -429,7 +429,7 @@
 	const limit = 12
 	c, _ := startCluster(t, harness.Options{Entries: 3, Guards: 1, Slots: 64, NoRelays: true})
 	assert.NilError(t, c.Apply(t.Context(), limitedContract(10000, 10000, limit)))
-	assert.NilError(t, c.WaitSettled(t.Context(), "narrow"))
+	assert.NilError(t, c.WaitServing(t.Context(), "narrow"))
 	load := startCountingLoad(t, c.Entries, 30, `{"run":"100ms"}`)
 	time.Sleep(3 * time.Second)
 	accepted := load.finish()
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -16,7 +16,7 @@
 
 // underLoad injects a failure while callers submit jobs, then checks every reply against
 // the starts recorded by the runners.
-func underLoad(t *testing.T, c *harness.Cluster, entries []*harness.Entry, failure func()) harness.Verdict {
+func underLoad(t *testing.T, c *harness.Cluster, entries []*harness.Entry, failure func()) harness.CheckResult {
 	t.Helper()
 	load := harness.StartLoad(t.Context(), "shop", 24, entries, smallJobs)
 	waitReplies(t, load, 100)
@@ -24,9 +24,9 @@
 	waitReplies(t, load, load.Count()+200)
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
-	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown)
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+	v := harness.Check(c.Starts(), replies)
+	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown)
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 	return v
 }
 
@@ -67,9 +67,9 @@
 func TestGuardSuspendedAndResumedUnderLoad(t *testing.T) {
 	c, _ := startCluster(t, harness.Options{Entries: 2, Guards: 3})
 	underLoad(t, c, c.Entries, func() {
-		c.Guards[0].Freeze()
+		c.Guards[0].Suspend()
 		time.Sleep(6 * time.Second)
-		c.Guards[0].Thaw()
+		c.Guards[0].Resume()
 	})
 }
 
@@ -101,8 +101,8 @@
 	assert.NilError(t, drained.Err())
 	replies = append(replies, other.Stop()...)
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
+	v := harness.Check(c.Starts(), replies)
 	assert.Equal(t, v.NoAnswer, 0)
 	assert.Equal(t, v.Failed, 0)
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 }
--- a/e2e/endpoint_test.go
+++ b/e2e/endpoint_test.go
@@ -31,21 +31,21 @@
 }
 
 // runLoad runs a load until it has n replies and judges them.
-func runLoad(t *testing.T, c *harness.Cluster, n int, job func(int) harness.Job) harness.Verdict {
+func runLoad(t *testing.T, c *harness.Cluster, n int, job func(int) harness.Job) harness.CheckResult {
 	t.Helper()
 	load := harness.StartLoad(t.Context(), "shop", 24, c.Entries, job)
 	waitReplies(t, load, n)
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
-	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v", v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown, v.Codes)
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+	v := harness.Check(c.Starts(), replies)
+	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v", v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown, v.Codes)
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 	return v
 }
 
-func assertAllComplete(t *testing.T, v harness.Verdict) {
+func assertAllComplete(t *testing.T, v harness.CheckResult) {
 	t.Helper()
-	assert.Equal(t, v.Failed+v.NoAnswer+v.Refused, 0, "%v, no answer %d", v.Codes, v.NoAnswer)
+	assert.Equal(t, v.Failed+v.NoAnswer+v.Rejected, 0, "%v, no answer %d", v.Codes, v.NoAnswer)
 }
 
 // A guard is terminated under load. It rejects new starts itself, also those of entries
@@ -108,9 +108,9 @@
 	forEachEndpointKind(t, func(t *testing.T, c *harness.Cluster) {
 		restarted := c.Runners[0]
 		underLoad(t, c, c.Entries, func() {
-			assert.NilError(t, harness.Cut(restarted.Relay))
+			assert.NilError(t, harness.Partition(restarted.Relay))
 			time.Sleep(time.Second)
-			assert.NilError(t, harness.Mend(restarted.Relay))
+			assert.NilError(t, harness.Heal(restarted.Relay))
 			waitStarts(t, restarted, 50)
 		})
 		assertAllComplete(t, runLoad(t, c, 100, smallJobs))
@@ -194,7 +194,7 @@
 	small.Services = []string{harness.Service, "not-there"}
 	changed, err := c.Entries[0].Operator().Apply(t.Context(), small, contracts.Precondition{})
 	assert.NilError(t, err)
-	_, err = harness.WaitInForce(t.Context(), c.Entries, "small", changed.Revision)
+	_, err = harness.WaitContractApplied(t.Context(), c.Entries, "small", changed.Revision)
 	assert.NilError(t, err)
 	unknown, empty := jobOf(1, "{}"), jobOf(0, "{}")
 	unknown.Service = "unheard-of"
--- a/e2e/fleet/caller.go
+++ b/e2e/fleet/caller.go
@@ -14,9 +14,9 @@
 	"almondstand.dev/standin/caller"
 )
 
-// Resend is the delay before a caller submits a job again after it got no answer. It
+// ResubmitDelay is the delay before a caller submits a job again after it got no answer. It
 // equals the platform's bound of the same name.
-const Resend = 1300 * time.Millisecond
+const ResubmitDelay = 1300 * time.Millisecond
 
 // Job is a job with its submission id and deadline.
 type Job struct {
@@ -44,8 +44,8 @@
 	Took       time.Duration
 }
 
-// Try submits a job to an entry once, without retries.
-func (f *Fleet) Try(ctx context.Context, n *Node, path string, j Job) Answer {
+// SubmitOnce submits a job to an entry once, without retries.
+func (f *Fleet) SubmitOnce(ctx context.Context, n *Node, path string, j Job) Answer {
 	return f.Post(ctx, n, path+j.ID, j.Body(), strconv.FormatInt(j.Deadline.Milliseconds(), 10))
 }
 
@@ -56,7 +56,7 @@
 	timeoutMs, _ := strconv.Atoi(deadlineMs)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(max(timeoutMs, 500))*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Front+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.CallersAddress+path, bytes.NewReader(body))
 	if err != nil {
 		return Answer{Text: err.Error()}
 	}
@@ -70,7 +70,7 @@
 
 // Get sends a GET request to an entry.
 func (f *Fleet) Get(ctx context.Context, n *Node, path string) Answer {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Front+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.CallersAddress+path, nil)
 	if err != nil {
 		return Answer{Text: err.Error()}
 	}
@@ -96,14 +96,14 @@
 }
 
 // Submit submits a job as a caller does: after no answer, 502 or 504 it submits the job to
-// the next entry after Resend, with at most the given number of tries. It reports the outcome
-// to Judge.
+// the next entry after ResubmitDelay, with at most the given number of tries. It reports the outcome
+// to Checker.
 func (f *Fleet) Submit(ctx context.Context, first int, j Job, tries int) Answer {
 	return f.submit(ctx, first, j, tries, true)
 }
 
 // Resubmit is Submit for a job whose caller did not wait for the answer to an earlier
-// attempt. A rejection is not reported to Judge, since that attempt may have started the job.
+// attempt. A rejection is not reported to Checker, since that attempt may have started the job.
 func (f *Fleet) Resubmit(ctx context.Context, first int, j Job, tries int) Answer {
 	return f.submit(ctx, first, j, tries, false)
 }
@@ -113,16 +113,16 @@
 func (f *Fleet) submit(ctx context.Context, first int, j Job, tries int, allRejected bool) Answer {
 	var a Answer
 	for attempt := range tries {
-		a = f.Try(ctx, f.Entries[(first+attempt)%len(f.Entries)], Prefix, j)
+		a = f.SubmitOnce(ctx, f.Entries[(first+attempt)%len(f.Entries)], Prefix, j)
 		switch a.Status {
 		case http.StatusOK:
 			if a.State == "completed" {
-				f.Judge.JobCompleted(j.ID, j.Tasks)
+				f.Checker.JobCompleted(j.ID, j.Tasks)
 			}
 			return a
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
 			if allRejected {
-				f.Judge.JobRejected(j.ID)
+				f.Checker.JobRejected(j.ID)
 			}
 			return a
 		}
@@ -130,7 +130,7 @@
 		select {
 		case <-ctx.Done():
 			return a
-		case <-time.After(Resend):
+		case <-time.After(ResubmitDelay):
 		}
 	}
 	return a
--- a/e2e/fleet/fleet.go
+++ b/e2e/fleet/fleet.go
@@ -44,24 +44,24 @@
 	Dir      string
 	Entries  int
 	Guards   int
-	// Direct connects guards, runners and entries without relays. The relays run in the
+	// NoRelays connects guards, runners and entries without relays. The relays run in the
 	// test's own process, which is a second late on a busy host with some 400 sessions.
-	Direct bool
+	NoRelays bool
 }
 
 // Fleet is a set of processes and stand-ins.
 type Fleet struct {
 	options Options
 	Store   *metastore.Store
-	Judge   *worker.Checker
+	Checker *worker.Checker
 	// Entries and Guards are ordered by the number in their ids.
 	Entries []*Node
 	Guards  []*Node
 	Runners []*worker.Runner
-	// EntryNets holds the relay from the guards and other entries to each entry; it is empty
-	// with Direct. RunnerNets holds the relay from each guard to its runner, unused with Direct.
-	EntryNets  []*relay.Relay
-	RunnerNets []*relay.Relay
+	// EntryRelays holds the relay from the guards and other entries to each entry; it is empty
+	// with NoRelays. RunnerRelays holds the relay from each guard to its runner, unused with NoRelays.
+	EntryRelays  []*relay.Relay
+	RunnerRelays []*relay.Relay
 
 	configVersion int
 	cancel        context.CancelFunc
@@ -74,16 +74,16 @@
 type Node struct {
 	ID string
 	IP string
-	// Outside is the IP at which guards and other entries reach an entry: the IP of its relay,
-	// or with Options.Direct its own.
-	Outside      string
-	Front        string
-	Ready        string
-	Control      string
-	Metrics      string
-	settingsFile string
-	binary       string
-	args         []string
+	// AdvertisedIP is the IP at which guards and other entries reach an entry: the IP of its relay,
+	// or with Options.NoRelays its own.
+	AdvertisedIP   string
+	CallersAddress string
+	ReadyAddress   string
+	ReportsAddress string
+	MetricsAddress string
+	settingsFile   string
+	binary         string
+	args           []string
 
 	// Restarting is locked while the node is being restarted.
 	Restarting sync.Mutex
@@ -114,13 +114,13 @@
 // New starts the stand-ins and the processes. It does not wait until they are ready.
 func New(ctx context.Context, o Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Fleet{options: o, Store: metastore.New(), Judge: worker.NewChecker(), cancel: cancel, client: &http.Client{Timeout: 10 * time.Second}}
+	f := &Fleet{options: o, Store: metastore.New(), Checker: worker.NewChecker(), cancel: cancel, client: &http.Client{Timeout: 10 * time.Second}}
 	f.Configure(Prefix)
 	if err := f.prepareNodes(ctx); err != nil {
 		return nil, err
 	}
 	for i, g := range f.Guards {
-		r := &worker.Runner{Service: Service, DataCentre: "a", CPU: runnerCPU, Checker: f.Judge, ControlAddress: g.Control, KeepsID: i%2 == 1}
+		r := &worker.Runner{Service: Service, DataCentre: "a", CPU: runnerCPU, Checker: f.Checker, ControlAddress: g.ReportsAddress, KeepsID: i%2 == 1}
 		if err := r.Listen(g.IP); err != nil {
 			return nil, err
 		}
@@ -128,10 +128,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if !o.Direct {
+		if !o.NoRelays {
 			r.Advertise = address
 		}
-		f.RunnerNets = append(f.RunnerNets, relay)
+		f.RunnerRelays = append(f.RunnerRelays, relay)
 		f.Runners = append(f.Runners, r)
 		f.runnerLoops.Go(func() { r.Run(ctx) })
 	}
@@ -149,24 +149,24 @@
 func (f *Fleet) prepareNodes(ctx context.Context) error {
 	for i := range f.options.Entries {
 		n := &Node{ID: fmt.Sprintf("entry-%d", i+1), IP: harness.NewHost(), binary: f.options.Binaries.Entry}
-		if err := harness.FreeAddresses(n.IP, &n.Front, &n.Ready, &n.Metrics); err != nil {
+		if err := harness.FreeAddresses(n.IP, &n.CallersAddress, &n.ReadyAddress, &n.MetricsAddress); err != nil {
 			return err
 		}
 		f.Entries = append(f.Entries, n)
-		if f.options.Direct {
-			n.Outside = n.IP
+		if f.options.NoRelays {
+			n.AdvertisedIP = n.IP
 			continue
 		}
-		n.Outside = harness.NewHost()
-		relay, _, err := startRelay(ctx, fmt.Sprintf("%s:%d", n.IP, entryPort), fmt.Sprintf("%s:%d", n.Outside, entryPort))
+		n.AdvertisedIP = harness.NewHost()
+		relay, _, err := startRelay(ctx, fmt.Sprintf("%s:%d", n.IP, entryPort), fmt.Sprintf("%s:%d", n.AdvertisedIP, entryPort))
 		if err != nil {
 			return err
 		}
-		f.EntryNets = append(f.EntryNets, relay)
+		f.EntryRelays = append(f.EntryRelays, relay)
 	}
 	for i := range f.options.Guards {
 		n := &Node{ID: fmt.Sprintf("guard-%d", i+1), IP: harness.NewHost(), binary: f.options.Binaries.Guard}
-		if err := harness.FreeAddresses(n.IP, &n.Control, &n.Metrics); err != nil {
+		if err := harness.FreeAddresses(n.IP, &n.ReportsAddress, &n.MetricsAddress); err != nil {
 			return err
 		}
 		f.Guards = append(f.Guards, n)
@@ -224,7 +224,7 @@
 	var addresses []string
 	for i, n := range f.Entries {
 		if i < 3 {
-			addresses = append(addresses, n.Outside+":1")
+			addresses = append(addresses, n.AdvertisedIP+":1")
 		}
 	}
 	return addresses
@@ -233,7 +233,7 @@
 func (f *Fleet) entrySettings(n *Node, store string) any {
 	return capacitySection(map[string]any{
 		"id": n.ID, "zone": "a",
-		"listen": map[string]string{"callers": n.Front, "ready": n.Ready, "guards": fmt.Sprintf("%s:%d", n.IP, entryPort), "advertise": fmt.Sprintf("%s:%d", n.Outside, entryPort), "metrics": n.Metrics},
+		"listen": map[string]string{"callers": n.CallersAddress, "ready": n.ReadyAddress, "guards": fmt.Sprintf("%s:%d", n.IP, entryPort), "advertise": fmt.Sprintf("%s:%d", n.AdvertisedIP, entryPort), "metrics": n.MetricsAddress},
 		"seeds":  f.seeds(),
 		"store":  store,
 	})
@@ -242,7 +242,7 @@
 func (f *Fleet) guardSettings(n *Node, store string) any {
 	return capacitySection(map[string]any{
 		"id": n.ID, "zone": "a",
-		"listen":     map[string]string{"reports": n.Control, "metrics": n.Metrics},
+		"listen":     map[string]string{"reports": n.ReportsAddress, "metrics": n.MetricsAddress},
 		"seeds":      f.seeds(),
 		"store":      store,
 		"entry_port": entryPort,
@@ -286,7 +286,7 @@
 // IsReady checks an entry's readiness as the platform's load balancer does.
 func (f *Fleet) IsReady(n *Node) bool {
 	client := &http.Client{Timeout: 300 * time.Millisecond}
-	res, err := client.Get("http://" + n.Ready + "/ready")
+	res, err := client.Get("http://" + n.ReadyAddress + "/ready")
 	if err != nil {
 		return false
 	}
@@ -298,7 +298,7 @@
 func (f *Fleet) Close() {
 	for _, n := range append(append([]*Node{}, f.Guards...), f.Entries...) {
 		if p := n.Process(); p != nil {
-			p.Thaw()
+			p.Resume()
 			p.Kill()
 		}
 	}
--- a/e2e/fleet_cancel_test.go
+++ b/e2e/fleet_cancel_test.go
@@ -60,7 +60,7 @@
 		defer close(returned)
 		j := fleet.NewJob(4, 20_000)
 		j.Deadline = 30 * time.Second
-		f.Try(ctx, f.Entries[0], fleet.Prefix, j)
+		f.SubmitOnce(ctx, f.Entries[0], fleet.Prefix, j)
 	}()
 	time.Sleep(unanswered)
 	for _, r := range f.Runners {
@@ -75,7 +75,7 @@
 	ctx, cancel = context.WithTimeout(t.Context(), cancelLimit+stopGrace)
 	defer cancel()
 	assert.NilError(t, eventually(ctx, func() error {
-		if n := f.Judge.Running(); n > 0 {
+		if n := f.Checker.Running(); n > 0 {
 			return fmt.Errorf("%d tasks are still running", n)
 		}
 		return nil
@@ -86,13 +86,13 @@
 // stop it was lost with a session: the job, resubmitted elsewhere, then runs twice.
 func TestStopOrderLostWithSessionIsResent(t *testing.T) {
 	f := startFleet(t, 1, 1)
-	net := f.EntryNets[0]
+	net := f.EntryRelays[0]
 	job := fleet.NewJob(1, 5000)
 	job.Deadline = 7 * time.Second
 	ctx, disconnect := context.WithCancel(t.Context())
 	var caller sync.WaitGroup
-	caller.Go(func() { f.Try(ctx, f.Entries[0], fleet.Prefix, job) })
-	waitUntil(t, 5*time.Second, "the run has not started", func() bool { return f.Judge.Running() == 1 })
+	caller.Go(func() { f.SubmitOnce(ctx, f.Entries[0], fleet.Prefix, job) })
+	waitUntil(t, 5*time.Second, "the run has not started", func() bool { return f.Checker.Running() == 1 })
 	assert.NilError(t, net.Set(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true}))
 	net.Reset()
 	time.Sleep(50 * time.Millisecond)
@@ -100,7 +100,7 @@
 	caller.Wait()
 	time.Sleep(50 * time.Millisecond)
 	assert.NilError(t, net.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}))
-	waitUntil(t, cancelLimit, "the run has not been stopped", func() bool { return f.Judge.Running() == 0 })
+	waitUntil(t, cancelLimit, "the run has not been stopped", func() bool { return f.Checker.Running() == 0 })
 }
 
 // waitUntil waits until done holds; unmet is the error if it does not within the limit.
--- a/e2e/fleet_crash_test.go
+++ b/e2e/fleet_crash_test.go
@@ -16,7 +16,7 @@
 // runner crashes, its caller must be told that it failed, and all other jobs must complete. The
 // guards' event guard.runner_crashed and the entry's job.run_wrong with change crashed name it.
 func TestJobThatCrashesRunnersFailsAndOthersComplete(t *testing.T) {
-	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 4, Direct: true})
+	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 4, NoRelays: true})
 	stop := load(t, f, 25*time.Millisecond, 4, 40)
 	time.Sleep(300 * time.Millisecond)
 	crashing := fleet.NewJob(1, 60)
--- a/e2e/fleet_foreign_test.go
+++ b/e2e/fleet_foreign_test.go
@@ -57,7 +57,7 @@
 	} {
 		for _, g := range w.fleet.Guards {
 			text := strings.Replace(body, "%s", w.address, 1)
-			req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, fmt.Sprintf("http://%s/instances/foreign-%d", g.Control, i), strings.NewReader(text))
+			req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, fmt.Sprintf("http://%s/instances/foreign-%d", g.ReportsAddress, i), strings.NewReader(text))
 			assert.NilError(t, err)
 			res, err := http.DefaultClient.Do(req)
 			assert.NilError(t, err)
@@ -80,10 +80,10 @@
 // valid message.
 func (w *foreignWriter) messages(t *testing.T) {
 	for _, n := range w.fleet.Entries {
-		client := fleetwire.NewClient(http2Client(), n.Outside+":7720")
+		client := fleetwire.NewClient(http2Client(), n.AdvertisedIP+":7720")
 		_, err := client.Meet(t.Context(), connect.NewRequest(&wirev1.MeetRequest{Entry: "foreign", Address: "http://" + w.address}))
 		assert.NilError(t, err)
-		c, err := net.DialTimeout("tcp", n.Outside+":7720", time.Second)
+		c, err := net.DialTimeout("tcp", n.AdvertisedIP+":7720", time.Second)
 		assert.NilError(t, err)
 		_, err = io.WriteString(c, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\xff\xff\xff garbage")
 		assert.NilError(t, err)
--- a/e2e/fleet_held_test.go
+++ b/e2e/fleet_held_test.go
@@ -15,16 +15,16 @@
 	go func() {
 		defer close(ended)
 		p := n.Process()
-		defer p.Thaw()
+		defer p.Resume()
 		for {
 			select {
 			case <-end:
 				return
 			default:
 			}
-			p.Freeze()
+			p.Suspend()
 			time.Sleep(suspended)
-			p.Thaw()
+			p.Resume()
 			time.Sleep(running)
 		}
 	}()
@@ -41,7 +41,7 @@
 	f := startFleet(t, 1, 2)
 	stopSuspending := suspendPeriodically(f.Guards[0], 60*time.Millisecond, 20*time.Millisecond)
 	ordersBefore, pollsBefore := f.Runners[0].Calls()
-	startsBefore := f.Judge.Starts()
+	startsBefore := f.Checker.Starts()
 	otherBefore, otherPollsBefore := f.Runners[1].Calls()
 	stop := load(t, f, 20*time.Millisecond, 4, 40)
 	time.Sleep(4 * time.Second)
@@ -50,7 +50,7 @@
 	orders, polls := f.Runners[0].Calls()
 	other, otherPolls := f.Runners[1].Calls()
 	orders, polls, other, otherPolls = orders-ordersBefore, polls-pollsBefore, other-otherBefore, otherPolls-otherPollsBefore
-	starts := f.Judge.Starts() - startsBefore
+	starts := f.Checker.Starts() - startsBefore
 	t.Logf("%d starts, answers %v; suspended guard: %d orders, %d polls; the other: %d orders, %d polls", starts, got, orders, polls, other, otherPolls)
 	assert.Assert(t, starts > 200 && orders > 100)
 	assert.Assert(t, (orders+other)*10 <= starts*11, "%d orders for %d starts", orders+other, starts)
--- a/e2e/fleet_metrics_test.go
+++ b/e2e/fleet_metrics_test.go
@@ -17,7 +17,7 @@
 
 // scrape returns a node's metrics.
 func scrape(n *fleet.Node) (string, error) {
-	res, err := http.Get("http://" + n.Metrics + "/metrics")
+	res, err := http.Get("http://" + n.MetricsAddress + "/metrics")
 	if err != nil {
 		return "", err
 	}
--- a/e2e/fleet_restart_test.go
+++ b/e2e/fleet_restart_test.go
@@ -13,7 +13,7 @@
 // Guards against "not run" for tasks that ran, tasks that run twice, and starts at a draining
 // runner, when runners restart under their ids while starts are late and unanswered.
 func TestFleetRunnersRestartUnderTheirIDs(t *testing.T) {
-	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 2, Direct: true})
+	f := startFleetOf(t, fleet.Options{Entries: 2, Guards: 2, NoRelays: true})
 	stop := load(t, f, 25*time.Millisecond, 4, 60)
 	for round := range 6 {
 		r := f.Runners[round%2]
--- a/e2e/fleet_size_test.go
+++ b/e2e/fleet_size_test.go
@@ -34,9 +34,9 @@
 			n := entries[i%len(entries)]
 			inFlight.Go(func() {
 				j := fleet.NewJob(4, 60)
-				a := f.Try(t.Context(), n, fleet.Prefix, j)
+				a := f.SubmitOnce(t.Context(), n, fleet.Prefix, j)
 				if a.Status == http.StatusOK && a.State == "completed" {
-					f.Judge.JobCompleted(j.ID, j.Tasks)
+					f.Checker.JobCompleted(j.ID, j.Tasks)
 					return
 				}
 				mu.Lock()
@@ -98,7 +98,7 @@
 // its callers, before and after one of them is killed, and no task runs twice.
 func TestGuardsServeASubsetOfManyEntries(t *testing.T) {
 	const entries, guards = 15, 30
-	f := startFleetOf(t, fleet.Options{Entries: entries, Guards: guards, Direct: true})
+	f := startFleetOf(t, fleet.Options{Entries: entries, Guards: guards, NoRelays: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 	defer cancel()
 	released := regexp.MustCompile(`"session.guard_released"`)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -35,7 +35,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		f.Close()
-		if violations := f.Judge.Violations(); len(violations) > 0 {
+		if violations := f.Checker.Violations(); len(violations) > 0 {
 			t.Errorf("violations:\n%s", strings.Join(violations, "\n"))
 			t.Logf("log lines of these jobs:\n%s", logLinesOfJobs(strings.Join(violations, "\n"), append(f.Entries, f.Guards...)))
 		}
@@ -164,9 +164,9 @@
 	stop := load(t, f, 25*time.Millisecond, 4, 900)
 	for range 2 {
 		time.Sleep(700 * time.Millisecond)
-		f.Entries[0].Process().Freeze()
+		f.Entries[0].Process().Suspend()
 		time.Sleep(2500 * time.Millisecond)
-		f.Entries[0].Process().Thaw()
+		f.Entries[0].Process().Resume()
 	}
 	time.Sleep(500 * time.Millisecond)
 	got := stop()
@@ -203,7 +203,7 @@
 	got := stop()
 	time.Sleep(2500 * time.Millisecond)
 	assert.Assert(t, got[200] > 0, "%v", got)
-	assert.Equal(t, f.Judge.Running(), 0)
+	assert.Equal(t, f.Checker.Running(), 0)
 }
 
 // A guard is suspended with runs at its runner: their lease must expire, since their callers
@@ -212,9 +212,9 @@
 	f := startFleet(t, 2, 2)
 	stop := load(t, f, 30*time.Millisecond, 4, 700)
 	time.Sleep(700 * time.Millisecond)
-	f.Guards[0].Process().Freeze()
+	f.Guards[0].Process().Suspend()
 	time.Sleep(3 * time.Second)
-	f.Guards[0].Process().Thaw()
+	f.Guards[0].Process().Resume()
 	time.Sleep(500 * time.Millisecond)
 	got := stop()
 	assert.Assert(t, got[200] > 0, "%v", got)
@@ -256,7 +256,7 @@
 	var inFlight sync.WaitGroup
 	for range 12 {
 		inFlight.Go(func() {
-			a := f.Try(t.Context(), f.Entries[0], fleet.Prefix, fleet.NewJob(1, 800))
+			a := f.SubmitOnce(t.Context(), f.Entries[0], fleet.Prefix, fleet.NewJob(1, 800))
 			assert.Check(t, a.Status == 200, "%d %s", a.Status, a.Text)
 		})
 	}
@@ -264,7 +264,7 @@
 	f.Entries[0].Process().Terminate()
 	time.Sleep(50 * time.Millisecond)
 	assert.Assert(t, !f.IsReady(f.Entries[0]))
-	a := f.Try(t.Context(), f.Entries[0], fleet.Prefix, fleet.NewJob(1, 10))
+	a := f.SubmitOnce(t.Context(), f.Entries[0], fleet.Prefix, fleet.NewJob(1, 10))
 	assert.Equal(t, a.Status, 200, "new work must be accepted until the balancer has noticed: %s", a.Text)
 	inFlight.Wait()
 	<-f.Entries[0].Process().Done()
@@ -277,7 +277,7 @@
 func TestFleetConfiguration(t *testing.T) {
 	f := startFleet(t, 2, 1)
 	post := func(i int, path string) int {
-		return f.Try(t.Context(), f.Entries[i], path, fleet.NewJob(1, 10)).Status
+		return f.SubmitOnce(t.Context(), f.Entries[i], path, fleet.NewJob(1, 10)).Status
 	}
 	f.Configure("/new/")
 	time.Sleep(2 * time.Second)
@@ -306,9 +306,9 @@
 	f.Store.SetFault(metastore.Fault{Outage: metastore.Silent})
 	time.Sleep(2500 * time.Millisecond)
 	for i := range f.Entries {
-		a := f.Try(t.Context(), f.Entries[i], fleet.Prefix, fleet.NewJob(1, 10))
+		a := f.SubmitOnce(t.Context(), f.Entries[i], fleet.Prefix, fleet.NewJob(1, 10))
 		assert.Equal(t, a.Status, 200, a.Text)
-		a = f.Try(t.Context(), f.Entries[i], "/unknown/", fleet.NewJob(1, 10))
+		a = f.SubmitOnce(t.Context(), f.Entries[i], "/unknown/", fleet.NewJob(1, 10))
 		assert.Equal(t, a.Status, 503, a.Text)
 		assert.Assert(t, a.RetryAfter != "")
 	}
@@ -317,7 +317,7 @@
 // Invalid requests get a specific error at once and start nothing.
 func TestFleetBadInput(t *testing.T) {
 	f := startFleet(t, 1, 1)
-	before := f.Judge.Starts()
+	before := f.Checker.Starts()
 	id := fleet.NewJob(1, 1).ID
 	post := func(name, path, body, deadline string, status int, state string) {
 		a := f.Post(t.Context(), f.Entries[0], path, []byte(body), deadline)
@@ -331,7 +331,7 @@
 	post("bad id", fleet.Prefix+"xyz", "{}", "1500", 400, "")
 	post("no route", "/nowhere/"+id, "{}", "1500", 404, "")
 	post("no time", fleet.Prefix+id, string(fleet.NewJob(1, 1).Body()), "0", 503, "")
-	assert.Equal(t, f.Judge.Starts(), before)
+	assert.Equal(t, f.Checker.Starts(), before)
 }
 
 // All processes lose power while the store is down, and restart before it is back. Guards
@@ -375,7 +375,7 @@
 	defer cancel()
 	for _, n := range f.Entries {
 		assert.NilError(t, eventually(ctx, func() error {
-			if a := f.Try(ctx, n, "/second/", fleet.NewJob(1, 10)); a.Status != 200 {
+			if a := f.SubmitOnce(ctx, n, "/second/", fleet.NewJob(1, 10)); a.Status != 200 {
 				return fmt.Errorf("%s answers %d %s", n.ID, a.Status, a.Text)
 			}
 			return nil
--- a/e2e/harness/balancer.go
+++ b/e2e/harness/balancer.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// StartBalanced is StartLoad with a balancer: callers submit jobs to ready entries only.
-func StartBalanced(ctx context.Context, account string, callers int, b *Balancer, job func(n int) Job) *Load {
+// StartBalancedLoad is StartLoad with a balancer: callers submit jobs to ready entries only.
+func StartBalancedLoad(ctx context.Context, account string, callers int, b *Balancer, job func(n int) Job) *Load {
 	ctx, stop := context.WithCancel(ctx)
 	l := &Load{stop: stop}
 	var sequence atomic.Int64
--- a/e2e/harness/client.go
+++ b/e2e/harness/client.go
@@ -68,15 +68,15 @@
 
 // Client is a caller that submits jobs for one client account.
 type Client struct {
-	Customer string
-	HTTP     *http.Client
+	ClientAccount string
+	HTTP          *http.Client
 }
 
 // NewClient returns a Client of the account with its own connection pool.
 func NewClient(account string) *Client {
 	return &Client{
-		Customer: account,
-		HTTP:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
+		ClientAccount: account,
+		HTTP:          &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
 	}
 }
 
@@ -136,7 +136,7 @@
 }
 
 func (c *Client) call(ctx context.Context, method, address, path string, body any) ([]byte, *http.Response, error) {
-	return call(ctx, c.HTTP, method, address, path, Token(c.Customer), body)
+	return call(ctx, c.HTTP, method, address, path, Token(c.ClientAccount), body)
 }
 
 func call(ctx context.Context, h *http.Client, method, address, path, token string, body any) ([]byte, *http.Response, error) {
--- a/e2e/harness/cluster.go
+++ b/e2e/harness/cluster.go
@@ -53,8 +53,8 @@
 	Delay time.Duration
 	// NoRelays connects the processes without relays.
 	NoRelays bool
-	// Zones are the data centres, assigned to entries and endpoints round-robin.
-	Zones []string
+	// DataCentres are the data centres, assigned to entries and endpoints round-robin.
+	DataCentres []string
 	// EntryEnv is added to the entries' environment.
 	EntryEnv []string
 	// EntrySettings and GuardSettings modify the settings before they are written.
@@ -88,7 +88,7 @@
 	Operators string
 	// Relay forwards to the internal API; nil if the cluster has no relays.
 	Relay *relay.Relay
-	// StoreRelay forwards from this entry alone to the store; nil without Options.StoreRelays.
+	// AddStoreRelay forwards from this entry alone to the store; nil without Options.StoreRelays.
 	StoreRelay   *relay.Relay
 	settingsFile string
 }
@@ -131,8 +131,8 @@
 	if o.Connections == 0 {
 		o.Connections = 64
 	}
-	if len(o.Zones) == 0 {
-		o.Zones = []string{"zone-a"}
+	if len(o.DataCentres) == 0 {
+		o.DataCentres = []string{"zone-a"}
 	}
 	return o
 }
--- a/e2e/harness/front.go
+++ b/e2e/harness/front.go
@@ -6,9 +6,9 @@
 	"almondstand.dev/standin/relay"
 )
 
-// FrontCallers starts a relay in front of an entry's caller API. The returned Entry
+// RelayCallers starts a relay in front of an entry's caller API. The returned Entry
 // has the relay's address in Callers; of its other fields only ID is set.
-func (c *Cluster) FrontCallers(e *Entry) (*relay.Relay, *Entry, error) {
+func (c *Cluster) RelayCallers(e *Entry) (*relay.Relay, *Entry, error) {
 	if c.options.NoRelays {
 		return nil, nil, fmt.Errorf("harness: %s: this cluster has no relays", e.ID)
 	}
--- a/e2e/harness/judge.go
+++ b/e2e/harness/judge.go
@@ -38,7 +38,7 @@
 func (l *Load) runCaller(ctx context.Context, client *Client, i, step int, entries []*Entry, job func(n int) Job) {
 	for n := i; ctx.Err() == nil; n += step {
 		j := job(n)
-		// Stopping the load does not cancel a pending submission, so that Judge checks
+		// Stopping the load does not cancel a pending submission, so that Check checks
 		// its reply, too.
 		answer, err := client.Run(context.WithoutCancel(ctx), entries[n%len(entries)].Callers, j)
 		l.add(Reply{Answer: answer, Err: err, Job: j})
@@ -68,25 +68,25 @@
 	return l.replies
 }
 
-// Verdict is the result of checking a set of replies against the recorded starts.
-type Verdict struct {
+// CheckResult is the result of checking a set of replies against the recorded starts.
+type CheckResult struct {
 	Complete int
 	Failed   int
-	Refused  int
+	Rejected int
 	NoAnswer int
 	// Unknown counts the tasks for which the answer says that they may have run.
 	Unknown int
 	// Codes counts the answers with an error, by error code.
 	Codes map[string]int
-	// Faults lists the violations found.
-	Faults []string
+	// Violations lists the violations found.
+	Violations []string
 }
 
-// Judge checks replies against the starts that the runners recorded: no task started
+// Check checks replies against the starts that the runners recorded: no task started
 // twice, every task of a completed job started exactly once, no task reported as not
 // run was started, and every answer to a completed job has a result for each task.
-func Judge(starts Starts, replies []Reply) Verdict {
-	v := Verdict{Codes: map[string]int{}}
+func Check(starts Starts, replies []Reply) CheckResult {
+	v := CheckResult{Codes: map[string]int{}}
 	for task, n := range starts.Tasks {
 		if n > 1 {
 			v.addViolation("task %s started %d times", task, n)
@@ -98,11 +98,11 @@
 	return v
 }
 
-func (v *Verdict) addViolation(format string, args ...any) {
-	v.Faults = append(v.Faults, fmt.Sprintf(format, args...))
+func (v *CheckResult) addViolation(format string, args ...any) {
+	v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 }
 
-func (v *Verdict) checkReply(starts Starts, r Reply) {
+func (v *CheckResult) checkReply(starts Starts, r Reply) {
 	if r.Answer != nil && r.Answer.Error != nil {
 		v.Codes[r.Answer.Error.Code]++
 	}
@@ -113,7 +113,7 @@
 		v.Complete++
 		v.checkCompleted(starts, r)
 	case r.Answer.Ran() == "no":
-		v.Refused++
+		v.Rejected++
 		v.checkNotRun(starts, r)
 	default:
 		v.Failed++
@@ -121,7 +121,7 @@
 	}
 }
 
-func (v *Verdict) checkCompleted(starts Starts, r Reply) {
+func (v *CheckResult) checkCompleted(starts Starts, r Reply) {
 	if len(r.Answer.Tasks) != len(r.Job.Tasks) {
 		v.addViolation("%s: %d results for %d tasks", r.Answer.Submission, len(r.Answer.Tasks), len(r.Job.Tasks))
 		return
@@ -133,7 +133,7 @@
 	}
 }
 
-func (v *Verdict) checkNotRun(starts Starts, r Reply) {
+func (v *CheckResult) checkNotRun(starts Starts, r Reply) {
 	for i := range r.Job.Tasks {
 		if starts.Tasks[taskKey(r, i)] > 0 {
 			v.addViolation("%s reported as not run (%s) but started", taskKey(r, i), r.Answer.Error.Code)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (v *Verdict) checkFailed(starts Starts, r Reply) {
+func (v *CheckResult) checkFailed(starts Starts, r Reply) {
 	for i, task := range r.Answer.Tasks {
 		n := starts.Tasks[taskKey(r, i)]
 		switch task.Ran {
--- a/e2e/harness/prepare.go
+++ b/e2e/harness/prepare.go
@@ -12,7 +12,9 @@
 	"almondstand.dev/standin/runner"
 )
 
-func (c *Cluster) dataCentre(i int) string { return c.options.Zones[i%len(c.options.Zones)] }
+func (c *Cluster) dataCentre(i int) string {
+	return c.options.DataCentres[i%len(c.options.DataCentres)]
+}
 
 // prepareEntries chooses all entries' addresses before it writes any settings, since each
 // entry's settings list the addresses of all entries.
--- a/e2e/harness/process.go
+++ b/e2e/harness/process.go
@@ -86,11 +86,11 @@
 	<-p.done
 }
 
-// Freeze suspends the process with SIGSTOP until Thaw is called.
-func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
+// Suspend suspends the process with SIGSTOP until Resume is called.
+func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Thaw resumes a suspended process with SIGCONT.
-func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
+// Resume resumes a suspended process with SIGCONT.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 // Terminate requests a graceful shutdown with SIGTERM.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
@@ -175,9 +175,9 @@
 // Hangup sends SIGHUP, on which the process reloads its settings file.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
 
-// Dump sends SIGQUIT, on which the process logs the stacks of all goroutines and exits,
+// DumpGoroutines sends SIGQUIT, on which the process logs the stacks of all goroutines and exits,
 // and waits until it has exited.
-func (p *Process) Dump() {
+func (p *Process) DumpGoroutines() {
 	p.signal(syscall.SIGQUIT)
 	<-p.done
 }
--- a/e2e/harness/repeat.go
+++ b/e2e/harness/repeat.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ErrNeverFinal is returned when a submission got no final answer in time.
-var ErrNeverFinal = errors.New("harness: no final answer")
+// ErrNoFinalAnswer is returned when a submission got no final answer in time.
+var ErrNoFinalAnswer = errors.New("harness: no final answer")
 
-// Patience configures a caller's retries.
-type Patience struct {
-	// Attempt is the timeout of one request. After it the caller cancels the request and
+// RetryPolicy configures a caller's retries.
+type RetryPolicy struct {
+	// PerTryTimeout is the timeout of one request. After it the caller cancels the request and
 	// retries over a new connection.
-	Attempt time.Duration
-	// All is the timeout of the whole submission, including retries.
-	All time.Duration
+	PerTryTimeout time.Duration
+	// Timeout is the timeout of the whole submission, including retries.
+	Timeout time.Duration
 }
 
 // Final reports whether the answer is final. Any other answer has a Retry-After header,
@@ -25,17 +25,17 @@
 
 // PutUntilFinal submits a job under a submission id, to the addresses round-robin, until
 // it gets a final answer. It returns that answer and the number of requests sent.
-func (c *Client) PutUntilFinal(ctx context.Context, addresses []string, id string, j Job, p Patience) (*Answer, int, error) {
-	ctx, stop := context.WithTimeout(ctx, p.All)
+func (c *Client) PutUntilFinal(ctx context.Context, addresses []string, id string, j Job, p RetryPolicy) (*Answer, int, error) {
+	ctx, stop := context.WithTimeout(ctx, p.Timeout)
 	defer stop()
-	lastErr := ErrNeverFinal
+	lastErr := ErrNoFinalAnswer
 	for n := 0; ctx.Err() == nil; n++ {
-		a, err := c.putWithTimeout(ctx, addresses[n%len(addresses)], id, j, p.Attempt)
+		a, err := c.putWithTimeout(ctx, addresses[n%len(addresses)], id, j, p.PerTryTimeout)
 		if err == nil && a.Final() {
 			return a, n + 1, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%w: last status %d, error %+v", ErrNeverFinal, a.Status, a.Error)
+			err = fmt.Errorf("%w: last status %d, error %+v", ErrNoFinalAnswer, a.Status, a.Error)
 		}
 		lastErr = err
 		time.Sleep(pollInterval)
@@ -49,10 +49,10 @@
 	return c.Put(ctx, address, id, j)
 }
 
-// StartRepeatingLoad starts callers that mint a submission id at one entry and submit a
+// StartRetryingLoad starts callers that mint a submission id at one entry and submit a
 // job under it until the answer is final, sending each request to the next entry. The
 // first request of a submission goes to the entry after the one that minted its id.
-func StartRepeatingLoad(ctx context.Context, account string, callers int, entries []*Entry, p Patience, job func(n int) Job) *Load {
+func StartRetryingLoad(ctx context.Context, account string, callers int, entries []*Entry, p RetryPolicy, job func(n int) Job) *Load {
 	ctx, stop := context.WithCancel(ctx)
 	l := &Load{stop: stop}
 	for i := range callers {
@@ -61,7 +61,7 @@
 	return l
 }
 
-func (l *Load) runRetryingCaller(ctx context.Context, client *Client, i, step int, entries []*Entry, p Patience, job func(n int) Job) {
+func (l *Load) runRetryingCaller(ctx context.Context, client *Client, i, step int, entries []*Entry, p RetryPolicy, job func(n int) Job) {
 	addresses := make([]string, len(entries))
 	for n := i; ctx.Err() == nil; n += step {
 		for k := range entries {
@@ -71,8 +71,8 @@
 	}
 }
 
-func (l *Load) submitWithRetries(ctx context.Context, client *Client, minterAddress string, addresses []string, p Patience, j Job) {
-	mintCtx, stop := context.WithTimeout(ctx, p.Attempt)
+func (l *Load) submitWithRetries(ctx context.Context, client *Client, minterAddress string, addresses []string, p RetryPolicy, j Job) {
+	mintCtx, stop := context.WithTimeout(ctx, p.PerTryTimeout)
 	defer stop()
 	ids, err := client.Mint(mintCtx, minterAddress, 1)
 	if err != nil {
--- a/e2e/harness/settings_test.go
+++ b/e2e/harness/settings_test.go
@@ -13,7 +13,7 @@
 // them. Settings written from a zero value had a MinInFlight of 0: while other entries kept
 // the guards at capacity, a new entry started no tasks and its jobs exceeded their answer time.
 func TestEntriesRunWithDefaults(t *testing.T) {
-	c := &Cluster{options: Options{Dir: t.TempDir(), Zones: []string{"a"}}, storeAddr: "127.0.0.1:4"}
+	c := &Cluster{options: Options{Dir: t.TempDir(), DataCentres: []string{"a"}}, storeAddr: "127.0.0.1:4"}
 	e := &Entry{ID: "entry-1", Callers: "127.0.0.1:1", Internal: "127.0.0.1:2", Operators: "127.0.0.1:3"}
 	assert.NilError(t, c.writeEntrySettings(e, 0, []string{e.Internal}))
 	s, err := node.Load(e.settingsFile)
--- a/e2e/harness/settle.go
+++ b/e2e/harness/settle.go
@@ -12,15 +12,15 @@
 // Starts sums up the starts that all runners recorded.
 type Starts struct {
 	// Tasks is the number of starts of each task, over all runners.
-	Tasks     map[string]int
-	Total     int
-	Doubles   int
-	Running   int
-	Cancelled int
+	Tasks      map[string]int
+	Total      int
+	Duplicates int
+	Running    int
+	Cancelled  int
 }
 
 // Starts sums up the starts recorded by all runners. A task that started once on each of
-// two runners counts as started twice, and therefore in Doubles.
+// two runners counts as started twice, and therefore in Duplicates.
 func (c *Cluster) Starts() Starts {
 	sum := Starts{Tasks: map[string]int{}}
 	for _, r := range c.Runners {
@@ -34,15 +34,15 @@
 	}
 	for _, n := range sum.Tasks {
 		if n > 1 {
-			sum.Doubles++
+			sum.Duplicates++
 		}
 	}
 	return sum
 }
 
-// WaitSettled waits until every started entry is ready, serves the client account and
+// WaitServing waits until every started entry is ready, serves the client account and
 // may start tasks on every endpoint.
-func (c *Cluster) WaitSettled(ctx context.Context, account string) error {
+func (c *Cluster) WaitServing(ctx context.Context, account string) error {
 	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	client := NewClient(account)
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -157,8 +157,8 @@
 	}
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+	v := harness.Check(c.Starts(), replies)
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 	assertAllComplete(t, v)
 	tasks := 0
 	for _, r := range replies {
@@ -227,8 +227,8 @@
 	}
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+	v := harness.Check(c.Starts(), replies)
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 	assertAllComplete(t, v)
 }
 
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -50,7 +50,7 @@
 		}
 	})
 	assert.NilError(t, c.Apply(t.Context(), harness.Contract("shop")))
-	assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+	assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 	return c, harness.NewClient("shop")
 }
 
@@ -86,7 +86,7 @@
 	}
 	record := c.Starts()
 	assert.Equal(t, record.Total, 200)
-	assert.Equal(t, record.Doubles, 0)
+	assert.Equal(t, record.Duplicates, 0)
 	assertControlReported(t, c.Entries[0])
 }
 
--- a/e2e/replace_test.go
+++ b/e2e/replace_test.go
@@ -25,28 +25,28 @@
 
 // underBalancedLoad calls during while callers submit jobs through a balancer that follows
 // the entries' readiness, then judges every reply.
-func underBalancedLoad(t *testing.T, c *harness.Cluster, during func()) harness.Verdict {
+func underBalancedLoad(t *testing.T, c *harness.Cluster, during func()) harness.CheckResult {
 	t.Helper()
 	return underBalancedLoadOf(t, c, smallJobs, during)
 }
 
-func underBalancedLoadOf(t *testing.T, c *harness.Cluster, jobs func(int) harness.Job, during func()) harness.Verdict {
+func underBalancedLoadOf(t *testing.T, c *harness.Cluster, jobs func(int) harness.Job, during func()) harness.CheckResult {
 	t.Helper()
 	balancer := harness.NewBalancer(t.Context(), c.Entries)
-	load := harness.StartBalanced(t.Context(), "shop", 16, balancer, jobs)
+	load := harness.StartBalancedLoad(t.Context(), "shop", 16, balancer, jobs)
 	waitReplies(t, load, 100)
 	during()
 	waitReplies(t, load, load.Count()+200)
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
-	v := harness.Judge(c.Starts(), replies)
-	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown)
-	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
+	v := harness.Check(c.Starts(), replies)
+	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown)
+	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
 	return v
 }
 
 // assertNoRequestLost asserts that no caller lost a request.
-func assertNoRequestLost(t *testing.T, v harness.Verdict) {
+func assertNoRequestLost(t *testing.T, v harness.CheckResult) {
 	t.Helper()
 	assert.Equal(t, v.NoAnswer, 0, "requests cut")
 	assert.Equal(t, v.Failed, 0, "jobs failed")
@@ -92,7 +92,7 @@
 	forwarded := background(t, client, other.Callers, id, job)
 	waitStarted(t, c, id, 1)
 	assert.NilError(t, owner.Relay.Set(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 300 * time.Millisecond}))
-	slowAnswer := putWithSlowReader(t, owner.Callers, id, client.Customer, job)
+	slowAnswer := putWithSlowReader(t, owner.Callers, id, client.ClientAccount, job)
 	owner.Terminate()
 	waitPortClosed(t, owner.Callers)
 	answer, err := io.ReadAll(slowAnswer)
@@ -115,7 +115,7 @@
 		s.DrainTimeout, s.ShutdownDelay = settings.Duration(5*time.Second), settings.Duration(10*time.Millisecond)
 	}})
 	id := mintID(t, client, c.Entries[0])
-	slowAnswer := putWithSlowReader(t, c.Entries[0].Callers, id, client.Customer, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
+	slowAnswer := putWithSlowReader(t, c.Entries[0].Callers, id, client.ClientAccount, jobOf(20, `{"echo":"`+strings.Repeat("x", 1<<20)+`"}`))
 	c.Entries[0].Terminate()
 	<-c.Entries[0].Done()
 	assert.ErrorContains(t, c.Entries[0].Err(), "exit status")
@@ -198,7 +198,7 @@
 		<-g.Done()
 		assert.NilError(t, g.Err(), "%s", g.Log())
 		assert.NilError(t, c.RestartGuard(g))
-		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+		assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 	})
 	assertNoRequestLost(t, v)
 }
@@ -222,7 +222,7 @@
 		for _, g := range rack {
 			assert.NilError(t, c.RestartGuard(g))
 		}
-		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+		assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 		for i := range rack {
 			waitStarts(t, c.Runners[i], 20)
 		}
@@ -253,7 +253,7 @@
 		for _, g := range rack {
 			assert.NilError(t, c.RestartGuard(g))
 		}
-		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+		assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 	})
 	assert.Equal(t, v.NoAnswer, 0)
 	assert.Assert(t, v.Complete > 0)
@@ -267,7 +267,7 @@
 	newEntry := c.Entries[0]
 	newEntry.Kill()
 	assert.NilError(t, c.RestartEntry(newEntry))
-	assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+	assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 	a, err := client.Run(t.Context(), newEntry.Callers, jobOf(10, `{"run":"20ms","echo":1}`))
 	assert.NilError(t, err)
 	assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
@@ -313,7 +313,7 @@
 		for _, e := range c.Entries {
 			assert.NilError(t, c.WaitEntry(e))
 		}
-		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+		assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 	})
 	assert.Assert(t, v.Complete > 0)
 	for _, e := range c.Entries {
@@ -330,13 +330,13 @@
 		EntrySettings: func(s *node.Settings) {
 			if s.ID == "entry-1" {
 				var err error
-				storeRelay, err = harness.StoreRelay(t.Context(), s)
+				storeRelay, err = harness.AddStoreRelay(t.Context(), s)
 				assert.NilError(t, err)
 			}
 		},
 	})
 	entry := c.Entries[0]
-	assert.NilError(t, harness.Cut(storeRelay))
+	assert.NilError(t, harness.Partition(storeRelay))
 	last := revisionAt(t, entry)
 	for rate := range 5 {
 		k := harness.Contract("shop")
@@ -345,7 +345,7 @@
 		target := revisionAt(t, c.Entries[1])
 		last = waitRevision(t, entry, last, target)
 	}
-	assert.NilError(t, harness.Mend(storeRelay))
+	assert.NilError(t, harness.Heal(storeRelay))
 	for range 30 {
 		now := revisionAt(t, entry)
 		assert.Assert(t, now >= last, "revision went from %d to %d", last, now)
--- a/e2e/rest_test.go
+++ b/e2e/rest_test.go
@@ -39,5 +39,5 @@
 		assert.NilError(t, err)
 		assert.Assert(t, a.OK(), "%d %+v", a.Status, a.Error)
 	}
-	assert.Equal(t, c.Starts().Doubles, 0)
+	assert.Equal(t, c.Starts().Duplicates, 0)
 }
--- a/e2e/soak/inject.go
+++ b/e2e/soak/inject.go
@@ -13,51 +13,51 @@
 
 // inject injects one fault and, after its duration, removes it.
 func (r *run) inject(ctx context.Context, f Fault) {
-	entry := r.fleet.Entries[f.Which%entries]
-	guard := r.fleet.Guards[f.Which%guards]
-	runner := r.fleet.Runners[f.Which%guards]
+	entry := r.fleet.Entries[f.Index%entries]
+	guard := r.fleet.Guards[f.Index%guards]
+	runner := r.fleet.Runners[f.Index%guards]
 	switch f.Kind {
 	case EntryKill, EntryTerm:
 		r.restart(ctx, entry, f, f.Kind == EntryTerm)
 	case GuardKill, GuardTerm:
 		r.restart(ctx, guard, f, f.Kind == GuardTerm)
-	case EntryFreeze:
-		suspend(ctx, entry, f.For)
-	case GuardFreeze:
-		suspend(ctx, guard, f.For)
+	case EntrySuspend:
+		suspend(ctx, entry, f.Duration)
+	case GuardSuspend:
+		suspend(ctx, guard, f.Duration)
 	case EntryHangup:
 		entry.Process().Hangup()
 	case GuardHangup:
 		guard.Process().Hangup()
 	case RunnerCrash:
 		runner.Crash()
-		uptime.Sleep(ctx, f.For)
+		uptime.Sleep(ctx, f.Duration)
 		runner.RestartWithNewID()
 	case RunnerRestart:
 		restartRunnerWithLateReport(ctx, runner, f)
-	case RunnerLeaves:
+	case RunnerDrain:
 		runner.Drain()
-		uptime.Sleep(ctx, drainDuration+f.For/2)
+		uptime.Sleep(ctx, drainDuration+f.Duration/2)
 		runner.Restart()
-	case RunnerLate, RunnerSlow, RunnerHang, RunnerFails:
+	case RunnerLateRequests, RunnerSlow, RunnerHang, RunnerFailsTasks:
 		runner.SetFault(runnerFault(f))
-		uptime.Sleep(ctx, f.For)
+		uptime.Sleep(ctx, f.Duration)
 		runner.SetFault(worker.Fault{})
-	case StoreDown, StoreAway, StoreSlow, StoreLoses:
+	case StoreOutage, StoreUnavailableToEntry, StoreSlow, StoreLosesResponses:
 		r.fleet.Store.SetFault(storeFault(f, entry.ID))
-		uptime.Sleep(ctx, f.For)
+		uptime.Sleep(ctx, f.Duration)
 		r.fleet.Store.SetFault(metastore.Fault{})
 	case Configure:
 		r.configure(ctx)
 	case TaskCrashes:
 		job := fleet.NewJob(1, 60)
-		job.CrashMs = 1 + f.Which
-		r.fleet.Resubmit(ctx, f.Which, job, 1)
+		job.CrashMs = 1 + f.Index
+		r.fleet.Resubmit(ctx, f.Index, job, 1)
 	case RunnerShrink:
 		r.shrinkCapacity(ctx, runner, f)
 	case Burst:
 		r.burst.Store(true)
-		uptime.Sleep(ctx, f.For)
+		uptime.Sleep(ctx, f.Duration)
 		r.burst.Store(false)
 	default:
 		r.injectNetworkFault(ctx, f)
@@ -72,14 +72,14 @@
 // instance id. A report of the old process (in every other case with the state draining) and
 // its deregistration arrive when the new process is already running.
 func restartRunnerWithLateReport(ctx context.Context, runner *worker.Runner, f Fault) {
-	if f.Which%2 == 0 {
+	if f.Index%2 == 0 {
 		runner.Drain()
 	}
 	sendReport, id := runner.DelayedReport(ctx), runner.Instance()
 	runner.Kill()
-	uptime.Sleep(ctx, f.For/4)
+	uptime.Sleep(ctx, f.Duration/4)
 	runner.Restart()
-	uptime.Sleep(ctx, f.For/4)
+	uptime.Sleep(ctx, f.Duration/4)
 	sendReport()
 	runner.Deregister(ctx, id)
 }
@@ -89,24 +89,24 @@
 	const steps = 3
 	for remaining := steps - 1; remaining >= 0; remaining-- {
 		runner.SetCapacity(remaining, steps)
-		uptime.Sleep(ctx, f.For/steps)
+		uptime.Sleep(ctx, f.Duration/steps)
 	}
 	runner.SetCapacity(steps, steps)
 }
 
 var runnerFaults = map[Kind]worker.Fault{
-	RunnerLate:  {LateShare: 0.3, LateBy: 1800 * time.Millisecond},
-	RunnerSlow:  {Slow: 4},
-	RunnerHang:  {Hang: true},
-	RunnerFails: {FailShare: 0.7},
+	RunnerLateRequests: {LateShare: 0.3, LateBy: 1800 * time.Millisecond},
+	RunnerSlow:         {Slow: 4},
+	RunnerHang:         {Hang: true},
+	RunnerFailsTasks:   {FailShare: 0.7},
 }
 
-// runnerFault returns the fault to inject into a runner. For RunnerLate, half of the faults
+// runnerFault returns the fault to inject into a runner. For RunnerLateRequests, half of the faults
 // delay requests such that a start is still valid when it takes effect; the other half delay
 // them beyond its validity.
 func runnerFault(f Fault) worker.Fault {
 	fault := runnerFaults[f.Kind]
-	if f.Kind == RunnerLate && f.Which%2 == 1 {
+	if f.Kind == RunnerLateRequests && f.Index%2 == 1 {
 		fault.LateBy = 300 * time.Millisecond
 	}
 	return fault
@@ -115,10 +115,10 @@
 func storeFault(f Fault, entryID string) metastore.Fault {
 	modes := []metastore.Mode{metastore.Silent, metastore.Busy, metastore.Reset}
 	switch f.Kind {
-	case StoreDown:
-		return metastore.Fault{Outage: modes[f.Which%3], ExpireLeases: f.Which%2 == 0}
-	case StoreAway:
-		return metastore.Fault{Outage: modes[f.Which%3], Callers: []string{entryID}, ExpireLeases: true}
+	case StoreOutage:
+		return metastore.Fault{Outage: modes[f.Index%3], ExpireLeases: f.Index%2 == 0}
+	case StoreUnavailableToEntry:
+		return metastore.Fault{Outage: modes[f.Index%3], Callers: []string{entryID}, ExpireLeases: true}
 	case StoreSlow:
 		return metastore.Fault{Delay: 250 * time.Millisecond}
 	default:
@@ -128,30 +128,30 @@
 
 // injectNetworkFault injects a fault into the network to an entry or a runner.
 func (r *run) injectNetworkFault(ctx context.Context, f Fault) {
-	entryRelay := r.fleet.EntryNets[f.Which%entries]
-	runnerRelay := r.fleet.RunnerNets[f.Which%guards]
+	entryRelay := r.fleet.EntryRelays[f.Index%entries]
+	runnerRelay := r.fleet.RunnerRelays[f.Index%guards]
 	healthy := relay.State{ToTarget: relay.Pass, ToClient: relay.Pass}
 	setForDuration := func(s relay.State) {
 		_ = entryRelay.Set(s)
-		uptime.Sleep(ctx, f.For)
+		uptime.Sleep(ctx, f.Duration)
 		_ = entryRelay.Set(healthy)
 	}
 	switch f.Kind {
-	case EntryCut:
+	case EntryPartition:
 		setForDuration(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true})
-	case EntryOneWay:
+	case EntryOneWayPartition:
 		setForDuration(relay.State{ToTarget: relay.Pass, ToClient: relay.Drop})
-	case EntryStalls:
+	case EntryStall:
 		setForDuration(relay.State{ToTarget: relay.Stall, ToClient: relay.Stall})
 	case EntryDelay:
 		setForDuration(relay.State{ToTarget: relay.Pass, ToClient: relay.Pass, Delay: 40 * time.Millisecond})
 	case EntryReset:
 		entryRelay.Reset()
-	case EntrySilent:
+	case EntryBlackhole:
 		entryRelay.Blackhole(true, true)
 	case RunnerReset:
 		runnerRelay.Reset()
-	case RunnerSilent:
+	case RunnerBlackhole:
 		runnerRelay.Blackhole(true, true)
 	}
 }
@@ -168,20 +168,20 @@
 		select {
 		case <-p.Done():
 		case <-time.After(8 * time.Second):
-			r.fleet.Judge.ReportViolation("%s did not exit within 8 s after SIGTERM", n.ID)
+			r.fleet.Checker.ReportViolation("%s did not exit within 8 s after SIGTERM", n.ID)
 		}
 	}
-	p.Thaw()
+	p.Resume()
 	p.Kill()
-	uptime.Sleep(ctx, f.For/4)
+	uptime.Sleep(ctx, f.Duration/4)
 	if err := n.Start(); err != nil {
-		r.fleet.Judge.ReportViolation("%s did not restart: %v", n.ID, err)
+		r.fleet.Checker.ReportViolation("%s did not restart: %v", n.ID, err)
 	}
 }
 
 func suspend(ctx context.Context, n *fleet.Node, d time.Duration) {
 	p := n.Process()
-	p.Freeze()
+	p.Suspend()
 	uptime.Sleep(ctx, d)
-	p.Thaw()
+	p.Resume()
 }
--- a/e2e/soak/run.go
+++ b/e2e/soak/run.go
@@ -37,8 +37,8 @@
 	maxLogLines       = 1500
 )
 
-// ErrBroken is returned when an invariant was violated; the report lists the violations.
-var ErrBroken = errors.New("soak: a promise was broken")
+// ErrViolation is returned when an invariant was violated; the report lists the violations.
+var ErrViolation = errors.New("soak: a promise was broken")
 
 // Options configures a run.
 type Options struct {
@@ -50,27 +50,27 @@
 
 // Report is the result of a run.
 type Report struct {
-	Seed     uint64
-	Faults   []Fault
-	Broken   []string
-	Answers  map[int]int
-	Starts   int
-	logs     map[string]string
-	duration time.Duration
+	Seed       uint64
+	Faults     []Fault
+	Violations []string
+	Answers    map[int]int
+	Starts     int
+	logs       map[string]string
+	duration   time.Duration
 }
 
 // Text formats the report. If an invariant was violated it includes the faults, the
 // violations and the logs.
 func (r Report) Text() string {
 	var b strings.Builder
-	_, _ = fmt.Fprintf(&b, "seed %d: %d faults, %d runs, answers %v, %d broken, %.1f s\n", r.Seed, len(r.Faults), r.Starts, r.Answers, len(r.Broken), r.duration.Seconds())
-	if len(r.Broken) == 0 {
+	_, _ = fmt.Fprintf(&b, "seed %d: %d faults, %d runs, answers %v, %d broken, %.1f s\n", r.Seed, len(r.Faults), r.Starts, r.Answers, len(r.Violations), r.duration.Seconds())
+	if len(r.Violations) == 0 {
 		return b.String()
 	}
 	for _, f := range r.Faults {
 		_, _ = fmt.Fprintln(&b, "  fault", f)
 	}
-	for _, violation := range r.Broken {
+	for _, violation := range r.Violations {
 		_, _ = fmt.Fprintln(&b, "  broken", violation)
 	}
 	for id, log := range r.logs {
@@ -91,7 +91,7 @@
 	statusCounts map[int]int
 }
 
-// Run runs a fleet under load with the faults of a seed's schedule, and returns ErrBroken
+// Run runs a fleet under load with the faults of a seed's schedule, and returns ErrViolation
 // if an invariant was violated.
 func Run(ctx context.Context, o Options) (Report, error) {
 	f, err := fleet.New(ctx, fleet.Options{Binaries: o.Binaries, Dir: o.Dir, Entries: entries, Guards: guards})
@@ -109,29 +109,29 @@
 	r.injectAll(ctx, report.Faults)
 	r.injections.Wait()
 	if err := r.waitAllServing(ctx, recoveryTimeout, 1); err != nil {
-		f.Judge.ReportViolation("no recovery under load: %v", err)
+		f.Checker.ReportViolation("no recovery under load: %v", err)
 	}
 	stop()
 	if err := r.waitAllServing(ctx, recoveryTimeout, requiredSuccesses); err != nil {
-		f.Judge.ReportViolation("no recovery: %v", err)
+		f.Checker.ReportViolation("no recovery: %v", err)
 	}
 	time.Sleep(settleTime)
-	if n := f.Judge.Running(); n > 0 {
-		f.Judge.ReportViolation("%d tasks are still running although no job is open", n)
+	if n := f.Checker.Running(); n > 0 {
+		f.Checker.ReportViolation("%d tasks are still running although no job is open", n)
 	}
-	report.Broken = f.Judge.Violations()
+	report.Violations = f.Checker.Violations()
 	report.Answers = r.statusCounts
-	report.Starts = f.Judge.Starts()
+	report.Starts = f.Checker.Starts()
 	report.duration = time.Since(r.startTime)
 	report.logs = map[string]string{}
 	for _, n := range append(append([]*fleet.Node{}, f.Entries...), f.Guards...) {
-		if len(report.Broken) > 0 {
-			n.Process().Dump()
+		if len(report.Violations) > 0 {
+			n.Process().DumpGoroutines()
 		}
 		report.logs[n.ID] = logTail(n.Process().Log())
 	}
-	if len(report.Broken) > 0 {
-		return report, ErrBroken
+	if len(report.Violations) > 0 {
+		return report, ErrViolation
 	}
 	return report, nil
 }
@@ -216,7 +216,7 @@
 	r.statusCounts[a.Status]++
 	r.mu.Unlock()
 	if Planned(r.options.Seed) && a.Status == 0 && a.Took < job.Deadline-100*time.Millisecond && !strings.Contains(a.Text, "refused") {
-		r.fleet.Judge.ReportViolation("planned operation interrupted job %s after %v: %s", job.ID, a.Took, a.Text)
+		r.fleet.Checker.ReportViolation("planned operation interrupted job %s after %v: %s", job.ID, a.Took, a.Text)
 	}
 }
 
@@ -258,7 +258,7 @@
 			continue
 		}
 		if a := r.fleet.Get(ctx, n, prefix); a.Status == http.StatusNotFound {
-			r.fleet.Judge.ReportViolation("%s does not have route %s %v after it was stored", n.ID, prefix, configTimeout)
+			r.fleet.Checker.ReportViolation("%s does not have route %s %v after it was stored", n.ID, prefix, configTimeout)
 		}
 	}
 }
@@ -281,8 +281,8 @@
 func (r *run) submitAndDisconnect(job fleet.Job, n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), disconnectDelay)
 	defer cancel()
-	r.fleet.Try(ctx, r.fleet.Entries[n%entries], fleet.Prefix, job)
-	time.Sleep(fleet.Resend)
+	r.fleet.SubmitOnce(ctx, r.fleet.Entries[n%entries], fleet.Prefix, job)
+	time.Sleep(fleet.ResubmitDelay)
 }
 
 func newJob(n int) fleet.Job {
--- a/e2e/soak/schedule.go
+++ b/e2e/soak/schedule.go
@@ -15,62 +15,62 @@
 
 // Kinds of faults. Planned operations, see Planned, must not interrupt any request.
 const (
-	EntryKill    Kind = "entry killed and restarted"
-	EntryFreeze  Kind = "entry suspended"
-	EntryTerm    Kind = "entry stopped gracefully and restarted"
-	EntryHangup  Kind = "SIGHUP sent to entry"
-	GuardKill    Kind = "guard killed and restarted"
-	GuardFreeze  Kind = "guard suspended"
-	GuardTerm    Kind = "guard stopped gracefully and restarted"
-	GuardHangup  Kind = "SIGHUP sent to guard"
-	RunnerCrash  Kind = "runner crashed and restarted with a new id"
-	RunnerLate   Kind = "requests to a runner take effect late"
-	RunnerSlow   Kind = "runner slow"
-	RunnerHang   Kind = "runner hangs"
-	RunnerFails  Kind = "runner fails its tasks"
-	StoreDown    Kind = "store down"
-	StoreAway    Kind = "store unavailable to one entry"
-	StoreSlow    Kind = "store slow"
-	StoreLoses   Kind = "store loses responses"
-	EntryCut     Kind = "network partition between an entry and the guards"
-	EntryOneWay  Kind = "one-way network partition: data from an entry is dropped"
-	EntryStalls  Kind = "connections to an entry stalled"
-	EntryReset   Kind = "connections to an entry reset"
-	EntrySilent  Kind = "connections to an entry permanently unresponsive"
-	EntryDelay   Kind = "network to an entry delayed"
-	RunnerReset  Kind = "connections to a runner reset"
-	RunnerSilent Kind = "connections to a runner permanently unresponsive"
-	Configure    Kind = "configuration changed"
-	Burst        Kind = "burst of jobs"
-	TaskCrashes  Kind = "task crashes the runner that starts it"
-	RunnerShrink Kind = "runner capacity reduced in steps to zero and restored"
+	EntryKill               Kind = "entry killed and restarted"
+	EntrySuspend            Kind = "entry suspended"
+	EntryTerm               Kind = "entry stopped gracefully and restarted"
+	EntryHangup             Kind = "SIGHUP sent to entry"
+	GuardKill               Kind = "guard killed and restarted"
+	GuardSuspend            Kind = "guard suspended"
+	GuardTerm               Kind = "guard stopped gracefully and restarted"
+	GuardHangup             Kind = "SIGHUP sent to guard"
+	RunnerCrash             Kind = "runner crashed and restarted with a new id"
+	RunnerLateRequests      Kind = "requests to a runner take effect late"
+	RunnerSlow              Kind = "runner slow"
+	RunnerHang              Kind = "runner hangs"
+	RunnerFailsTasks        Kind = "runner fails its tasks"
+	StoreOutage             Kind = "store down"
+	StoreUnavailableToEntry Kind = "store unavailable to one entry"
+	StoreSlow               Kind = "store slow"
+	StoreLosesResponses     Kind = "store loses responses"
+	EntryPartition          Kind = "network partition between an entry and the guards"
+	EntryOneWayPartition    Kind = "one-way network partition: data from an entry is dropped"
+	EntryStall              Kind = "connections to an entry stalled"
+	EntryReset              Kind = "connections to an entry reset"
+	EntryBlackhole          Kind = "connections to an entry permanently unresponsive"
+	EntryDelay              Kind = "network to an entry delayed"
+	RunnerReset             Kind = "connections to a runner reset"
+	RunnerBlackhole         Kind = "connections to a runner permanently unresponsive"
+	Configure               Kind = "configuration changed"
+	Burst                   Kind = "burst of jobs"
+	TaskCrashes             Kind = "task crashes the runner that starts it"
+	RunnerShrink            Kind = "runner capacity reduced in steps to zero and restored"
 
 	RunnerRestart Kind = "runner restarted with the same id; last report of the old process arrives late"
-	RunnerLeaves  Kind = "runner drained and restarted with the same id"
+	RunnerDrain   Kind = "runner drained and restarted with the same id"
 )
 
 var plannedKinds = []Kind{EntryTerm, EntryHangup, GuardTerm, GuardHangup, Configure, Configure}
 
 var mainKinds = []Kind{
-	EntryKill, EntryKill, EntryFreeze, EntryTerm, EntryHangup, GuardKill, GuardKill, GuardFreeze, GuardTerm, GuardHangup,
-	RunnerCrash, RunnerLate, RunnerLate, RunnerSlow, RunnerHang, RunnerFails, StoreDown, StoreAway, StoreSlow, StoreLoses,
-	EntryCut, EntryOneWay, EntryStalls, EntryReset, EntrySilent, EntryDelay, RunnerReset, RunnerSilent, Configure, Burst,
+	EntryKill, EntryKill, EntrySuspend, EntryTerm, EntryHangup, GuardKill, GuardKill, GuardSuspend, GuardTerm, GuardHangup,
+	RunnerCrash, RunnerLateRequests, RunnerLateRequests, RunnerSlow, RunnerHang, RunnerFailsTasks, StoreOutage, StoreUnavailableToEntry, StoreSlow, StoreLosesResponses,
+	EntryPartition, EntryOneWayPartition, EntryStall, EntryReset, EntryBlackhole, EntryDelay, RunnerReset, RunnerBlackhole, Configure, Burst,
 }
 
 // Fault is one scheduled fault.
 type Fault struct {
-	// At is the time since the start of the run, For the duration of the fault.
+	// At is the time since the start of the run, Duration the duration of the fault.
 	At   time.Duration
 	Kind Kind
-	// Which selects the process that the fault affects, modulo the number of processes, and
+	// Index selects the process that the fault affects, modulo the number of processes, and
 	// the variant of the fault.
-	Which int
-	For   time.Duration
+	Index    int
+	Duration time.Duration
 }
 
 // String describes the fault in one line.
 func (f Fault) String() string {
-	return fmt.Sprintf("%7.3f s: %s, number %d, for %v", f.At.Seconds(), f.Kind, f.Which+1, f.For)
+	return fmt.Sprintf("%7.3f s: %s, number %d, for %v", f.At.Seconds(), f.Kind, f.Index+1, f.Duration)
 }
 
 // plannedSeedInterval is the interval of the seeds whose schedule has only planned
@@ -91,10 +91,10 @@
 	var faults []Fault
 	for at := 300 * time.Millisecond; at < length; {
 		faults = append(faults, Fault{
-			At:    at,
-			Kind:  kinds[r.IntN(len(kinds))],
-			Which: r.IntN(64),
-			For:   300*time.Millisecond + time.Duration(r.Int64N(int64(2500*time.Millisecond))),
+			At:       at,
+			Kind:     kinds[r.IntN(len(kinds))],
+			Index:    r.IntN(64),
+			Duration: 300*time.Millisecond + time.Duration(r.Int64N(int64(2500*time.Millisecond))),
 		})
 		at += minInterval + time.Duration(r.Int64N(int64(maxInterval-minInterval)))
 	}
@@ -109,7 +109,7 @@
 
 // additionalKinds are the kinds added later. Each group is drawn from a
 // separate random stream, so that the main faults of seeds that once found a bug are unchanged.
-var additionalKinds = [][]Kind{{TaskCrashes, RunnerShrink}, {RunnerRestart, RunnerRestart, RunnerLeaves}}
+var additionalKinds = [][]Kind{{TaskCrashes, RunnerShrink}, {RunnerRestart, RunnerRestart, RunnerDrain}}
 
 // additionalFaults returns the faults for one group of additionalKinds.
 func additionalFaults(seed, stream uint64, kinds []Kind, length time.Duration) []Fault {
@@ -118,10 +118,10 @@
 	var faults []Fault
 	for at := minInterval; at < length; at += minInterval + time.Duration(r.Int64N(int64(jitter))) {
 		faults = append(faults, Fault{
-			At:    at,
-			Kind:  kinds[r.IntN(len(kinds))],
-			Which: r.IntN(64),
-			For:   minInterval + time.Duration(r.Int64N(int64(jitter))),
+			At:       at,
+			Kind:     kinds[r.IntN(len(kinds))],
+			Index:    r.IntN(64),
+			Duration: minInterval + time.Duration(r.Int64N(int64(jitter))),
 		})
 	}
 	return faults
--- a/e2e/store_test.go
+++ b/e2e/store_test.go
@@ -199,11 +199,11 @@
 			c.Store.RevokeLeases(0)
 			applyVersion(t, c.Entries[version], version)
 			waitVersion(t, c.Entries, version)
-			assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+			assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 		}
 	})
 	assert.Equal(t, v.Failed+v.NoAnswer, 0)
-	assert.Assert(t, v.Refused < v.Complete/4, "%d refused", v.Refused)
+	assert.Assert(t, v.Rejected < v.Complete/4, "%d refused", v.Rejected)
 }
 
 func runStoreFault(t *testing.T, c *harness.Cluster, f storeFault, version int) {
@@ -277,19 +277,19 @@
 	retired := harness.Contract("gone")
 	_, err := c.Entries[0].Operator().Apply(t.Context(), retired, contracts.Precondition{})
 	assert.NilError(t, err)
-	assert.NilError(t, c.WaitSettled(t.Context(), "gone"))
+	assert.NilError(t, c.WaitServing(t.Context(), "gone"))
 	suspended := c.Entries[2]
 	underLoad(t, c, c.Entries[:2], func() {
-		suspended.Freeze()
+		suspended.Suspend()
 		_, err := c.Entries[0].Operator().Retire(t.Context(), "gone", contracts.Precondition{AnyRevision: true})
 		assert.NilError(t, err)
 		applyVersion(t, c.Entries[1], 1)
 		time.Sleep(5 * time.Second)
 		lateLoad := harness.StartLoad(t.Context(), "gone", 4, []*harness.Entry{suspended}, smallJobs)
 		time.Sleep(100 * time.Millisecond)
-		suspended.Thaw()
+		suspended.Resume()
 		waitVersion(t, c.Entries, 1)
-		assert.NilError(t, c.WaitSettled(t.Context(), "shop"))
+		assert.NilError(t, c.WaitServing(t.Context(), "shop"))
 		waitReplies(t, lateLoad, 50)
 		for _, r := range lateLoad.Stop() {
 			assert.NilError(t, r.Err)
--- a/e2e/submission_test.go
+++ b/e2e/submission_test.go
@@ -141,9 +141,9 @@
 	const retention = 300 * time.Millisecond
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
 		if s.ID == "entry-1" {
-			s.Callers.AnswerRetention = settings.Duration(retention)
+			s.Callers.CacheTTL = settings.Duration(retention)
 		} else {
-			s.Callers.MaxKeptAnswerBytes = 2048
+			s.Callers.CacheBytes = 2048
 		}
 	}})
 	job := jobOf(1, `{"echo":"`+strings.Repeat("x", 600)+`"}`)
@@ -175,7 +175,7 @@
 	parallel(t)
 	const retention = 100 * time.Millisecond
 	c, client := startClusterFor(t, longDeadlineContract(), harness.Options{Entries: 2, Guards: 1, EntrySettings: func(s *node.Settings) {
-		s.Callers.AnswerRetention = settings.Duration(retention)
+		s.Callers.CacheTTL = settings.Duration(retention)
 	}})
 	owner, other := c.Entries[0], c.Entries[1]
 	used, unused, running := mintID(t, client, owner), mintID(t, client, owner), mintID(t, client, owner)
@@ -239,7 +239,7 @@
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1})
 	assert.NilError(t, c.Apply(t.Context(), harness.Contract("rival")))
-	assert.NilError(t, c.WaitSettled(t.Context(), "rival"))
+	assert.NilError(t, c.WaitServing(t.Context(), "rival"))
 	rival := harness.NewClient("rival")
 	running, unused := mintID(t, client, c.Entries[0]), mintID(t, client, c.Entries[0])
 	job := jobOf(2, `{"run":"1500ms","echo":{"part":"core"}}`)
@@ -345,7 +345,7 @@
 	c.WaitIdle(t.Context())
 	assert.Equal(t, startsOf(c, id), 2)
 	assert.Equal(t, startsOf(c, unused), 0)
-	assert.Equal(t, c.Starts().Doubles, 0)
+	assert.Equal(t, c.Starts().Duplicates, 0)
 }
 
 // The owner is suspended with a job open. A retry at another entry is not held until the
@@ -360,7 +360,7 @@
 	job := jobOf(3, `{"run":"300ms","echo":{"part":"core"}}`)
 	reply := background(t, client, owner.Callers, id, job)
 	waitStarted(t, c, id, 3)
-	owner.Freeze()
+	owner.Suspend()
 	for range 3 {
 		forEachMethod(t, client, other.Callers, id, job, func(method string, a *harness.Answer) {
 			t.Logf("%s answered after %s", method, a.Took.Round(time.Millisecond))
@@ -368,8 +368,8 @@
 			assert.Assert(t, a.Took < promptLimit, "%s was answered only after %s", method, a.Took)
 		})
 	}
-	owner.Thaw()
-	a, _, err := client.PutUntilFinal(t.Context(), []string{other.Callers}, id, job, harness.Patience{Attempt: promptLimit, All: time.Minute})
+	owner.Resume()
+	a, _, err := client.PutUntilFinal(t.Context(), []string{other.Callers}, id, job, harness.RetryPolicy{PerTryTimeout: promptLimit, Timeout: time.Minute})
 	assert.NilError(t, err)
 	r := <-reply
 	// Both are complete, or both are cancelled by a DELETE that was forwarded before the
@@ -407,7 +407,7 @@
 	}
 	c.WaitIdle(t.Context())
 	assert.Equal(t, startsOf(c, id), 2)
-	assert.Equal(t, c.Starts().Doubles, 0)
+	assert.Equal(t, c.Starts().Duplicates, 0)
 }
 
 // Callers cancel many jobs at once, at an entry that mostly isn't the owner, while a few of
@@ -509,7 +509,7 @@
 func TestCancelOvertakesSubmission(t *testing.T) {
 	parallel(t)
 	c, client := startCluster(t, harness.Options{Entries: 2, Guards: 1})
-	callerRelay, relayed, err := c.FrontCallers(c.Entries[0])
+	callerRelay, relayed, err := c.RelayCallers(c.Entries[0])
 	assert.NilError(t, err)
 	stalled := healthyNetwork
 	stalled.ToTarget = "stall"
--- a/e2e/suspend_test.go
+++ b/e2e/suspend_test.go
@@ -18,9 +18,9 @@
 		c.Store.SetMode(store.CloseConnections)
 		c.Store.CloseWatches()
 		for range 5 {
-			c.Entries[0].Freeze()
+			c.Entries[0].Suspend()
 			time.Sleep(suspended)
-			c.Entries[0].Thaw()
+			c.Entries[0].Resume()
 			time.Sleep(between)
 		}
 		c.Store.SetMode(store.Up)
--- a/entry/api/path_test.go
+++ b/entry/api/path_test.go
@@ -47,7 +47,7 @@
 	c := f.contracts["t-shop"]
 	c.AnswerTime = contract.Duration(time.Minute)
 	f.contracts["t-shop"] = c
-	e := engine.New(engine.Options{Starter: starter, NewDecider: func(string) scheduler.Policy {
+	e := engine.New(engine.Options{Starter: starter, NewPolicy: func(string) scheduler.Policy {
 		return scheduler.New(scheduler.Options{}, rand.New(rand.NewPCG(1, 2)))
 	}})
 	for i := range 11 {
--- a/entry/command/command_test.go
+++ b/entry/command/command_test.go
@@ -85,7 +85,7 @@
 	defer f.store.mu.Unlock()
 	old := f.store.versions[c.Client]
 	if !e.AnyRevision && e.Revision != old.Revision {
-		return contracts.WriteResult{}, &contracts.ConflictError{Expected: e.Revision, Current: old}
+		return contracts.WriteResult{}, &contracts.ConflictError{Expected: e.Revision, InForce: old}
 	}
 	if old.Revision > 0 && old.Contract.SameTerms(c) {
 		return contracts.WriteResult{Revision: old.Revision, Unchanged: true}, nil
--- a/entry/contracts/machine_test.go
+++ b/entry/contracts/machine_test.go
@@ -146,8 +146,8 @@
 	var conflict *contracts.ConflictError
 	for i, err := range errs {
 		winner := 1 - i
-		if errs[winner] == nil && errors.As(err, &conflict) && conflict.Current.Revision != results[winner].Revision {
-			t.Fatalf("the conflict contains revision %d, not %d", conflict.Current.Revision, results[winner].Revision)
+		if errs[winner] == nil && errors.As(err, &conflict) && conflict.InForce.Revision != results[winner].Revision {
+			t.Fatalf("the conflict contains revision %d, not %d", conflict.InForce.Revision, results[winner].Revision)
 		}
 	}
 	switch {
@@ -166,7 +166,7 @@
 func (m *machine) checkBothConflicts(t *rapid.T, claimed int64, errs [2]error) {
 	for _, err := range errs {
 		var conflict *contracts.ConflictError
-		if !errors.As(err, &conflict) || conflict.Current.Revision != claimed {
+		if !errors.As(err, &conflict) || conflict.InForce.Revision != claimed {
 			t.Fatalf("unreadable value claims revision %d, the writer returned %v", claimed, err)
 		}
 	}
--- a/entry/contracts/writer.go
+++ b/entry/contracts/writer.go
@@ -31,14 +31,14 @@
 type ConflictError struct {
 	// Expected is the revision that the change was made for; zero for none.
 	Expected int64
-	// Current is the version in the store. Its Revision is zero when there is none; its
+	// InForce is the version in the store. Its Revision is zero when there is none; its
 	// Contract is empty when this entry can't decode it.
-	Current Version
+	InForce Version
 }
 
 // Error names both revisions.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%v: expected revision %d, found %d", ErrConflict, e.Expected, e.Current.Revision)
+	return fmt.Sprintf("%v: expected revision %d, found %d", ErrConflict, e.Expected, e.InForce.Revision)
 }
 
 // Unwrap returns ErrConflict.
@@ -263,7 +263,7 @@
 	// The newer value may be an accepted change made at an entry of a newer release: the
 	// operator has to agree explicitly to replace it.
 	if b.unreadableRevision > 0 && !precondition.AnyRevision {
-		return WriteResult{}, true, &ConflictError{Expected: precondition.Revision, Current: Version{Revision: b.unreadableRevision}}
+		return WriteResult{}, true, &ConflictError{Expected: precondition.Revision, InForce: Version{Revision: b.unreadableRevision}}
 	}
 	expected := precondition.AnyRevision || precondition.Revision == b.revision()
 	same := b.stored && b.record.Contract.SameTerms(c)
@@ -287,7 +287,7 @@
 func conflictError(expected int64, current *record) error {
 	e := &ConflictError{Expected: expected}
 	if current != nil {
-		e.Current = current.Version
+		e.InForce = current.Version
 	}
 	return e
 }
@@ -315,7 +315,7 @@
 	key := Key(p.client)
 	result, err := w.opts.Store.CompareAndSwap(ctx, key, p.base.modRevision, p.value, 0)
 	switch {
-	case errors.Is(err, platform.ErrUnknown):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		written, err := w.resolveUnknown(ctx, p)
 		return written, nil, err
 	case errors.Is(err, platform.ErrUnavailable):
--- a/entry/contracts/writer_test.go
+++ b/entry/contracts/writer_test.go
@@ -78,7 +78,7 @@
 	_, err := writer.Apply(t.Context(), sample("karlovac", 10), contracts.Precondition{})
 	var conflict *contracts.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
-	assert.Equal(t, conflict.Current.Contract.Rate, 30.0)
+	assert.Equal(t, conflict.InForce.Contract.Rate, 30.0)
 }
 
 // As above, but so many changes follow that the history no longer shows it. The outcome
@@ -111,7 +111,7 @@
 		hook()
 	}
 	result, err := h.Store.CompareAndSwap(ctx, key, mod, value, lease)
-	if hook := h.afterLostSwap; hook != nil && errors.Is(err, platform.ErrUnknown) {
+	if hook := h.afterLostSwap; hook != nil && errors.Is(err, platform.ErrOutcomeUnknown) {
 		h.afterLostSwap = nil
 		hook()
 	}
@@ -175,8 +175,8 @@
 		assert.Assert(t, errors.As(err, &conflict))
 		assert.ErrorIs(t, err, contracts.ErrConflict)
 		assert.Equal(t, conflict.Expected, expected)
-		assert.Equal(t, conflict.Current.Revision, winner.Revision)
-		assert.Equal(t, conflict.Current.Contract.Rate, 20.0)
+		assert.Equal(t, conflict.InForce.Revision, winner.Revision)
+		assert.Equal(t, conflict.InForce.Contract.Rate, 20.0)
 	}
 	_, err = b.writer.Apply(t.Context(), sample("osijek", 1), contracts.Precondition{Revision: 7})
 	assert.ErrorIs(t, err, contracts.ErrConflict)
@@ -204,7 +204,7 @@
 	_, err := b.writer.Apply(t.Context(), sample("karlovac", 20), contracts.Precondition{Revision: revision})
 	var conflict *contracts.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
-	assert.Equal(t, conflict.Current.Revision, int64(5000))
+	assert.Equal(t, conflict.InForce.Revision, int64(5000))
 	written, err := b.writer.Apply(t.Context(), sample("karlovac", 20), anyRevision)
 	assert.NilError(t, err)
 	assert.Equal(t, written.Revision, int64(5001))
--- a/entry/engine/engine.go
+++ b/entry/engine/engine.go
@@ -102,10 +102,10 @@
 // Options configure an Engine.
 type Options struct {
 	Starter task.Starter
-	// NewDecider creates the scheduler of one service.
-	NewDecider func(service string) scheduler.Policy
-	Logger     *slog.Logger
-	Scope      tally.Scope
+	// NewPolicy creates the scheduler of one service.
+	NewPolicy func(service string) scheduler.Policy
+	Logger    *slog.Logger
+	Scope     tally.Scope
 	// Now defaults to time.Now.
 	Now func() time.Time
 	// DrainRetry is the RetryAfter of a job rejected while draining.
--- a/entry/engine/engine_test.go
+++ b/entry/engine/engine_test.go
@@ -146,7 +146,7 @@
 }
 
 func newEngine(f *fakeStarter) *Engine {
-	return New(Options{Starter: f, NewDecider: func(string) scheduler.Policy {
+	return New(Options{Starter: f, NewPolicy: func(string) scheduler.Policy {
 		return scheduler.New(scheduler.Options{}, rand.New(rand.NewPCG(1, 2)))
 	}})
 }
@@ -402,7 +402,7 @@
 func TestFaultyDeciderDoesNotRunTaskTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStarter()
-		e := New(Options{Starter: f, NewDecider: func(string) scheduler.Policy { return &faultyPolicy{} }})
+		e := New(Options{Starter: f, NewPolicy: func(string) scheduler.Policy { return &faultyPolicy{} }})
 		e.SetEndpoint(serviceName, scheduler.Endpoint{ID: "a#1"})
 		s := submit(e, f, "j", 2, true)
 		synctest.Wait()
--- a/entry/engine/service.go
+++ b/entry/engine/service.go
@@ -34,7 +34,7 @@
 	return &service{
 		engine: e,
 		name:   name,
-		policy: e.opts.NewDecider(name),
+		policy: e.opts.NewPolicy(name),
 		jobs:   map[scheduler.JobID]*job{},
 	}
 }
@@ -274,7 +274,7 @@
 	case o.Code == task.CodeCancelled, o.Code == task.CodeDeadline, j.ctx.Err() != nil:
 		return scheduler.Cancelled
 	case o.Ran == task.RanNo:
-		return scheduler.Refused
+		return scheduler.Rejected
 	case o.Ran == task.RanYes, o.Code == task.CodeRunLimit:
 		// A task that exceeded its run limit would mostly exceed it on any endpoint, so it is
 		// retried less often than one whose endpoint was lost.
--- a/entry/fleet/bare/client.go
+++ b/entry/fleet/bare/client.go
@@ -34,13 +34,13 @@
 	ranNo        = "no"
 )
 
-// Errors of a call. Only ErrNotSent and ErrRefused mean that the task did not start and
+// Errors of a call. Only ErrNotSent and ErrRejected mean that the task did not start and
 // will not start.
 var (
 	// ErrNotSent means that no byte of the request was written.
 	ErrNotSent = errors.New("runner not reached")
-	// ErrRefused means that the runner reported that it did not start the task.
-	ErrRefused = errors.New("runner refused")
+	// ErrRejected means that the runner reported that it did not start the task.
+	ErrRejected = errors.New("runner refused")
 	// ErrFailed means that the runner answered with an error status; the task ran.
 	ErrFailed = errors.New("runner failed the task")
 	// ErrTruncated means that the response was incomplete or corrupt; the task ran.
@@ -252,7 +252,7 @@
 	message := resp.Status + ": " + strings.TrimSpace(string(text))
 	refusing := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	if refusing && resp.Header.Get(headerRan) == ranNo {
-		return eris.Wrap(ErrRefused, message)
+		return eris.Wrap(ErrRejected, message)
 	}
 	return eris.Wrap(ErrFailed, message)
 }
--- a/entry/fleet/bare/client_test.go
+++ b/entry/fleet/bare/client_test.go
@@ -56,7 +56,7 @@
 		{"refusal", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headerRan, ranNo)
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, ErrRefused},
+		}, ErrRejected},
 		{"503 that does not say it did not run", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, ErrFailed},
--- a/entry/fleet/bare_test.go
+++ b/entry/fleet/bare_test.go
@@ -191,7 +191,7 @@
 	}
 	done := make(chan task.Outcome, 1)
 	go func() { done <- b.fleet.Start(context.Background(), callOn(b.id, "first", budget)) }()
-	eventually(t, func() bool { return b.fleet.Endpoints()[0].Open == 1 }, "first task runs")
+	eventually(t, func() bool { return b.fleet.Endpoints()[0].InFlight == 1 }, "first task runs")
 	second := b.fleet.Start(context.Background(), callOn(b.id, "second", budget))
 	close(release)
 	assert.Equal(t, second.Ran, task.RanNo)
--- a/entry/fleet/bareendpoint.go
+++ b/entry/fleet/bareendpoint.go
@@ -160,9 +160,9 @@
 		Address:    e.address,
 		Bare:       true,
 		Slots:      e.lastEndpoint.Slots,
-		Leaving:    e.lastEndpoint.Draining,
+		Draining:   e.lastEndpoint.Draining,
 		Usable:     e.published && !e.lastEndpoint.Draining,
-		Open:       int(e.open.Load()),
+		InFlight:   int(e.open.Load()),
 	}
 }
 
@@ -206,15 +206,15 @@
 
 // runnerAnswered reports whether the failure was a complete response of the runner.
 func runnerAnswered(err error) bool {
-	return errors.Is(err, bare.ErrRefused) || errors.Is(err, bare.ErrFailed)
+	return errors.Is(err, bare.ErrRejected) || errors.Is(err, bare.ErrFailed)
 }
 
 // slotsAfterFailure returns what a failed call reveals about the slots: a runner that
 // refuses has no free slot, one that answers with an error has one.
 func slotsAfterFailure(err error) share.StartResult {
 	switch {
-	case errors.Is(err, bare.ErrRefused):
-		return share.ResultRefused
+	case errors.Is(err, bare.ErrRejected):
+		return share.ResultRejected
 	case errors.Is(err, bare.ErrFailed):
 		return share.ResultRan
 	}
@@ -253,7 +253,7 @@
 	switch {
 	case errors.Is(err, bare.ErrNotSent):
 		return bareInterrupted(ctx, task.CodeRefused, task.RanNo, err)
-	case errors.Is(err, bare.ErrRefused):
+	case errors.Is(err, bare.ErrRejected):
 		return failure(task.CodeRefused, task.RanNo, err.Error())
 	case errors.Is(err, bare.ErrFailed):
 		return failure(task.CodeFailed, task.RanYes, err.Error())
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -255,13 +255,13 @@
 	DataCentre string
 	Address    string
 	// Bare is true for a runner without a guard.
-	Bare    bool
-	Slots   int
-	Leaving bool
+	Bare     bool
+	Slots    int
+	Draining bool
 	// Usable is false while no task may be started on the endpoint.
 	Usable bool
-	// Open is the number of open starts of this entry.
-	Open int
+	// InFlight is the number of open starts of this entry.
+	InFlight int
 }
 
 // Endpoints returns the status of every endpoint that this entry knows.
--- a/entry/fleet/guard.go
+++ b/entry/fleet/guard.go
@@ -245,9 +245,9 @@
 		DataCentre: g.dataCentre,
 		Address:    g.address,
 		Slots:      g.lastEndpoint.Slots,
-		Leaving:    g.leaving,
+		Draining:   g.leaving,
 		Usable:     g.published && !g.lastEndpoint.Draining,
-		Open:       g.openStarts(),
+		InFlight:   g.openStarts(),
 	}
 }
 
--- a/entry/fleet/share/share.go
+++ b/entry/fleet/share/share.go
@@ -79,8 +79,8 @@
 const (
 	// ResultRan means that the endpoint had a slot for the start, which is free again.
 	ResultRan StartResult = iota
-	// ResultRefused means that the endpoint had no slot for the start.
-	ResultRefused
+	// ResultRejected means that the endpoint had no slot for the start.
+	ResultRejected
 	// ResultOther reveals nothing about the endpoint's slots.
 	ResultOther
 )
@@ -209,7 +209,7 @@
 		if maxOthers := float64(s.Slots - before); p.estimateOthers(now, s) > maxOthers {
 			s.othersOpen, s.estimatedAt = maxOthers, now
 		}
-	case ResultRefused:
+	case ResultRejected:
 		p.recordRefusal(now, s)
 	case ResultOther:
 	}
--- a/entry/fleet/share/share_test.go
+++ b/entry/fleet/share/share_test.go
@@ -156,7 +156,7 @@
 	for range 4 {
 		p.StartOpened(address(0))
 	}
-	p.StartEnded(origin, address(0), share.ResultRefused, 0)
+	p.StartEnded(origin, address(0), share.ResultRejected, 0)
 	assert.Equal(t, p.Limits(origin)[address(0)], 3)
 	p.StartEnded(origin, address(0), share.ResultRan, time.Second)
 	assert.Equal(t, p.Limits(origin)[address(0)], 3)
--- a/entry/jobs/log.go
+++ b/entry/jobs/log.go
@@ -14,7 +14,7 @@
 func logAccepted(l *slog.Logger, job work.Job, t planner.Terms, wait time.Duration, o planner.JobForecast) {
 	jobAccepted.Log(context.Background(), l, slog.String("job", job.ID), slog.String("contract", t.Contract), slog.String("service", t.Service),
 		slog.Int("tasks", job.Tasks()), millis("caller_waits_ms", wait), millis("expected_ms", o.ExpectedRunTime),
-		millis("start_in_ms", o.StartIn), millis("keep_for_ms", o.MaxWait), slog.Int("jobs_ahead", o.JobsWaiting))
+		millis("start_in_ms", o.StartIn), millis("keep_for_ms", o.MaxWait), slog.Int("jobs_ahead", o.JobsAhead))
 }
 
 // logOrders logs the orders sent to one guard: one line for each group of starts of the same job
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -79,7 +79,7 @@
 	s.keys[key] = platform.KeyValue{Key: key, Value: value, ModRevision: s.revision, Lease: lease}
 	if s.loseAnswer {
 		s.loseAnswer = false
-		return platform.SwapResult{}, platform.ErrUnknown
+		return platform.SwapResult{}, platform.ErrOutcomeUnknown
 	}
 	return platform.SwapResult{Swapped: true, Revision: s.revision}, nil
 }
--- a/entry/member/registrar.go
+++ b/entry/member/registrar.go
@@ -295,7 +295,7 @@
 			return nil
 		}
 		swapped, err := r.swap(ctx, key, revision, value, lease)
-		if errors.Is(err, platform.ErrUnknown) {
+		if errors.Is(err, platform.ErrOutcomeUnknown) {
 			continue
 		}
 		if err != nil {
@@ -306,7 +306,7 @@
 			return nil
 		}
 	}
-	return eris.Wrap(platform.ErrUnknown, "member: the outcome of the registration is unknown")
+	return eris.Wrap(platform.ErrOutcomeUnknown, "member: the outcome of the registration is unknown")
 }
 
 // swapRevision returns the revision that the compare-and-swap expects, or ErrSuperseded if the key
--- a/entry/node/node.go
+++ b/entry/node/node.go
@@ -183,11 +183,11 @@
 	}
 	starter := &deferredStarter{}
 	n.engine = engine.New(engine.Options{
-		Starter:    starter,
-		NewDecider: func(string) scheduler.Policy { return newServicePolicy(n.settings) },
-		Logger:     n.logger,
-		Scope:      n.metrics.Scope,
-		Now:        time.Now,
+		Starter:   starter,
+		NewPolicy: func(string) scheduler.Policy { return newServicePolicy(n.settings) },
+		Logger:    n.logger,
+		Scope:     n.metrics.Scope,
+		Now:       time.Now,
 	})
 	n.fleet = fleet.New(fleet.Options{
 		EntryID:      n.settings.ID,
@@ -268,8 +268,8 @@
 		Entry:       n.settings.ID,
 		Incarnation: n.incarnation,
 		Key:         submission.NewKey(),
-		CacheBytes:  n.settings.Callers.MaxKeptAnswerBytes,
-		CacheTTL:    n.settings.Callers.AnswerRetention.Std(),
+		CacheBytes:  n.settings.Callers.CacheBytes,
+		CacheTTL:    n.settings.Callers.CacheTTL.Std(),
 	})
 	n.api = api.New(api.Options{
 		EntryID:   n.settings.ID,
--- a/entry/node/settings.go
+++ b/entry/node/settings.go
@@ -80,12 +80,12 @@
 type CallerSettings struct {
 	// MaxBodyBytes is the maximum size of a request body in bytes; default 8 MiB.
 	MaxBodyBytes int64 `json:"max_body,omitempty" validate:"gte=0"`
-	// AnswerRetention is how long an answer is kept for repeated requests; default
+	// CacheTTL is how long an answer is kept for repeated requests; default
 	// 60s.
-	AnswerRetention settings.Duration `json:"keep_answers,omitempty"`
-	// MaxKeptAnswerBytes is the maximum total size of kept answers in bytes; default
+	CacheTTL settings.Duration `json:"keep_answers,omitempty"`
+	// CacheBytes is the maximum total size of kept answers in bytes; default
 	// 128 MiB.
-	MaxKeptAnswerBytes int64 `json:"keep_bytes,omitempty" validate:"gte=0"`
+	CacheBytes int64 `json:"keep_bytes,omitempty" validate:"gte=0"`
 }
 
 // DispatchSettings configures scheduling and admission.
@@ -148,9 +148,9 @@
 			IsolationTimeout: settings.Duration(5 * time.Second),
 		},
 		Callers: CallerSettings{
-			MaxBodyBytes:       8 << 20,
-			AnswerRetention:    settings.Duration(time.Minute),
-			MaxKeptAnswerBytes: 128 << 20,
+			MaxBodyBytes: 8 << 20,
+			CacheTTL:     settings.Duration(time.Minute),
+			CacheBytes:   128 << 20,
 		},
 		Dispatch: DispatchSettings{
 			MinInFlight:    scheduler.DefaultMinInFlight,
@@ -223,7 +223,7 @@
 		"platform.lease_ttl":   s.Platform.LeaseTTL,
 		"peers.interval":       s.Peers.Interval,
 		"peers.isolation":      s.Peers.IsolationTimeout,
-		"callers.keep_answers": s.Callers.AnswerRetention,
+		"callers.keep_answers": s.Callers.CacheTTL,
 		"fleet.announce_every": s.Fleet.MinAnnounceInterval,
 		"drain_limit":          s.DrainTimeout,
 	}
--- a/entry/operator/contracts.go
+++ b/entry/operator/contracts.go
@@ -187,9 +187,9 @@
 
 func writeConflict(w http.ResponseWriter, conflict *contracts.ConflictError) {
 	body := ErrorBody{Error: Error{Code: CodeConflict, Message: conflict.Error()}}
-	if conflict.Current.Revision != 0 {
-		body.InForce = &conflict.Current
-		w.Header().Set("ETag", etag(conflict.Current.Revision))
+	if conflict.InForce.Revision != 0 {
+		body.InForce = &conflict.InForce
+		w.Header().Set("ETag", etag(conflict.InForce.Revision))
 	}
 	writeJSON(w, http.StatusConflict, body)
 }
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -210,7 +210,7 @@
 		status int
 		code   operator.Code
 	}{
-		{&contracts.ConflictError{Expected: 3, Current: acmeVersion(7)}, http.StatusConflict, operator.CodeConflict},
+		{&contracts.ConflictError{Expected: 3, InForce: acmeVersion(7)}, http.StatusConflict, operator.CodeConflict},
 		{contracts.ErrStoreUnavailable, http.StatusServiceUnavailable, operator.CodeStoreUnavailable},
 		{contracts.ErrUnknownOutcome, http.StatusGatewayTimeout, operator.CodeUnknownOutcome},
 		{contracts.ErrNotFound, http.StatusNotFound, operator.CodeNotFound},
--- a/entry/operator/reports.go
+++ b/entry/operator/reports.go
@@ -69,9 +69,9 @@
 			Address:    e.Address,
 			Bare:       e.Bare,
 			Slots:      e.Slots,
-			Draining:   e.Leaving,
+			Draining:   e.Draining,
 			Usable:     e.Usable,
-			InFlight:   e.Open,
+			InFlight:   e.InFlight,
 		})
 	}
 	slices.SortFunc(out.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
--- a/entry/peer/bare_test.go
+++ b/entry/peer/bare_test.go
@@ -22,8 +22,8 @@
 func (discardSink) ApplyReport(string, scheduler.EndpointID, scheduler.Report) {}
 
 // withFleet gives an entry a real fleet.
-func withFleet(t *testing.T) func(*entry) BareEndpoints {
-	return func(e *entry) BareEndpoints {
+func withFleet(t *testing.T) func(*entry) BareSource {
+	return func(e *entry) BareSource {
 		f := fleet.New(fleet.Options{
 			EntryID: e.info.ID, Incarnation: e.info.Incarnation, DataCentre: e.info.DataCentre, Sink: discardSink{},
 			OnChange: func(urgent bool) { e.peers.RequestRound(urgent) },
--- a/entry/peer/peer.go
+++ b/entry/peer/peer.go
@@ -63,9 +63,9 @@
 	MergeResponse(*wirev1.FetchContractsResponse) (int, error)
 }
 
-// BareEndpoints is the part of the fleet that entries share by gossip.
-type BareEndpoints interface {
-	// BareEndpoints lists the endpoints without a guard; ApplyBareEndpoints applies a peer's list.
+// BareSource is the part of the fleet that entries share by gossip.
+type BareSource interface {
+	// BareSource lists the endpoints without a guard; ApplyBareEndpoints applies a peer's list.
 	BareEndpoints() []*wirev1.BareEndpoint
 	ApplyBareEndpoints([]*wirev1.BareEndpoint)
 	// BareUsage is this entry's current use of them; ApplyBareUsage applies a peer's.
@@ -103,7 +103,7 @@
 	Lease     Lease
 	Contracts Contracts
 	Quota     Quota
-	Bare      BareEndpoints
+	Bare      BareSource
 	// Guards is nil for an entry that neither lists nor contacts guards.
 	Guards  Guards
 	Forward ForwardHandler
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -127,7 +127,7 @@
 	members  *member.Table
 	registry *contracts.Registry
 	quota    *quota.Table
-	bare     BareEndpoints
+	bare     BareSource
 	relay    *relay.Relay
 	peers    *Peers
 	server   *http.Server
@@ -142,7 +142,7 @@
 	// relayed entries are reached through a relay.
 	relayed bool
 	// bare is the entry's fleet; interval is the time between regular rounds.
-	bare     func(*entry) BareEndpoints
+	bare     func(*entry) BareSource
 	interval time.Duration
 	// guards is the part of the entry's fleet used for joining; nil for none.
 	guards Guards
--- a/entry/sessions/session.go
+++ b/entry/sessions/session.go
@@ -154,7 +154,7 @@
 				s.server.opt.Lag.CountRejectedStart()
 			}
 			update.Reports = append(update.Reports, jobs.Report{
-				Run:    fleetwire.FromTaskName(r.GetTask(), r.GetAttempt()),
+				Run:    fleetwire.ToRunID(r.GetTask(), r.GetAttempt()),
 				Change: c,
 				Ran:    time.Duration(r.GetRanUs()) * time.Microsecond,
 				Crash:  crashOf(r.GetCrash()),
--- a/guard/node/node.go
+++ b/guard/node/node.go
@@ -185,10 +185,10 @@
 
 func (n *Node) newClient(address string, connections int) *runner.Client {
 	return runner.New(runner.Options{
-		Address:     address,
-		Connections: connections,
-		MaxResponse: n.settings.Limits.AnswerBytes,
-		CancelGrace: n.settings.CancelGrace.Std(),
+		Address:          address,
+		Connections:      connections,
+		MaxResponseBytes: n.settings.Limits.AnswerBytes,
+		CancelGrace:      n.settings.CancelGrace.Std(),
 	})
 }
 
--- a/guard/runner/conn_test.go
+++ b/guard/runner/conn_test.go
@@ -102,11 +102,11 @@
 	}))
 	defer s.Close()
 	client := New(Options{
-		Address:     s.Listener.Addr().String(),
-		Connections: connections,
-		MaxResponse: 1 << 10,
-		CancelGrace: time.Minute,
-		IdleTimeout: time.Minute,
+		Address:          s.Listener.Addr().String(),
+		Connections:      connections,
+		MaxResponseBytes: 1 << 10,
+		CancelGrace:      time.Minute,
+		IdleTimeout:      time.Minute,
 	})
 	defer client.Close()
 	opened := make(chan *conn, connections)
@@ -147,7 +147,7 @@
 func TestBrokenConnectionsAreNotAbsence(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
-	client := New(Options{Address: s.Listener.Addr().String(), Connections: 1, MaxResponse: 1 << 10, CancelGrace: time.Minute})
+	client := New(Options{Address: s.Listener.Addr().String(), Connections: 1, MaxResponseBytes: 1 << 10, CancelGrace: time.Minute})
 	defer client.Close()
 	client.transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := dial(ctx, network, address)
--- a/guard/runner/runner.go
+++ b/guard/runner/runner.go
@@ -120,8 +120,8 @@
 	Address string
 	// Connections is the maximum number of open connections.
 	Connections int
-	// MaxResponse is the maximum size of a response, in bytes.
-	MaxResponse int64
+	// MaxResponseBytes is the maximum size of a response, in bytes.
+	MaxResponseBytes int64
 	// CancelGrace is the time that a stopped call has to end before its
 	// connection is closed.
 	CancelGrace time.Duration
@@ -264,7 +264,7 @@
 
 // readResponse reads the response body and verifies that it is complete.
 func (c *Client) readResponse(resp *http.Response) (payload, digest []byte, err error) {
-	if resp.ContentLength > c.opts.MaxResponse {
+	if resp.ContentLength > c.opts.MaxResponseBytes {
 		return nil, nil, errResponseTooLong
 	}
 	declared, hasDigest := declaredDigest(resp.Header)
@@ -272,7 +272,7 @@
 	if resp.ContentLength < 0 && !chunked && !hasDigest {
 		return nil, nil, errUnknownLength
 	}
-	payload, err = readAll(resp.Body, resp.ContentLength, c.opts.MaxResponse)
+	payload, err = readAll(resp.Body, resp.ContentLength, c.opts.MaxResponseBytes)
 	if err != nil {
 		return nil, nil, fmt.Errorf("answer cut short: %w", err)
 	}
--- a/guard/runner/runner_test.go
+++ b/guard/runner/runner_test.go
@@ -25,10 +25,10 @@
 
 func newClient(address string, connections int) *runner.Client {
 	return runner.New(runner.Options{
-		Address:     address,
-		Connections: connections,
-		MaxResponse: 1 << 16,
-		CancelGrace: noTimeout,
+		Address:          address,
+		Connections:      connections,
+		MaxResponseBytes: 1 << 16,
+		CancelGrace:      noTimeout,
 	})
 }
 
@@ -323,7 +323,7 @@
 	}))
 	defer s.Close()
 	defer close(stop)
-	client := runner.New(runner.Options{Address: s.Listener.Addr().String(), Connections: 2, MaxResponse: 1, CancelGrace: time.Millisecond})
+	client := runner.New(runner.Options{Address: s.Listener.Addr().String(), Connections: 2, MaxResponseBytes: 1, CancelGrace: time.Millisecond})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-started
--- a/guard/server/server_test.go
+++ b/guard/server/server_test.go
@@ -156,7 +156,7 @@
 	h.registry = registration.New(registration.Options{
 		DataCentre: "zagreb",
 		NewClient: func(address string, connections int) *runner.Client {
-			return runner.New(runner.Options{Address: address, Connections: connections, MaxResponse: maxPayload, CancelGrace: time.Minute})
+			return runner.New(runner.Options{Address: address, Connections: connections, MaxResponseBytes: maxPayload, CancelGrace: time.Minute})
 		},
 		OnChange: func(r *registration.Runner) { h.server.SetRunner(r.State()) },
 	})
--- a/guard/uplink/session.go
+++ b/guard/uplink/session.go
@@ -160,7 +160,7 @@
 	s.up.admit(s)
 	var open []work.RunID
 	for _, o := range g.GetOpen() {
-		open = append(open, fleetwire.FromTaskName(o.GetTask(), o.GetAttempt()))
+		open = append(open, fleetwire.ToRunID(o.GetTask(), o.GetAttempt()))
 	}
 	for _, r := range s.up.host.Reconcile(s.owner, open) {
 		s.push(r)
@@ -248,7 +248,7 @@
 	}
 	var cancels []work.RunID
 	for _, c := range m.GetStops() {
-		cancels = append(cancels, fleetwire.FromTaskName(c.GetTask(), c.GetAttempt()))
+		cancels = append(cancels, fleetwire.ToRunID(c.GetTask(), c.GetAttempt()))
 	}
 	if len(orders) > 0 || len(cancels) > 0 {
 		s.up.host.Submit(sent, s.owner, orders, cancels)
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -138,7 +138,7 @@
 			_, _, err := failing.Get(t.Context(), "k")
 			assert.ErrorIs(t, err, platform.ErrUnavailable)
 			_, err = failing.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
-			assert.ErrorIs(t, err, platform.ErrUnknown)
+			assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
 			_, err = collectEvents(t, failing, 1, never)
 			assert.ErrorIs(t, err, platform.ErrUnavailable)
 			assert.Assert(t, !errors.Is(err, context.DeadlineExceeded), "the watch must fail before the context's deadline: %v", err)
@@ -161,7 +161,7 @@
 	s, c := serve(t)
 	s.LoseResponses(1)
 	_, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
-	assert.ErrorIs(t, err, platform.ErrUnknown)
+	assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
 	value, _ := s.Value("k")
 	assert.Equal(t, string(value), "v")
 	assert.Equal(t, s.Counts()["txn"], int64(1))
@@ -287,7 +287,7 @@
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 	assert.Equal(t, post("switches", `{"mode":"up","lose_answers":1}`), 200)
 	_, err = c.CompareAndSwap(t.Context(), "l", 0, []byte("v"), 0)
-	assert.ErrorIs(t, err, platform.ErrUnknown)
+	assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
 	for _, name := range []string{"cut", "silence", "compact", "expire"} {
 		assert.Equal(t, post(name, ""), 200)
 	}
