--- a/bench/cmd/almondbench/run.go
+++ b/bench/cmd/almondbench/run.go
@@ -81,7 +81,7 @@
 	}
 	r.Programs = b.label
 	r.Seed = e.Seed
-	for _, fault := range r.Verdict.Violations {
+	for _, fault := range r.Verdict.Faults {
 		fmt.Fprintln(os.Stderr, "FAULT", e.Name, fault)
 	}
 	if p.out == "" {
--- a/bench/result/table.go
+++ b/bench/result/table.go
@@ -20,7 +20,7 @@
 		entry, guard := r.meanOf("entry-"), r.meanOf("guard-")
 		writeGroup(t, r.title(), "all", r.All,
 			fmt.Sprintf("%.3f\t%.3f\t%.3f\t%.0f\t%.3f\t%.0f\t%d", r.WastedPerTask, r.ControlPerTask,
-				entry.Cores, megabytes(entry.RSS), guard.Cores, megabytes(guard.RSS), len(r.Verdict.Violations)))
+				entry.Cores, megabytes(entry.RSS), guard.Cores, megabytes(guard.RSS), len(r.Verdict.Faults)))
 		for _, name := range r.clientNames() {
 			writeGroup(t, "", name, r.Clients[name], "\t\t\t\t\t\t")
 		}
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// State tells whether work is accepted under a contract.
+// State determines whether work is accepted under a contract.
 type State string
 
 // States of a contract. A contract is retired and never deleted, so that the
--- a/dispatch/placement/endpoint.go
+++ b/dispatch/placement/endpoint.go
@@ -16,7 +16,7 @@
 
 	slots    int
 	ownLimit int
-	leaving  bool
+	draining bool
 	noQueue  bool
 	own      int
 	others   int
@@ -49,7 +49,7 @@
 func (e *Endpoint) Others() int { return e.others }
 
 // Draining reports whether the endpoint is draining: no new task may be started there.
-func (e *Endpoint) Draining() bool { return e.leaving }
+func (e *Endpoint) Draining() bool { return e.draining }
 
 // Excluded reports whether the endpoint is excluded from placement by SetExcluded.
 func (e *Endpoint) Excluded() bool { return e.excluded }
@@ -82,7 +82,7 @@
 }
 
 // Usable reports whether the endpoint accepts tasks at all.
-func (e *Endpoint) Usable() bool { return !e.leaving && e.slots > 0 }
+func (e *Endpoint) Usable() bool { return !e.draining && e.slots > 0 }
 
 // averageOthers adds a report's count of others' tasks to the moving average.
 func (e *Endpoint) averageOthers(now time.Time, others int) {
--- a/dispatch/placement/set.go
+++ b/dispatch/placement/set.go
@@ -89,10 +89,10 @@
 }
 
 // Configure sets what the endpoint announced.
-func (s *Set) Configure(e *Endpoint, slots, ownLimit int, leaving bool) {
+func (s *Set) Configure(e *Endpoint, slots, ownLimit int, draining bool) {
 	e.slots = slots
 	e.ownLimit = ownLimit
-	e.leaving = leaving
+	e.draining = draining
 	s.relink(e)
 }
 
@@ -115,7 +115,7 @@
 	if r.Slots > 0 {
 		e.slots = r.Slots
 	}
-	e.leaving = r.Leaving
+	e.draining = r.Leaving
 	s.relink(e)
 	return true
 }
--- a/dispatch/planner/endpoint.go
+++ b/dispatch/planner/endpoint.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// fit tells whether the endpoints of a service could ever run a job.
+// fit reports whether the endpoints of a service could ever run a job.
 type fit int
 
 const (
--- a/dispatch/planner/planner.go
+++ b/dispatch/planner/planner.go
@@ -139,7 +139,7 @@
 	StartIn, MaxWait time.Duration
 	// ExpectedRunTime is the expected run time of a task of the first step.
 	ExpectedRunTime time.Duration
-	// JobsAhead counts the waiting jobs.
+	// JobsAhead counts the service's jobs that have waiting tasks, including this job if it has.
 	JobsAhead int
 }
 
--- a/dispatch/planner/shrink_test.go
+++ b/dispatch/planner/shrink_test.go
@@ -9,8 +9,8 @@
 )
 
 // The capacity of every runner briefly shrinks below what the job's tasks need. The caller
-// could be answered in time once it grows again, so the job waits; told that it fits no
-// runner, the caller would give up for good.
+// could be answered in time once it grows again, so the job waits. If it were rejected
+// because it fits no runner, the caller would not submit it again.
 func TestJobWaitsForCapacityThatHasShrunk(t *testing.T) {
 	f := newFleet(t, 2)
 	f.setCapacity(0, 1, 0)
--- a/dispatch/scheduler/scheduler.go
+++ b/dispatch/scheduler/scheduler.go
@@ -74,7 +74,7 @@
 	Completed Outcome = iota
 	// Failed: the endpoint reported a failure; the task ran or may have run.
 	Failed
-	// Rejected: the endpoint refused the task, which definitely did not start.
+	// Rejected: the endpoint rejected the task, which definitely did not start.
 	Rejected
 	// Lost: the endpoint could not be reached within the time budget; the task may have
 	// run.
@@ -124,8 +124,8 @@
 type OutcomeCounts struct {
 	Completed uint64
 	Failed    uint64
-	// ConsecutiveFailedJobs is the number of jobs that failed there with a task that began after
-	// the most recently begun task that completed. At most two jobs of each client
+	// ConsecutiveFailedJobs is the number of jobs that failed there with a task that started
+	// after the most recently started task that completed. At most two jobs of each client
 	// count, because the tasks of one client may fail wherever they run.
 	ConsecutiveFailedJobs int
 }
--- a/e2e/combined_test.go
+++ b/e2e/combined_test.go
@@ -13,14 +13,14 @@
 )
 
 // runDoubleFault injects two faults while callers retry their submissions under one id
-// until they get a final answer, as a well-behaved caller does, and judges all replies.
+// until they get a final answer, as a well-behaved caller does, and checks all replies.
 func runDoubleFault(t *testing.T, c *harness.Cluster, clientName string, faults func(load *harness.Load)) harness.CheckResult {
 	t.Helper()
-	load := harness.StartRetryingLoad(t.Context(), clientName, callers, c.Entries, retryTimeouts, numberedJobs)
+	load := harness.StartRetryingLoad(t.Context(), clientName, callers, c.Entries, retryPolicy, numberedJobs)
 	waitReplies(t, load, 80)
 	faults(load)
 	waitReplies(t, load, load.Count()+150)
-	v := judgeReplies(t, c, load.Stop())
+	v := checkReplies(t, c, load.Stop())
 	assert.Assert(t, v.Complete > 0)
 	assert.Equal(t, v.NoAnswer, 0)
 	return v
@@ -170,7 +170,7 @@
 		})
 		if len(c.Guards) > 0 {
 			assert.Equal(t, v.Unknown, 0)
-			assert.Equal(t, v.Failed+v.Rejected, 0)
+			assert.Equal(t, v.Failed+v.Refused, 0)
 		}
 	})
 }
--- a/e2e/connection_test.go
+++ b/e2e/connection_test.go
@@ -20,7 +20,7 @@
 const promptLimit = 30 * time.Second
 
 // longDeadlineContract has an answer time so long that an answer held until the deadline
-// can be told from one that was sent as soon as the failure was known.
+// can be distinguished from one that was sent as soon as the failure was known.
 func longDeadlineContract() contract.Contract {
 	k := harness.Contract("patient")
 	k.AnswerTime = contract.Duration(2 * promptLimit)
@@ -81,14 +81,14 @@
 	}
 }
 
-// judgeReplies checks replies against the starts recorded by the runners, once no task runs.
-func judgeReplies(t *testing.T, c *harness.Cluster, replies []harness.Reply) harness.CheckResult {
+// checkReplies checks replies against the starts recorded by the runners, once no task runs.
+func checkReplies(t *testing.T, c *harness.Cluster, replies []harness.Reply) harness.CheckResult {
 	t.Helper()
 	c.WaitIdle(t.Context())
 	v := harness.Check(c.Starts(), replies)
 	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v; longest answer %s",
-		v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown, v.Codes, longestAnswer(replies))
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+		v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown, v.Codes, longestAnswer(replies))
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 	assertAnswersMatchTasks(t, replies)
 	return v
 }
@@ -135,7 +135,7 @@
 // the queue, can delay an answer.
 const callers = 8
 
-var retryTimeouts = harness.RetryPolicy{PerTryTimeout: time.Second, Timeout: time.Minute}
+var retryPolicy = harness.RetryPolicy{PerTryTimeout: time.Second, Timeout: time.Minute}
 
 // Callers' connections to the entries go silent. A caller times out after a second and
 // retries under the same id at another entry over a new connection; the first request
@@ -152,11 +152,11 @@
 		relayedEntries = append(relayedEntries, relayed)
 		relays = append(relays, r)
 	}
-	load := harness.StartRetryingLoad(t.Context(), "shop", callers, relayedEntries, retryTimeouts, numberedJobs)
+	load := harness.StartRetryingLoad(t.Context(), "shop", callers, relayedEntries, retryPolicy, numberedJobs)
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, relays...)
-	v := judgeReplies(t, c, load.Stop())
-	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Rejected+v.NoAnswer)
+	v := checkReplies(t, c, load.Stop())
+	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Refused+v.NoAnswer)
 }
 
 // The connections between entries go silent, so that requests forwarded to the owner, or
@@ -171,8 +171,8 @@
 		harness.RetryPolicy{PerTryTimeout: 10 * time.Second, Timeout: time.Minute}, numberedJobs)
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, c.Entries[0].Relay, c.Entries[1].Relay)
-	v := judgeReplies(t, c, load.Stop())
-	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Rejected+v.NoAnswer)
+	v := checkReplies(t, c, load.Stop())
+	assert.Equal(t, v.Complete, v.Complete+v.Failed+v.Refused+v.NoAnswer)
 }
 
 // The connections from the entries to all guards go silent, with starts and results in
@@ -187,9 +187,9 @@
 	waitReplies(t, load, 100)
 	blackholeUnderLoad(t, load, guardRelays(c)...)
 	replies := load.Stop()
-	v := judgeReplies(t, c, replies)
+	v := checkReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
-	assert.Equal(t, v.Failed+v.Rejected+v.NoAnswer, 0)
+	assert.Equal(t, v.Failed+v.Refused+v.NoAnswer, 0)
 	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
 
@@ -222,7 +222,7 @@
 		waitReplies(t, load, load.Count()+100)
 	}
 	replies := load.Stop()
-	v := judgeReplies(t, c, replies)
+	v := checkReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
 	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
@@ -254,13 +254,13 @@
 		waitReplies(t, load, load.Count()+100)
 	}
 	replies := load.Stop()
-	v := judgeReplies(t, c, replies)
+	v := checkReplies(t, c, replies)
 	assert.Equal(t, v.Unknown, 0)
 	assert.Assert(t, longestAnswer(replies) < promptLimit, "%s", longestAnswer(replies))
 }
 
 // The connections between a guard and its runner go silent. Nobody can query the runner
-// about a task: the run limit ends it, and the caller is told what is known, which is
+// about a task: the run limit ends it, and the caller's answer says what is known, which is
 // never "not run" for a task that ran. The slots are released: a job that needs all slots
 // of the runners completes afterwards.
 func TestRunnerConnectionsSilent(t *testing.T) {
@@ -287,7 +287,7 @@
 		assert.Assert(t, n > 0)
 		waitReplies(t, load, load.Count()+100)
 	}
-	judgeReplies(t, c, load.Stop())
+	checkReplies(t, c, load.Stop())
 	assertSlotsFree(t, c, client)
 }
 
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -25,8 +25,8 @@
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
 	v := harness.Check(c.Starts(), replies)
-	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown)
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown)
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 	return v
 }
 
@@ -104,5 +104,5 @@
 	v := harness.Check(c.Starts(), replies)
 	assert.Equal(t, v.NoAnswer, 0)
 	assert.Equal(t, v.Failed, 0)
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 }
--- a/e2e/endpoint_test.go
+++ b/e2e/endpoint_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// runLoad runs a load until it has n replies and judges them.
+// runLoad runs a load until it has n replies and checks them.
 func runLoad(t *testing.T, c *harness.Cluster, n int, job func(int) harness.Job) harness.CheckResult {
 	t.Helper()
 	load := harness.StartLoad(t.Context(), "shop", 24, c.Entries, job)
@@ -38,14 +38,14 @@
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
 	v := harness.Check(c.Starts(), replies)
-	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v", v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown, v.Codes)
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d %v", v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown, v.Codes)
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 	return v
 }
 
 func assertAllComplete(t *testing.T, v harness.CheckResult) {
 	t.Helper()
-	assert.Equal(t, v.Failed+v.NoAnswer+v.Rejected, 0, "%v, no answer %d", v.Codes, v.NoAnswer)
+	assert.Equal(t, v.Failed+v.NoAnswer+v.Refused, 0, "%v, no answer %d", v.Codes, v.NoAnswer)
 }
 
 // A guard is terminated under load. It rejects new starts itself, also those of entries
@@ -145,14 +145,14 @@
 
 func failEverything(t *testing.T, c *harness.Cluster) {
 	assertAllComplete(t, runLoad(t, c, 60, smallJobs))
-	broken := c.Runners[0]
-	broken.SetSwitches(runner.Switches{FailAll: true})
+	failing := c.Runners[0]
+	failing.SetSwitches(runner.Switches{FailAll: true})
 	runLoad(t, c, 150, smallJobs)
 	v := runLoad(t, c, 300, smallJobs)
 	assert.Assert(t, v.Failed < v.Complete/10, "%d failed, %d complete", v.Failed, v.Complete)
-	broken.SetSwitches(runner.Switches{})
+	failing.SetSwitches(runner.Switches{})
 	load := harness.StartLoad(t.Context(), "shop", 24, c.Entries, smallJobs)
-	waitStarts(t, broken, 100)
+	waitStarts(t, failing, 100)
 	load.Stop()
 }
 
--- a/e2e/fleet/caller.go
+++ b/e2e/fleet/caller.go
@@ -96,14 +96,15 @@
 }
 
 // Submit submits a job as a caller does: after no answer, 502 or 504 it submits the job to
-// the next entry after ResubmitDelay, with at most the given number of tries. It reports the outcome
-// to Checker.
+// the next entry after ResubmitDelay, with at most the given number of tries. It reports
+// the outcome to the fleet's Checker.
 func (f *Fleet) Submit(ctx context.Context, first int, j Job, tries int) Answer {
 	return f.submit(ctx, first, j, tries, true)
 }
 
 // Resubmit is Submit for a job whose caller did not wait for the answer to an earlier
-// attempt. A rejection is not reported to Checker, since that attempt may have started the job.
+// attempt. A rejection is not reported to the fleet's Checker, since the
+// earlier attempt may have started the job.
 func (f *Fleet) Resubmit(ctx context.Context, first int, j Job, tries int) Answer {
 	return f.submit(ctx, first, j, tries, false)
 }
--- a/e2e/fleet/fleet.go
+++ b/e2e/fleet/fleet.go
@@ -59,7 +59,8 @@
 	Guards  []*Node
 	Runners []*worker.Runner
 	// EntryRelays holds the relay from the guards and other entries to each entry; it is empty
-	// with NoRelays. RunnerRelays holds the relay from each guard to its runner, unused with NoRelays.
+	// with Options.NoRelays. RunnerRelays holds the relay from each guard to its runner, which
+	// is unused with Options.NoRelays.
 	EntryRelays  []*relay.Relay
 	RunnerRelays []*relay.Relay
 
@@ -74,8 +75,8 @@
 type Node struct {
 	ID string
 	IP string
-	// AdvertisedIP is the IP at which guards and other entries reach an entry: the IP of its relay,
-	// or with Options.NoRelays its own.
+	// AdvertisedIP is the IP at which guards and other entries reach an entry: the IP of its
+	// relay, or with Options.NoRelays its own.
 	AdvertisedIP   string
 	CallersAddress string
 	ReadyAddress   string
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -20,7 +20,7 @@
 )
 
 // startFleet starts a fleet, waits until it is ready, and fails the test at its end if the
-// fleet's checker (Judge) found a violation.
+// fleet's Checker found a violation.
 func startFleet(t *testing.T, entries, guards int) *fleet.Fleet {
 	t.Helper()
 	return startFleetOf(t, fleet.Options{Entries: entries, Guards: guards})
--- a/e2e/harness/cluster.go
+++ b/e2e/harness/cluster.go
@@ -88,7 +88,7 @@
 	Operators string
 	// Relay forwards to the internal API; nil if the cluster has no relays.
 	Relay *relay.Relay
-	// AddStoreRelay forwards from this entry alone to the store; nil without Options.StoreRelays.
+	// StoreRelay forwards from this entry alone to the store; nil without Options.StoreRelays.
 	StoreRelay   *relay.Relay
 	settingsFile string
 }
--- a/e2e/harness/operate.go
+++ b/e2e/harness/operate.go
@@ -17,8 +17,8 @@
 // Ready reports whether the entry's readiness check succeeds.
 func (e *Entry) Ready() bool { return isReady(e.Operators) }
 
-// WaitContractApplied waits until each entry applies the given or a later revision of the client
-// account's contract, and returns how long it took until the last entry did.
+// WaitContractApplied waits until each entry applies the given or a later revision of the
+// client account's contract, and returns how long it took until the last entry did.
 func WaitContractApplied(ctx context.Context, entries []*Entry, account string, revision int64) (time.Duration, error) {
 	start := time.Now()
 	ctx, stop := context.WithTimeout(ctx, readyTimeout)
--- a/e2e/harness/process.go
+++ b/e2e/harness/process.go
@@ -175,8 +175,8 @@
 // Hangup sends SIGHUP, on which the process reloads its settings file.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
 
-// DumpGoroutines sends SIGQUIT, on which the process logs the stacks of all goroutines and exits,
-// and waits until it has exited.
+// DumpGoroutines sends SIGQUIT, on which the process logs the stacks of all goroutines and
+// exits, and waits until it has exited.
 func (p *Process) DumpGoroutines() {
 	p.signal(syscall.SIGQUIT)
 	<-p.done
--- a/e2e/harness/relay.go
+++ b/e2e/harness/relay.go
@@ -24,8 +24,8 @@
 	return r, nil
 }
 
-// Partition partitions the network at a relay: it resets every connection and refuses new ones
-// until Heal is called.
+// Partition partitions the network at a relay: it resets every connection and refuses new
+// ones until Heal is called.
 func Partition(r *relay.Relay) error {
 	err := r.Set(relay.State{ToTarget: relay.Drop, ToClient: relay.Drop, Refuse: true})
 	r.Reset()
--- a/e2e/harness/repeat.go
+++ b/e2e/harness/repeat.go
@@ -12,7 +12,7 @@
 
 // RetryPolicy configures a caller's retries.
 type RetryPolicy struct {
-	// PerTryTimeout is the timeout of one request. After it the caller cancels the request and
+	// PerTryTimeout is the timeout of one request, after which the caller cancels it and
 	// retries over a new connection.
 	PerTryTimeout time.Duration
 	// Timeout is the timeout of the whole submission, including retries.
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -158,7 +158,7 @@
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
 	v := harness.Check(c.Starts(), replies)
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 	assertAllComplete(t, v)
 	tasks := 0
 	for _, r := range replies {
@@ -228,7 +228,7 @@
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
 	v := harness.Check(c.Starts(), replies)
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 	assertAllComplete(t, v)
 }
 
--- a/e2e/replace_test.go
+++ b/e2e/replace_test.go
@@ -24,7 +24,7 @@
 )
 
 // underBalancedLoad calls during while callers submit jobs through a balancer that follows
-// the entries' readiness, then judges every reply.
+// the entries' readiness, then checks every reply.
 func underBalancedLoad(t *testing.T, c *harness.Cluster, during func()) harness.CheckResult {
 	t.Helper()
 	return underBalancedLoadOf(t, c, smallJobs, during)
@@ -40,8 +40,8 @@
 	replies := load.Stop()
 	c.WaitIdle(t.Context())
 	v := harness.Check(c.Starts(), replies)
-	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Rejected, v.NoAnswer, v.Unknown)
-	assert.Assert(t, len(v.Violations) == 0, "%v", v.Violations)
+	t.Logf("complete %d failed %d refused %d no answer %d tasks unknown %d", v.Complete, v.Failed, v.Refused, v.NoAnswer, v.Unknown)
+	assert.Assert(t, len(v.Faults) == 0, "%v", v.Faults)
 	return v
 }
 
@@ -140,7 +140,7 @@
 	assert.Assert(t, r.Answer.OK(), "%d %+v", r.Answer.Status, r.Answer.Error)
 	<-draining.Done()
 	assert.NilError(t, draining.Err())
-	judgeReplies(t, c, []harness.Reply{r})
+	checkReplies(t, c, []harness.Reply{r})
 }
 
 // slowReader reads no faster than 4 MB/s.
--- a/e2e/soak/inject.go
+++ b/e2e/soak/inject.go
@@ -101,9 +101,9 @@
 	RunnerFailsTasks:   {FailShare: 0.7},
 }
 
-// runnerFault returns the fault to inject into a runner. For RunnerLateRequests, half of the faults
-// delay requests such that a start is still valid when it takes effect; the other half delay
-// them beyond its validity.
+// runnerFault returns the fault to inject into a runner. For RunnerLateRequests, half of
+// the faults delay requests such that a start is still valid when it takes effect; the
+// other half delay them beyond its validity.
 func runnerFault(f Fault) worker.Fault {
 	fault := runnerFaults[f.Kind]
 	if f.Kind == RunnerLateRequests && f.Index%2 == 1 {
--- a/e2e/store_test.go
+++ b/e2e/store_test.go
@@ -203,7 +203,7 @@
 		}
 	})
 	assert.Equal(t, v.Failed+v.NoAnswer, 0)
-	assert.Assert(t, v.Rejected < v.Complete/4, "%d refused", v.Rejected)
+	assert.Assert(t, v.Refused < v.Complete/4, "%d refused", v.Refused)
 }
 
 func runStoreFault(t *testing.T, c *harness.Cluster, f storeFault, version int) {
--- a/e2e/submission_test.go
+++ b/e2e/submission_test.go
@@ -130,7 +130,7 @@
 			replies = append(replies, harness.Reply{Answer: answers[s][k], Job: numberedJobs(s)})
 		}
 	}
-	judgeReplies(t, c, replies)
+	checkReplies(t, c, replies)
 }
 
 // An answer has been evicted, by its retention time at one entry and by the limit in bytes at
@@ -375,7 +375,7 @@
 	// Both are complete, or both are cancelled by a DELETE that was forwarded before the
 	// suspension was noticed.
 	assert.NilError(t, r.Err)
-	judgeReplies(t, c, []harness.Reply{{Answer: a, Job: job}, r})
+	checkReplies(t, c, []harness.Reply{{Answer: a, Job: job}, r})
 	assert.Assert(t, bytes.Equal(a.Body, r.Answer.Body), "%s\n%s", a.Body, r.Answer.Body)
 	assert.Equal(t, startsOf(c, id), 3)
 }
@@ -445,7 +445,7 @@
 	wide, err := client.Run(answerLimit(t), c.Entries[2].Callers, wideJob)
 	assert.NilError(t, err)
 	assert.Assert(t, wide.OK(), "%d %+v", wide.Status, wide.Error)
-	v := judgeReplies(t, c, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
+	v := checkReplies(t, c, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
 	assert.Equal(t, v.Complete, 1)
 	assertLateStartsAllowed(t, c, beforeLate, append(replies, harness.Reply{Answer: wide, Job: wideJob}))
 }
--- a/entry/engine/engine.go
+++ b/entry/engine/engine.go
@@ -102,7 +102,7 @@
 // Options configure an Engine.
 type Options struct {
 	Starter task.Starter
-	// NewPolicy creates the scheduler of one service.
+	// NewPolicy creates the scheduling policy of one service.
 	NewPolicy func(service string) scheduler.Policy
 	Logger    *slog.Logger
 	Scope     tally.Scope
--- a/entry/fleet/bare/client_test.go
+++ b/entry/fleet/bare/client_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// The run limit or the caller ends a call that the runner has begun to execute. The
+// The run limit or the caller ends a call that the runner has started to execute. The
 // task may have run; the runner sees its connection close.
 func TestCallIsInterrupted(t *testing.T) {
 	stopped := make(chan struct{}, 2)
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -260,7 +260,7 @@
 	Draining bool
 	// Usable is false while no task may be started on the endpoint.
 	Usable bool
-	// InFlight is the number of open starts of this entry.
+	// InFlight is the number of this entry's open starts on the endpoint.
 	InFlight int
 }
 
--- a/entry/fleet/follow.go
+++ b/entry/fleet/follow.go
@@ -180,7 +180,7 @@
 
 // cancelOutcome converts the report of a Cancel into the outcome. A running task is
 // being stopped: it was handed to the runner, which has not answered yet, so the guard
-// can't tell whether execution had begun.
+// can't tell whether execution had started.
 func (t *start) cancelOutcome(r *wirev1.TaskReport, code task.Code) (task.Outcome, bool) {
 	if r.GetState() == wirev1.TaskState_TASK_STATE_RUNNING {
 		return failure(code, t.ran, "stopped while it ran"), true
--- a/entry/fleet/link/once.go
+++ b/entry/fleet/link/once.go
@@ -47,7 +47,7 @@
 // the first connection failed in certain ways, and net/http's Client resends it on a
 // redirect. A second copy of a Start would be a duplicate that the entry does not know
 // about. Without GetBody, and without the Client, the transport retries only while it
-// has not begun to read the body.
+// has not started to read the body.
 type atMostOnceClient struct {
 	transport     http.RoundTripper
 	authorization string
--- a/entry/fleet/start_test.go
+++ b/entry/fleet/start_test.go
@@ -298,7 +298,7 @@
 
 // The caller cancels. A task that the guard has not started is prevented from starting:
 // not run. A task that was handed to the runner is stopped, and it is unknown whether
-// execution had begun; a finished one returns its result.
+// execution had started; a finished one returns its result.
 func TestCancel(t *testing.T) {
 	t.Run("before it starts", func(t *testing.T) {
 		sink := newFakeSink()
--- a/entry/jobs/jobs.go
+++ b/entry/jobs/jobs.go
@@ -41,7 +41,7 @@
 // Guard sends orders to one endpoint. Its methods must not block.
 type Guard interface {
 	SendOrders(starts []planner.Start, stops []planner.Stop)
-	// Wake requests an immediate message that tells the guard whether tasks are waiting for
+	// Wake requests an immediate message that informs the guard whether tasks are waiting for
 	// capacity.
 	Wake()
 }
--- a/entry/peer/peer.go
+++ b/entry/peer/peer.go
@@ -65,7 +65,7 @@
 
 // BareSource is the part of the fleet that entries share by gossip.
 type BareSource interface {
-	// BareSource lists the endpoints without a guard; ApplyBareEndpoints applies a peer's list.
+	// BareEndpoints lists the endpoints without a guard; ApplyBareEndpoints applies a peer's list.
 	BareEndpoints() []*wirev1.BareEndpoint
 	ApplyBareEndpoints([]*wirev1.BareEndpoint)
 	// BareUsage is this entry's current use of them; ApplyBareUsage applies a peer's.
@@ -87,7 +87,7 @@
 	Idle(now time.Time) bool
 }
 
-// Lease tells whether this entry's registration allows it to admit new work.
+// Lease reports whether this entry's registration allows it to admit new work.
 type Lease interface {
 	MayAdmit(now time.Time) bool
 	RequestUpdate()
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -79,7 +79,7 @@
 	// reportedAt is when an address was last reported by anybody, and confirmedAt is when it
 	// was last reported by the store, by a guard that reaches it, or by the entry itself.
 	// Only confirmed addresses are passed on to other entries: if two entries passed on to
-	// each other every address they were told, neither would ever drop that of a host that
+	// each other every address they received, neither would ever drop that of a host that
 	// is gone, and guards would dial it forever.
 	reportedAt, confirmedAt map[string]time.Time
 	list                    []string
--- a/entry/registry/registry_test.go
+++ b/entry/registry/registry_test.go
@@ -37,7 +37,7 @@
 }
 
 // A host is replaced by one at another address. When entries passed on every address
-// that they were told, they kept the old one forever: every guard kept dialing it, and
+// that they received, they kept the old one forever: every guard kept dialing it, and
 // with 220 hosts replaced a day the list would grow without bound. An address that
 // nobody has confirmed for a while must be dropped by all, however often they gossip.
 func TestAddressOfAGoneEntryIsDropped(t *testing.T) {
--- a/guard/advertise/advertise_test.go
+++ b/guard/advertise/advertise_test.go
@@ -43,8 +43,8 @@
 }
 
 // Guards against rejected orders: capacity for one task becomes free and several entries have
-// pending tasks. If all were told at once, all would order and all but one be rejected, so the
-// one that was sent capacity the longest time ago comes first.
+// pending tasks. If all were notified at once, all would order and all but one be rejected, so
+// the one that was sent capacity the longest time ago comes first.
 func TestPendingEntriesAreSentCapacityInTurn(t *testing.T) {
 	first := &session{pending: true, sent: now.Add(-time.Second)}
 	second := &session{pending: true, sent: now.Add(-time.Millisecond)}
@@ -94,7 +94,7 @@
 }
 
 // Guards against entries that keep ordering at a runner that stopped accepting starts: all are
-// told at once, including those with pending tasks.
+// notified at once, including those with pending tasks.
 func TestRunnerStateIsSentAtOnce(t *testing.T) {
 	pending, idle := &session{pending: true, changed: true}, &session{changed: true}
 	Schedule(now, capacityUsed(0), false, []*session{pending, idle})
--- a/guard/ledger/session.go
+++ b/guard/ledger/session.go
@@ -115,8 +115,8 @@
 // find returns the record of a sequence number, if there is one.
 func (s *session) find(seq uint64) (Answer, bool) {
 	if seq < s.lowWatermark {
-		// A start that was delayed until after its record was deleted cannot be told from a
-		// new one; without this check it would run a second time.
+		// A start that was delayed until after its record was deleted cannot be distinguished
+		// from a new one; without this check it would run a second time.
 		return final(wirev1.TaskState_TASK_STATE_SETTLED), true
 	}
 	if t := s.tasks[seq]; t != nil {
--- a/guard/runs/runs.go
+++ b/guard/runs/runs.go
@@ -62,8 +62,8 @@
 	stopSent bool
 	// startValidUntil is the time on the runner's clock up to which the start is valid.
 	startValidUntil time.Duration
-	// endReported is true once the owner has been told that the run is over, and crashReported
-	// once it has been told of the runner's crash.
+	// endReported is true once the owner has been notified that the run is over, and
+	// crashReported once it has been notified of the runner's crash.
 	endReported, crashReported bool
 	// unresolved is true once the process that the start was sent to is over or unresponsive
 	// while another process under the same id may still execute the start.
--- a/guard/uplink/uplink.go
+++ b/guard/uplink/uplink.go
@@ -162,7 +162,7 @@
 
 // admit makes a session the current one of its entry. Messages that arrive on the older
 // session are ignored from then on: an order that was delayed in the network could otherwise
-// arrive there after the entry has been told that it never arrived.
+// arrive there after the entry has been informed that it never arrived.
 func (u *Uplink) admit(s *session) {
 	u.mu.Lock()
 	older := u.current[s.owner.Entry]
