--- a/wire/generate.sh
+++ b/wire/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Regenerates the committed Go code from proto/. Needs protoc, and
+# Regenerates the committed Go code in wirev1/ from proto/. Requires protoc,
 # protoc-gen-go v1.36.12 and protoc-gen-connect-go v1.21.1 on PATH.
 set -eu
 cd "$(dirname "$0")"
