--- a/Makefile
+++ b/Makefile
@@ -6,15 +6,18 @@
 MODULES     := $(shell $(GO) list -m -f '{{.Dir}}' 2>/dev/null)
 PACKAGES    := $(addsuffix /...,$(MODULES))
 
-# Tests that fail for a known fault; see KNOWN-RED.txt. They are run apart.
+# Tests that fail because of a known fault, listed in KNOWN-RED.txt. They are skipped
+# here and run separately by `make known-red`.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|')
 SKIP      := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 
-# Longest time for the tests of one package; it ends a package that hangs.
+# Timeout for the tests of one package; it aborts a package that hangs.
 TEST_TIMEOUT ?= 15m
-# Packages whose tests run side by side; more makes a small machine late.
+# Number of packages tested in parallel; more of them overload a small machine and
+# delay timing-sensitive tests.
 TEST_PACKAGES ?= 4
-# How often `make fuzz` tries each property, and for how long it may take.
+# Cases per property in `make fuzz`, the timeout for one package's properties, and the
+# duration of one fuzz test.
 FUZZ_CHECKS  ?= 5000
 FUZZ_TIMEOUT ?= 20m
 FUZZ_TIME    ?= 30s
@@ -33,7 +36,7 @@
 unit:
 	$(GO) test -race -timeout $(TEST_TIMEOUT) -p $(TEST_PACKAGES) $(SKIP) $(PACKAGES)
 
-# Each module must build by itself, without the workspace.
+# Each module must build on its own, without the Go workspace.
 alone:
 	@for m in $(MODULES); do \
 		(cd $$m && GOWORK=off $(GO) build ./...) || { echo "module $$m doesn't build alone"; exit 1; }; \
@@ -48,21 +51,23 @@
 spec:
 	$(MAKE) -C spec check
 
-# Entries and guards on the operators' platform: a job of 100 tasks and its story.
+# Runs entries and guards on the operators' platform with a job of 100 tasks, and prints
+# the job's events.
 demo: build
 	$(GO) run almondstand.dev/e2e/cmd/almonddemo
 
-# The product's own interface for callers and operators, with contracts in a store.
+# Runs the product's own API for callers and operators, with contracts in a store.
 demo-contracts: build
 	$(BIN)/demo -bin $(BIN)
 
-# Random faults on real processes; the report of a seed that fails is in out/soak.
+# Injects random faults into real processes; the report of a failing seed is in out/soak.
 # For example: make soak SOAK="--seeds 50 --jobs 4", or SOAK="--seed 17 --length 20s".
 SOAK ?= --minutes 3 --jobs 3
 soak: build
 	$(GO) run almondstand.dev/e2e/cmd/almondsoak --bin $(BIN) $(SOAK)
 
-# Properties are tried with many more cases, from a new seed each time.
+# Runs the property tests with many more cases, from a new seed each time, and then the
+# fuzz tests.
 fuzz:
 	@for p in $$(grep -rl 'pgregory.net/rapid' --include='*_test.go' $(MODULES) | xargs -n1 dirname | sort -u); do \
 		echo "fuzz $$p"; \
@@ -73,8 +78,9 @@
 		(cd $$p && $(GO) test -run '^$$' -fuzz . -fuzztime $(FUZZ_TIME) -fuzzminimizetime 10x .) || exit 1; \
 	done
 
-# All experiments in turn, about seven minutes, their results as JSON in out/bench.
-# Sizes that only a design note compares are left to `almondbench run`.
+# Runs all experiments one after another, about seven minutes, with the results as JSON in
+# out/bench. Variants that only a design note compares are excluded; run them with
+# `almondbench run`.
 BENCH_EXPERIMENTS ?= $(filter-out bench/experiments/bare-50.json bench/experiments/bare-95.json \
 	bench/experiments/bare-80-8.json,$(wildcard bench/experiments/*.json))
 
@@ -82,16 +88,16 @@
 	@mkdir -p out/bench
 	$(GO) run almondstand.dev/bench/cmd/almondbench run --out out/bench $(BENCH_EXPERIMENTS)
 
-# Loads in simulated time: what the ways of deciding give to callers, beside one
-# another. For example: make replay REPLAY="burst --seed 3".
+# Replays loads in simulated time and compares the results of the scheduling policies for
+# callers. For example: make replay REPLAY="burst --seed 3".
 replay:
 	$(GO) run almondstand.dev/bench/cmd/almondreplay $(REPLAY)
 
-# Prints the tables of docs/CAPACITY.md anew from the sweeps in journal/.
+# Regenerates and prints the tables of docs/CAPACITY.md from the sweeps in journal/.
 capacity:
 	$(GO) run almondstand.dev/bench/cmd/almondcapacity
 
-# Runs the tests of KNOWN-RED.txt; one that passes is to be taken off the list.
+# Runs the tests listed in KNOWN-RED.txt; remove a test that passes from the list.
 known-red:
 	@if [ -n '$(KNOWN_RED)' ]; then $(GO) test -timeout $(TEST_TIMEOUT) -run '^($(KNOWN_RED))$$' $(PACKAGES) || true; fi
 
