--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,25 +1,26 @@
 #!/usr/bin/env bash
-# Runs the model checks of this directory with spin and prints a table of them.
+# Runs the model checks of this directory with spin and prints a table of results.
 #
 #   check.sh              every check of the standard set
-#   check.sh --long       the larger searches as well
-#   check.sh --list FILE  the checks of another list
-#   check.sh NAME...      these checks only
-#   check.sh --replay NAME  the run that breaks the property, step by step
+#   check.sh --long       the standard set and the larger searches
+#   check.sh --list FILE  the checks listed in FILE (format of checks.txt)
+#   check.sh NAME...      the named checks only
+#   check.sh --replay NAME  the counterexample of a check, step by step
 #
-# Exit status: 0 every check gave the expected verdict, 1 one did not, 2 not run.
+# Exit status: 0 every check gave the expected verdict, 1 at least one did not,
+# 2 no check could be run.
 set -u -o pipefail
 
-readonly lanes=2                       # searches at a time
-readonly memory_mb=${MEMORY_MB:-3500}  # bound of one search
-readonly depth=${DEPTH:-1000000}       # steps of one run; a search that needs more fails
+readonly lanes=2                       # concurrent searches
+readonly memory_mb=${MEMORY_MB:-3500}  # memory limit of one search
+readonly depth=${DEPTH:-1000000}       # depth limit of one search; a check that exceeds it fails
 
 here=$(cd "$(dirname "${BASH_SOURCE[0]}")" && pwd)
 
 standard_checks() { grep -v '^#' "$here/checks.txt"; }
 long_checks() { grep -v '^#' "$here/checks-long.txt"; }
 
-# Prints the line of a check by name.
+# Prints the line of the check with the given name.
 find_check() {
 	{ standard_checks; long_checks; } | grep -F -- "$1|" | grep "^$1|"
 }
@@ -31,7 +32,7 @@
 	done
 }
 
-# Builds the checker of one check in the directory.
+# Builds the verifier (pan) of one check in the directory.
 build() {
 	local dir=$1 model=$2 search=$3 macros=$4
 	local flags="-w -DMEMLIM=$memory_mb -DNOREDUCE -DVECTORSZ=2048"
@@ -45,7 +46,7 @@
 	(cd "$dir" && spin -a $(macros_of "$macros") "$model" && gcc $flags -o pan pan.c) >"$dir/build.txt" 2>&1
 }
 
-# Runs the checker; its report is left in pan.txt.
+# Runs the verifier and writes its report to pan.txt.
 search() {
 	local dir=$1 kind=$2
 	local flags="-m$depth"
@@ -55,7 +56,7 @@
 	(cd "$dir" && ./pan $flags) >"$dir/pan.txt" 2>&1
 }
 
-# Gives the verdict on a report: ok, or what is wrong with it.
+# Prints the verdict on a report: ok, or the reason why the check fails.
 judge() {
 	local dir=$1 expected=$2 search=$3
 	local report=$dir/pan.txt
@@ -88,7 +89,7 @@
 	fi
 }
 
-# Runs one check and leaves its row of the table in a file.
+# Runs one check and writes its table row to row.txt.
 run_check() {
 	local dir=$1 line=$2
 	local name model expected search macros verdict
@@ -105,11 +106,11 @@
 	reached=$(sed -n 's/.*depth reached \([0-9]*\),.*/\1/p' "$dir/pan.txt")
 	seconds=$(sed -n 's/^pan: elapsed time \([0-9.]*\) seconds/\1/p' "$dir/pan.txt")
 	printf '%-34s %-7s %10s %6s %7s  %s\n' "$name" "$expected" "${states:--}" "${reached:--}" "${seconds:-0}" "$verdict" >"$dir/row.txt"
-	# A search leaves a few megabytes that nothing needs any more.
+	# The verifier and its sources take a few megabytes and are no longer needed.
 	rm -f "$dir/pan" "$dir"/pan.[bchmpt]
 }
 
-# Runs the checks, a few at a time, and prints their rows in order.
+# Runs the checks, at most $lanes concurrently, and prints their rows in order.
 run_all() {
 	local work=$1
 	local number=0 line dirs=()
@@ -136,7 +137,7 @@
 	[ "$number" -gt 0 ] && [ "$failed" -eq 0 ]
 }
 
-# Prints the run that breaks the property of one check.
+# Prints the counterexample of one check.
 replay() {
 	local work=$1 line=$2
 	local name model expected search macros
--- a/spec/check_test.sh
+++ b/spec/check_test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Tests of check.sh: it has to notice a property that is broken, a safeguard whose
-# absence goes unnoticed, a search that is not complete and a model that can't be
-# built. A check that passes all of these would prove nothing.
+# Tests of check.sh: it has to detect a violated property, a removed safeguard that
+# causes no violation, an incomplete search and a model that can't be built. Without
+# that, a pass of check.sh would prove nothing.
 set -u
 
 here=$(cd "$(dirname "${BASH_SOURCE[0]}")" && pwd)
@@ -9,8 +9,8 @@
 trap 'rm -rf "$work"' EXIT
 failed=0
 
-# expect STATUS TEXT LINE: a list of this one check ends with the status and
-# prints the text.
+# expect STATUS TEXT LINE: runs check.sh on a list with only this check; it must exit
+# with the status and print the text.
 expect() {
 	local status=$1 text=$2 line=$3
 	printf '%s\n' "$line" >"$work/list"
--- a/spec/contract.pml
+++ b/spec/contract.pml
@@ -1,43 +1,43 @@
 /*
- * The contract of one customer: operators who race to change it through the
- * entries, a store with compare-and-swap whose answers get lost after the
- * effect, and the entries' registries, which learn of versions from lists,
- * watches and peers in any order. It checks what an operator is told, that a
- * change replaces exactly the version it was made for, and that a contract in
- * force never goes back to an older version.
+ * Model of the contract of one client account: operators who change it concurrently
+ * through the entries, a store with compare-and-swap whose responses may be lost
+ * after the write took effect, and the entries' registries, which receive versions
+ * from lists, watches and peers in any order. It checks that the response to an
+ * operator is true, that a change replaces exactly the version that it was made for,
+ * and that the contract in force never reverts to an older version.
  *
- * Build with -DNO_CHANGE_ID and the like to leave one safeguard out.
+ * Build with -DNO_CHANGE_ID or a similar macro to remove one safeguard.
  */
 
 /* ---- bounds ------------------------------------------------------------- */
 
 #ifndef CHANGES
-#define CHANGES 3               /* changes, each by its own operator */
+#define CHANGES 3               /* changes, each by a different operator */
 #endif
 #ifndef ENTRIES
 #define ENTRIES 2
 #endif
 #ifndef VERSIONS
-#define VERSIONS 5              /* the first one, and those proposed */
+#define VERSIONS 5              /* the initial version, and the proposed ones */
 #endif
 #ifndef KEPT
-#define KEPT 1                  /* older versions that a value carries along */
+#define KEPT 1                  /* previous versions that a value includes */
 #endif
 #ifndef RESTORES
-#define RESTORES 0              /* times the store goes back to an old copy */
+#define RESTORES 0              /* times that the store is restored from an old snapshot */
 #endif
-#define WRITES (VERSIONS + RESTORES + 2)        /* of the store, repairs included */
+#define WRITES (VERSIONS + RESTORES + 2)        /* writes to the store, repairs included */
 
 /* ---- situations that must be reachable ---------------------------------- */
 
-#define ACCEPTED_BY_READING     1 /* a lost answer was made up for by reading back */
-#define ACCEPTED_SUPERSEDED     2 /* the same, and another change had replaced it */
-#define CONFLICT_BY_READING     3 /* a lost answer turned out to be a lost race */
-#define LEFT_UNKNOWN            4 /* the operator was told that nobody knows */
-#define LATE_WRITE              5 /* a write took effect after its operator gave up */
-#define OLDER_REFUSED           6 /* a registry refused an older version */
-#define REPAIRED                7 /* a restored store was given the newer version back */
-#define RESTORE_LOST_ACCEPTED   8 /* a limit of restored stores: see README.md */
+#define ACCEPTED_BY_READING     1 /* after a lost response, reading back showed that the write took effect */
+#define ACCEPTED_SUPERSEDED     2 /* the same, and another change had replaced it since */
+#define CONFLICT_BY_READING     3 /* after a lost response, reading back showed a conflict */
+#define LEFT_UNKNOWN            4 /* the operator got "outcome unknown" */
+#define LATE_WRITE              5 /* a write took effect after its operator got "outcome unknown" */
+#define OLDER_REFUSED           6 /* a registry rejected an older version */
+#define REPAIRED                7 /* an entry wrote the newer version back to a restored store */
+#define RESTORE_LOST_ACCEPTED   8 /* a limitation with restored stores: see README.md */
 #ifndef SEE
 #define SEE 0
 #endif
@@ -45,13 +45,13 @@
 
 /* ---- properties --------------------------------------------------------- */
 
-#define TRUE_ACCEPTED           1 /* a change called accepted was made */
-#define TRUE_CONFLICT           2 /* a change called lost is never made, before or after */
-#define OVER_EXPECTED           3 /* a change replaces nobody else's version than it was made for */
-#define MADE_ONCE               4 /* a change is made at most once */
-#define NEVER_BACK              5 /* a registry never takes an older version */
-#define CONVERGED               6 /* in the end the store and all entries agree */
-#define ACCEPTED_STAYS          7 /* what is in force in the end builds on all that was accepted */
+#define TRUE_ACCEPTED           1 /* a change reported as accepted has been written */
+#define TRUE_CONFLICT           2 /* a change reported as a conflict is never written, before or after */
+#define OVER_EXPECTED           3 /* a change replaces no other operator's version but the one it was made for */
+#define MADE_ONCE               4 /* a change is written at most once */
+#define NEVER_BACK              5 /* a registry never applies an older version */
+#define CONVERGED               6 /* finally the store and all entries have the same version */
+#define ACCEPTED_STAYS          7 /* the version finally in force descends from every accepted change */
 #ifndef ONLY
 #define ONLY 0
 #endif
@@ -61,41 +61,41 @@
 
 mtype:told = { LOOKING, DECIDED, SENT, ACCEPTED, CONFLICT, UNKNOWN };
 
-/* One version of the contract: what a value in the store holds. Versions are
- * numbered as they are proposed; the number stands for the content as well, so
- * it also settles the order of two versions with one revision. */
+/* One version of the contract, as a value in the store. Versions are numbered in the
+ * order in which they are proposed; the number also represents the content, so it is
+ * the tie-breaker between two versions with the same revision. */
 typedef Version {
 	byte revision;          /* orders versions; part of the value */
-	byte previous;          /* the version it replaces */
-	byte change;            /* who made it; CHANGES for the first version */
-	byte at;                /* the store's count that its write compares with */
-	bool made;              /* it was in the store at some time */
+	byte previous;          /* the version that it replaces */
+	byte change;            /* the change that made it; CHANGES for the initial version */
+	byte at;                /* the store's write count that its compare-and-swap expects */
+	bool made;              /* it has been in the store at some time */
 }
 
 typedef Change {
 	mtype:told told = LOOKING;
-	byte expected;          /* the version the operator decided to replace */
-	byte proposed;          /* the version its last write carries */
+	byte expected;          /* the version that the operator decided to replace */
+	byte proposed;          /* the version in its last write */
 	byte proposals;
 	byte times_made;        /* for the properties only */
 }
 
 Version version[VERSIONS];
 Change change[CHANGES];
-byte proposed = 1;              /* versions so far; version 0 is there at first */
+byte proposed = 1;              /* number of versions so far; version 0 is the initial one */
 byte in_store;                  /* the version in the store */
-byte count;                     /* the store's count of writes to the key */
-byte was[WRITES];               /* the version at each count */
+byte count;                     /* the store's count of writes to the key (its revision) */
+byte was[WRITES];               /* the version at each write count */
 byte in_force[ENTRIES];         /* the version in each registry */
 byte restores;
 
-byte i;                         /* used within one step, then 0 again */
+byte i;                         /* scratch variables: reset to 0 after each step */
 byte v;
 byte found;
 
-/* Safeguard: one order for all. Two versions with one revision arise when a
- * restored store is written to by an entry that didn't know the newer version.
- * Without an order between them, entries would stay apart for ever. */
+/* Safeguard (NO_TIE_BREAK): a total order of versions. Two versions have the same
+ * revision when an entry that did not know the newer version writes to a restored
+ * store. Without an order between them, entries would never converge. */
 #ifdef NO_TIE_BREAK
 #define NEWER(a, b) (version[a].revision > version[b].revision)
 #else
@@ -104,16 +104,16 @@
 	(version[a].revision == version[b].revision && (a) > (b)))
 #endif
 
-/* An operator's entry. */
+/* The entry that an operator uses. */
 #define AT(c) ((c) % ENTRIES)
 
 #define MAX(a, b) ((a) > (b) -> (a) : (b))
 
 /* ---- the store ---------------------------------------------------------- */
 
-/* Safeguard: compare-and-swap. A write takes effect only when the key is as the
- * writer read it. Without the comparison the second of two racing operators
- * wipes out a change that it never saw. */
+/* Safeguard (NO_COMPARE): compare-and-swap. A write takes effect only when the key is
+ * unchanged since the writer read it. Without the comparison the second of two
+ * concurrent operators overwrites a change that it never saw (lost update). */
 #ifdef NO_COMPARE
 #define SWAPS(w) (count < WRITES - 1)
 #else
@@ -127,8 +127,8 @@
 	version[w].made = true
 }
 
-/* The write of a version reaches the store. It may do so at any time after it
- * was sent, and a copy of it again. */
+/* The write of a version reaches the store. It may arrive at any time after it was
+ * sent, and so may a duplicate of it. */
 inline store_takes(w) {
 	printf("store takes version %d of change %d over version %d\n", w, version[w].change, in_store);
 	i = version[w].change;
@@ -143,8 +143,8 @@
 	put(w)
 }
 
-/* The store is restored from a copy it had at an earlier count; its count of
- * writes goes back as well. */
+/* The store is restored from a snapshot taken at an earlier write count; its write
+ * count goes back as well. */
 inline restore(n) {
 	printf("store goes back to version %d\n", was[n]);
 	restores++;
@@ -154,9 +154,10 @@
 
 /* ---- the registries ----------------------------------------------------- */
 
-/* Safeguard: revision check. Lists, watches and peers bring versions in any
- * order; a restored store brings old ones. Taken as they come, a contract that
- * was accepted and in force would be reverted. */
+/* Safeguard (NO_REVISION_CHECK): revision check. Lists, watches and peers deliver
+ * versions in any order; a restored store delivers old ones. If a registry applied
+ * them in order of arrival, it would revert a contract that was accepted and in
+ * force. */
 inline offer(e, w) {
 	if
 	:: NEWER(w, in_force[e]) -> in_force[e] = w
@@ -169,9 +170,9 @@
 	fi
 }
 
-/* Safeguard: repair. An entry writes the version in force back to a store that
- * has an older one. Without it an entry that starts afterwards would put the
- * older one in force. */
+/* Safeguard (NO_REPAIR): repair. An entry writes the version in force back to a store
+ * that has an older one. Without the repair an entry that starts afterwards would
+ * put the older one in force. */
 inline repair(e) {
 	printf("entry %d repairs the store\n", e);
 	REACHED(REPAIRED);
@@ -202,14 +203,14 @@
 	change[c].told = UNKNOWN
 }
 
-/* The operator decides to replace the version it is shown. */
+/* The operator decides to replace the version that its entry shows. */
 inline decide(c) {
 	change[c].expected = in_force[AT(c)];
 	change[c].told = DECIDED
 }
 
-/* The writer reads the store. The version in force at its entry counts when the
- * store's is older. It proposes a revision above all that it knows. */
+/* The writer reads the store. It uses the version in force at its entry when the
+ * store's is older. It proposes a revision above all revisions that it knows. */
 inline propose(c) {
 	found = in_store;
 	if
@@ -236,18 +237,20 @@
 	fi
 }
 
-/* The store's answer comes back. */
+/* The store's response arrives: the write took effect. */
 inline swapped(c) {
 	store_takes(change[c].proposed);
 	accept(c)
 }
 
-/* The store's answer comes back: it holds another value. When that is the same
- * version, written again by a repair, the writer starts over.
+/* The store's response arrives: the key has another value, and the write had no
+ * effect. When that value is the expected version, written again by a repair, the
+ * writer starts over.
  *
- * Safeguard: only the first copy's answer counts. A second copy, sent after a
- * lost answer, is turned away by the effect of the first one. Taken at its word,
- * that answer would call a change lost that was made. */
+ * Safeguard (BELIEVE_SECOND_COPY): only the response to the first attempt counts. The
+ * comparison of a retry, sent after a lost response, fails because of the first
+ * attempt's own effect. If the writer relied on that response, it would report a
+ * conflict for a change that was made. */
 #ifdef BELIEVE_SECOND_COPY
 #define TURNED_AWAY(w) (!SWAPS(w))
 #else
@@ -261,16 +264,16 @@
 	fi
 }
 
-/* The answer is lost. The writer reads the key back.
+/* The response is lost. The writer reads the key back.
  *
- * Safeguard: change id. The version that a change made is recognised by the id
- * of the change in the value, or in one of the older versions that the value
- * carries along. Without it the writer takes the lost answer for a failure and
- * writes again, over whatever has won meanwhile.
+ * Safeguard (NO_CHANGE_ID): change ID. The writer recognises the version that its
+ * change made by the ID of the change in the value, or in one of the previous
+ * versions that the value includes. Without the ID the writer would treat the lost
+ * response as a failure and write again, over a change that was written meanwhile.
  *
- * Safeguard: chain of versions. "Conflict" is said only when the value shows
- * which version replaced the expected one. Without it a change that was made,
- * and replaced before it was read back, would be called lost. */
+ * Safeguard (NO_CHAIN): chain of versions. The writer reports a conflict only when
+ * the value shows which version replaced the expected one. Without the chain it would
+ * report a conflict for a change that was made and replaced before it was read back. */
 inline read_back(c) {
 	v = in_store;
 	found = VERSIONS;
@@ -303,10 +306,10 @@
 	fi
 }
 
-/* Safeguard: no early "failed". While the key is as it was, the write may still
- * be on its way. The writer sends the same one again, of which the comparison
- * lets one copy through, or says "unknown" when its time is up. Called failed,
- * the change could be made afterwards. */
+/* Safeguard (EARLY_FAILURE): no premature failure. While the key is unchanged, the
+ * write may still be in transit. The writer retries the same write, which the
+ * comparison lets take effect only once, or reports "unknown" when its deadline
+ * expires. If it reported a failure, the change could still be made afterwards. */
 inline give_up(c) {
 #ifdef EARLY_FAILURE
 	conflict(c)
@@ -315,10 +318,10 @@
 #endif
 }
 
-/* ---- the end: nothing is left to happen --------------------------------- */
+/* ---- final states: no other step is executable --------------------------- */
 
-/* With a store restored from an old copy, an entry that didn't know better may
- * have written over it. */
+/* An accepted change is missing from the final version. After a restore from an old
+ * snapshot, an entry that did not know the change may have written over it. */
 inline lost_accepted() {
 #if RESTORES > 0
 	REACHED(RESTORE_LOST_ACCEPTED)
@@ -327,7 +330,8 @@
 #endif
 }
 
-/* A version's ancestors are those it replaced, one after the other. */
+/* Checks the final state. A version's ancestors are the versions that it replaced,
+ * directly or through others. */
 inline judge_end() {
 	HOLDS(CONVERGED, in_force[0] == in_store && in_force[ENTRIES - 1] == in_store);
 	for (i : 0 .. CHANGES - 1) {
@@ -349,7 +353,7 @@
 
 /* ---- processes ---------------------------------------------------------- */
 
-/* One indivisible step, taken when enabled holds. */
+/* One atomic step, executable when enabled is true. */
 #define STEP(enabled, action) d_step { enabled -> action; i = 0; v = 0; found = 0 }
 
 #define LAST(c) change[c].proposed
@@ -362,7 +366,7 @@
 	:: STEP(change[c].told == DECIDED && proposed == VERSIONS, unknown(c))
 	:: STEP(change[c].told == SENT && SWAPS(LAST(c)), swapped(c))
 	:: STEP(change[c].told == SENT && TURNED_AWAY(LAST(c)), not_swapped(c))
-	/* the answer is lost */
+	/* the response is lost */
 #ifdef NO_CHANGE_ID
 	:: STEP(change[c].told == SENT && proposed < VERSIONS, change[c].told = DECIDED)
 #else
@@ -372,7 +376,7 @@
 	od
 }
 
-/* The write of one version, and what registries hear of it. */
+/* The write of one version, and its delivery to the registries. */
 proctype Spreading(byte w) {
 end:	do
 	:: STEP(w < proposed && w > 0 && SWAPS(w) && !version[w].made, store_takes(w))
--- a/spec/crash.pml
+++ b/spec/crash.pml
@@ -1,24 +1,24 @@
 /*
- * A task that crashes every runner that starts it, beside a sound one of the same
- * entry, on three endpoints. Runners come back, a guard may be lost in the moment
- * of its runner's crash, the entry may die and both jobs be handed in again. It
- * checks how many runners the task takes, and that the sound job isn't failed.
- * README.md in this directory says what is left out.
+ * Model of a poison task, which crashes every runner that starts it, and a healthy
+ * task of the same entry, on three endpoints. Runners restart, a guard may fail
+ * together with its runner, the entry may crash and both jobs be submitted again. It
+ * checks how many runners the poison task crashes, and that the healthy task's job
+ * isn't failed. README.md in this directory lists what is not modelled.
  *
- * Build with -DNO_COUNT and the like to leave one safeguard out.
+ * Build with -DNO_COUNT or a similar macro to remove one safeguard.
  */
 
 #ifndef DEATHS
-#define DEATHS 1                /* of the entry */
+#define DEATHS 1                /* crashes of the entry */
 #endif
 #ifndef LOSSES
-#define LOSSES 1                /* of guards, each with its runner */
+#define LOSSES 1                /* failures of guards, each together with its runner */
 #endif
 
 /* ---- properties --------------------------------------------------------- */
 
-#define FEW_RUNNERS 1           /* three runners for each time the job is handed in, one more for each guard lost */
-#define SOUND_SERVED 2          /* the sound job isn't failed */
+#define FEW_RUNNERS 1           /* at most three crashed runners per submission of the job, and one more per failed guard */
+#define SOUND_SERVED 2          /* the healthy task's job isn't failed */
 #ifndef ONLY
 #define ONLY 0
 #endif
@@ -26,10 +26,10 @@
 
 /* ---- situations that must be reachable ---------------------------------- */
 
-#define GIVEN_UP_AT_TWO 1       /* after the second crash */
-#define GIVEN_UP_AT_THREE 2     /* after the third */
-#define CRASH_NOT_TOLD 3        /* the guard was lost with its runner */
-#define BOTH_SUSPECT 4          /* both tasks have a crash and run apart */
+#define GIVEN_UP_AT_TWO 1       /* a task was failed after its second crash */
+#define GIVEN_UP_AT_THREE 2     /* a task was failed after its third crash */
+#define CRASH_NOT_TOLD 3        /* a crash was not reported: the guard failed together with its runner */
+#define BOTH_SUSPECT 4          /* both tasks have crashes and run on different endpoints */
 #ifndef SEE
 #define SEE 0
 #endif
@@ -40,18 +40,18 @@
 #define NOWHERE 3               /* endpoints are 0 to 2 */
 
 /* the entry */
-byte at[2] = NOWHERE;           /* where a task runs */
-bool over[2];                   /* done, or given up */
-byte crashes[2];                /* counted against a task */
-byte newest[2];                 /* of them, those at which it had begun last */
-byte handed = 1;                /* times that the jobs were handed in */
+byte at[2] = NOWHERE;           /* the endpoint that a task runs on */
+bool over[2];                   /* the task is done or failed */
+byte crashes[2];                /* number of crashes counted against a task */
+byte newest[2];                 /* of these, the ones where it was the last task to start on the endpoint */
+byte handed = 1;                /* times that the jobs were submitted */
 
 /* the endpoints */
 bool up[3] = true;
-byte last[3];                   /* the task that began last there */
+byte last[3];                   /* the task that started last on the endpoint */
 
-byte taken;                     /* runners that the poisonous task has crashed */
-byte lost;                      /* guards lost */
+byte taken;                     /* number of runners that the poison task has crashed */
+byte lost;                      /* number of guards that have failed */
 byte deaths;
 
 #define SUSPECT(t) (crashes[t] > 0)
@@ -70,7 +70,7 @@
 	fi
 }
 
-/* blame counts the crash of endpoint e against a task. */
+/* blame counts the crash of endpoint e against task t; others: another task ran there. */
 inline blame(t, e, others) {
 	skip;
 #ifndef NO_COUNT
@@ -85,7 +85,7 @@
 #endif
 }
 
-/* fall is the crash of endpoint e by the poisonous task, told by its guard or not. */
+/* fall is the crash of endpoint e by the poison task; told: its guard reports the crash. */
 inline fall(e, told) {
 	up[e] = false;
 	taken++;
@@ -123,7 +123,7 @@
 		:: atomic { at[POISON] == e && lost < LOSSES -> lost++; fall(e, false) }
 		:: atomic { !up[e] -> up[e] = true }
 		:: atomic { deaths < DEATHS ->
-			/* the runs of a dead entry are over before its callers come again */
+			/* the runs of a crashed entry have ended before its callers submit again */
 			deaths++;
 			handed++;
 			at[0] = NOWHERE; at[1] = NOWHERE;
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -1,12 +1,14 @@
 /*
- * The limits of one customer, shared by the entries: each has a base share and
- * lends what it does not need to others for a time. Replies to a call that asks
- * for a loan come late, crossed, twice or never, and clocks run apart a little. Each
- * call also gives back what the borrower no longer needs of its earlier loans.
- * It checks that what all entries may use, and the tasks they have in flight,
- * never exceed the contract.
+ * Model of the limits of one client account, which the entries share: each entry has
+ * a base share and grants other entries quota leases (in this model: loans) on what
+ * it does not need. The lender is the entry that grants a lease, the borrower the one
+ * that holds it. Responses to a call that requests a lease arrive late, out of order,
+ * twice or never, and clocks drift by a bounded amount. Each call also releases what
+ * the borrower no longer needs of its earlier leases. The model checks that the sum
+ * of what all entries may use, and the sum of their tasks in flight, never exceed the
+ * contract.
  *
- * Build with -DCOUNT_FROM_REPLY and the like to leave one safeguard out.
+ * Build with -DCOUNT_FROM_REPLY or a similar macro to remove one safeguard.
  */
 
 /* ---- bounds ------------------------------------------------------------- */
@@ -15,29 +17,29 @@
 #define ENTRIES 3
 #endif
 #ifndef LOANS
-#define LOANS 3                 /* calls that ask for a loan */
+#define LOANS 3                 /* calls that request a quota lease */
 #endif
 #ifndef BASE
 #define BASE 2                  /* the base share of each entry */
 #endif
 #ifndef SPAN
-#define SPAN 1                  /* ticks that a loan lasts, beside HOLD */
+#define SPAN 1                  /* TTL of a quota lease in ticks, in addition to HOLD */
 #endif
 #ifndef LAGS
-#define LAGS 1                  /* ticks that clocks lose against others in all */
+#define LAGS 1                  /* ticks that clocks fall behind others, in total */
 #endif
 #define HOLD 1                  /* ticks that a task may be in flight */
-#define WHOLE (ENTRIES * BASE)  /* the contract */
+#define WHOLE (ENTRIES * BASE)  /* the contract's limit */
 
 /* ---- situations that must be reachable ---------------------------------- */
 
-#define LATE_REPLY              1 /* a reply came when its loan was over */
-#define CROSSED_REPLY           2 /* a reply came after that of a later call */
-#define TWO_LOANS_OUT           3 /* a lender counts two loans to one borrower */
-#define ALL_IN_FLIGHT           4 /* the contract is used to the full, on a loan */
-#define REGAINED                5 /* a lender has its part back after a lost reply */
-#define GIVEN_BACK              6 /* a lender has a part back before the loan is over */
-#define NOT_BOUNDED             7 /* a borrower uses more than its newest loans allow */
+#define LATE_REPLY              1 /* a response arrived after its lease had expired */
+#define CROSSED_REPLY           2 /* a response arrived after that of a later call */
+#define TWO_LOANS_OUT           3 /* a lender counts two leases to one borrower */
+#define ALL_IN_FLIGHT           4 /* the contract is fully used, in part by a lease */
+#define REGAINED                5 /* a lender regained its quota after a lost response */
+#define GIVEN_BACK              6 /* a lender regained quota before the lease expired */
+#define NOT_BOUNDED             7 /* a borrower uses more than its newest leases allow */
 #ifndef SEE
 #define SEE 0
 #endif
@@ -45,8 +47,8 @@
 
 /* ---- properties --------------------------------------------------------- */
 
-#define RIGHTS                  1 /* what all entries may use is within the contract */
-#define IN_FLIGHT               2 /* the tasks in flight are within the contract */
+#define RIGHTS                  1 /* the sum of what entries may use is within the contract */
+#define IN_FLIGHT               2 /* the number of tasks in flight is within the contract */
 #ifndef ONLY
 #define ONLY 0
 #endif
@@ -56,24 +58,25 @@
 
 mtype:reply = { NONE, ASKED, SENT };
 
-/* One call for a loan; calls are numbered in the order in which they began. */
+/* One call that requests a quota lease, and the lease; calls are numbered in the
+ * order in which they are sent. */
 typedef Loan {
 	byte lender;
 	byte borrower;
-	byte amount;            /* what the lender counts */
-	byte sent;              /* what the reply says */
-	byte held;              /* what the borrower may use */
-	byte kept;              /* what the call says is held of earlier loans, at most */
+	byte amount;            /* the amount that the lender counts as granted */
+	byte sent;              /* the amount in the response */
+	byte held;              /* the amount that the borrower may use */
+	byte kept;              /* upper bound, sent in the call, of what the borrower holds of earlier leases */
 	mtype:reply reply = NONE;
-	byte lender_left;       /* ticks until the lender has it back */
-	byte borrower_left;     /* ticks until the borrower may not use it */
-	bool taken;             /* the reply was taken: for SEE only */
+	byte lender_left;       /* ticks until the lender regains it */
+	byte borrower_left;     /* ticks until it expires at the borrower */
+	bool taken;             /* the borrower applied the response: for SEE only */
 }
 
 typedef Entry {
 	byte fresh;             /* tasks admitted in this tick */
-	byte ageing;            /* tasks admitted in the tick before: they end in this */
-	byte newest[ENTRIES];   /* the loan in force from each lender, from 1; 0: none */
+	byte ageing;            /* tasks admitted in the previous tick: they end in this one */
+	byte newest[ENTRIES];   /* the lease in force from each lender, from 1; 0: none */
 	byte last[ENTRIES];     /* the last call to each lender, from 1; 0: none */
 }
 
@@ -82,7 +85,7 @@
 byte asked;
 byte lags;
 
-byte i;                         /* used within one step, then 0 again */
+byte i;                         /* scratch variables: reset to 0 after each step */
 byte j;
 byte k;
 byte most;
@@ -92,25 +95,27 @@
 
 #define USED(e) (entry[e].fresh + entry[e].ageing)
 
-/* Safeguard: the largest loan counts. Any of the replies to one borrower may
- * have been the last to arrive. With the newest alone counted, the borrower
- * could still use an older and larger one whose successor's reply was lost. */
+/* Safeguard (COUNT_NEWEST_LENT): the lender counts the largest lease. Any of the
+ * responses to one borrower may have been the last to arrive. If the lender counted
+ * only the newest lease, the borrower could still use an older and larger one,
+ * because the response with the newer one was lost. */
 #ifdef COUNT_NEWEST_LENT
 #define COUNTS(n, most) true
 #else
 #define COUNTS(n, most) (loan[n].amount > most)
 #endif
 
-/* Safeguard: one loan for each lender. The newest replaces the one before, as
- * the lender counts on. Added together, they would be more than was lent. */
+/* Safeguard (ADD_LOANS): one lease per lender. The newest lease replaces the previous
+ * one, as the lender assumes. If the borrower added them up, it would use more than
+ * the lender granted. */
 #ifdef ADD_LOANS
 #define IN_FORCE(e, n) (loan[n].taken)
 #else
 #define IN_FORCE(e, n) (entry[e].newest[loan[n].lender] == n + 1)
 #endif
 
-/* Adds up what an entry may use, that many ticks ahead of now: its base, what it
- * borrowed and less what it lent. */
+/* Computes in sum what an entry may use, that many ticks ahead of now: its base share,
+ * plus the leases it holds, minus the leases it has granted. */
 inline rights_of(e, ahead) {
 	sum = BASE;
 	for (i : 0 .. LOANS - 1) {
@@ -135,7 +140,7 @@
 	}
 }
 
-/* ---- the properties, after each step that could break them -------------- */
+/* ---- the properties, checked after each step that could violate them ---- */
 
 inline judge() {
 	all = 0;
@@ -161,10 +166,11 @@
 
 /* ---- the borrower ------------------------------------------------------- */
 
-/* Safeguard: the borrower counts from before it asked. The lender counts from
- * when it lends, which is later, so the loan ends at the borrower first however
- * long the reply is on its way. Counted from the reply, the lender would have
- * its part back while the borrower still uses it. */
+/* Safeguard (COUNT_FROM_REPLY): the borrower measures the TTL from before it sends
+ * the request. The lender measures it from the grant, which is later, so the lease
+ * expires at the borrower first, however long the response is in transit. If the
+ * borrower measured from the response, the lender would regain its quota while the
+ * borrower still uses it. */
 inline ask(a, b, part) {
 	printf("entry %d asks entry %d for loan %d and gives back up to %d\n", b, a, asked, part);
 	give_back(a, b, part);
@@ -176,25 +182,27 @@
 	entry[b].last[a] = asked
 }
 
-/* Safeguard: nothing in use is given back. It stays until the loan ends, and with
- * it the lender's count. */
+/* Safeguard (GIVE_USED): the borrower does not release quota in use. It keeps that
+ * until the lease expires, and so does the lender in its count. */
 #ifdef GIVE_USED
 #define GIVABLE(b) (all + USED(b))
 #else
 #define GIVABLE(b) all
 #endif
 
-/* Safeguard: no bound while more is in use than the loans in force allow. What is
- * in use then stands on a former, larger loan that was replaced, and that the
- * lender still counts. Bounded by the newest it would be used a second time. */
+/* Safeguard (BOUND_BY_NEWEST): the borrower reports no bound while it uses more than
+ * the leases in force allow. Its usage then relies on a previous, larger lease that
+ * was replaced and that the lender still counts. If the lender bounded its count by
+ * the newest lease, it could grant the same quota a second time. */
 #ifdef BOUND_BY_NEWEST
 #define BOUNDED true
 #else
 #define BOUNDED (all >= 0)
 #endif
 
-/* The borrower b cuts its loan from a, before the call leaves, and the call says
- * what is left of it. all: what is neither in use nor gone before the loan ends. */
+/* Before the call is sent, borrower b reduces its lease from lender a by up to part,
+ * and the call reports the rest as kept. all: the quota that is not in use and does
+ * not expire before this lease does. */
 inline give_back(a, b, part) {
 	own = entry[b].newest[a];
 	if
@@ -225,8 +233,9 @@
 	fi
 }
 
-/* Safeguard: once a later call to the same lender has left, no reply to an earlier
- * one is taken. The lender counts that loan as given back. */
+/* Safeguard (TAKE_EARLIER): once the borrower has sent a later call to the same
+ * lender, it ignores responses to earlier calls. The lender counts those leases as
+ * released. */
 #ifdef TAKE_EARLIER
 #define AWAITED(n) true
 #else
@@ -254,22 +263,24 @@
 
 /* ---- the lender --------------------------------------------------------- */
 
-/* Safeguard: margin. The lender waits longer than it lent for, by as much as
- * the clocks can run apart in that time. */
+/* Safeguard (NO_MARGIN): clock drift margin. The lender waits longer than the TTL of
+ * the lease, by as much as the clocks can drift apart in that time. */
 #ifdef NO_MARGIN
 #define MARGIN 0
 #else
 #define MARGIN LAGS
 #endif
 
-/* The lender takes the loan from its share before it replies. It lends no more
- * than it can spare for the whole time, without its present loans to the same
- * borrower, which this one replaces.
+/* The lender subtracts the lease from its share before it responds. It grants no more
+ * than it can spare for the whole TTL. Its current leases to the same borrower don't
+ * count in this, since the new lease replaces them.
  *
- * Safeguard: nothing borrowed is lent on. A loan from another lender ends before
- * the one made of it, and that lender has its part back while it is in use.
+ * Safeguard (LEND_ON): a lender grants no leases from leased quota. The lease that it
+ * holds expires before the one that it would grant from it, and the first lender
+ * would regain its quota while the last borrower still uses it.
  *
- * Safeguard: nothing in use is lent. Tasks in flight can't be called back. */
+ * Safeguard (LEND_USED): a lender grants no quota in use, since tasks in flight
+ * can't be preempted. */
 inline lend(n, part) {
 	sum = BASE;
 	for (j : 0 .. ENTRIES - 1) {
@@ -316,10 +327,11 @@
 	fi
 }
 
-/* A call arrives, or arrives again: the lender counts no more of the loans of
- * earlier calls than the borrower still holds.
+/* A call arrives, or a duplicate of it: the lender reduces its count of the leases of
+ * earlier calls to what the borrower still holds.
  *
- * Safeguard: of earlier calls only. What a later one brought is in use. */
+ * Safeguard (BOUND_ALL): it does so for earlier calls only. The lease of a later call
+ * may be in use. */
 #ifdef BOUND_ALL
 #define EARLIER(i, n) (i != n)
 #else
@@ -343,9 +355,10 @@
 
 /* ---- admission ---------------------------------------------------------- */
 
-/* Safeguard: admission looks ahead. A task is admitted when the share allows it
- * until it must have ended. Admitted on what is there now, it would still be in
- * flight when the loan it needs has ended. */
+/* Safeguard (ADMIT_FOR_NOW): admission considers the whole run. An entry admits a
+ * task when its quota suffices until the task must have ended. If it considered only
+ * the current quota, the task could still be in flight after the lease that it needs
+ * has expired. */
 inline admit(e) {
 	rights_of(e, 0);
 	all = sum;
@@ -363,8 +376,8 @@
 
 /* ---- time --------------------------------------------------------------- */
 
-/* One entry's clock moves on: its loans come nearer to their end, and the tasks
- * that were admitted a tick ago end. */
+/* One entry's clock advances by a tick: the remaining TTL of its leases decreases, and
+ * the tasks that were admitted in the previous tick end. */
 inline pass_time(e) {
 	for (i : 0 .. LOANS - 1) {
 		if
@@ -386,7 +399,7 @@
 	entry[e].fresh = 0
 }
 
-/* A tick of every clock but that of the entry that lags behind. */
+/* A tick of every clock except that of the entry that lags behind. */
 inline tick(lagging) {
 	printf("a tick passes, entry %d lags (%d: none)\n", lagging, ENTRIES);
 	for (k : 0 .. ENTRIES - 1) {
@@ -399,7 +412,7 @@
 
 /* ---- processes ---------------------------------------------------------- */
 
-/* One indivisible step, taken when enabled holds. */
+/* One atomic step, executable when enabled is true. */
 #define STEP(enabled, action) \
 	d_step { enabled -> action; judge(); i = 0; j = 0; k = 0; most = 0; own = 0; sum = 0; all = 0 }
 
@@ -420,7 +433,7 @@
 	:: STEP(loan[n].reply != NONE, bound(n))
 	:: STEP(loan[n].reply == SENT, take(n))
 #ifdef REGAIN_EARLY
-	/* The lender takes the reply for lost and its part back at once. */
+	/* The lender assumes that the response is lost and regains its quota immediately. */
 	:: STEP(loan[n].reply == SENT && !loan[n].taken, loan[n].lender_left = 0)
 #endif
 	od
--- a/spec/run.pml
+++ b/spec/run.pml
@@ -1,41 +1,41 @@
 /*
- * The protocol of runs that start and end by separate orders: two entries, two
- * guards, a runner beside each with room for one run, and one task. Orders to a
- * runner and messages to a guard are held up for any time; entries die, guards
- * restart, and the caller of a dead entry submits its job again elsewhere after
- * RESEND. It checks that the task never runs twice at a time and that a runner
- * never holds two runs. README.md in this directory says what is left out.
+ * Model of the protocol in which separate orders start and stop runs: two entries,
+ * two guards, each with a runner of capacity for one run, and one task. Orders to a
+ * runner and messages to a guard are delayed arbitrarily; entries crash, guards
+ * restart, and the caller of a crashed entry submits its job again to the other entry
+ * after RESEND. It checks that the task never runs twice at a time and that a runner
+ * never has two runs. README.md in this directory lists what is not modelled.
  *
- * Build with -DNO_BAR and the like to leave one safeguard out.
+ * Build with -DNO_BAR or a similar macro to remove one safeguard.
  */
 
 /* ---- bounds, in ticks --------------------------------------------------- */
 
 #ifndef MAX
-#define MAX 5                   /* ticks in all */
+#define MAX 5                   /* ticks in total */
 #endif
 #define HOLD 2                  /* a lease is extended to now + HOLD */
-#define END_BOUND 2             /* no lease reaches beyond an entry's last sign + END_BOUND */
-#define RESEND 3                /* the caller of a dead entry comes again */
-#define STALE 1                 /* an order of this age is refused */
+#define END_BOUND 2             /* no lease extends beyond the entry's last heartbeat + END_BOUND */
+#define RESEND 3                /* time after which the caller of a crashed entry submits again */
+#define STALE 1                 /* a guard rejects an order of this age */
 #ifndef TRIES
-#define TRIES 2                 /* orders of one entry */
+#define TRIES 2                 /* start orders of one entry */
 #endif
 #ifndef RESTARTS
-#define RESTARTS 1              /* of guards, in all */
+#define RESTARTS 1              /* restarts of guards, in total */
 #endif
 #ifndef DEATHS
-#define DEATHS 1                /* of the first entry */
+#define DEATHS 1                /* crashes of the first entry */
 #endif
 #ifndef RUNNER_RESTARTS
-#define RUNNER_RESTARTS 0       /* of runners, under their ids, in all */
+#define RUNNER_RESTARTS 0       /* restarts of runners that keep their IDs, in total */
 #endif
 
 /* ---- properties --------------------------------------------------------- */
 
 #define ONE_RUN 1               /* the task runs at one runner at a time */
-#define ROOM 2                  /* a runner holds one run at a time */
-#define NOT_RUN 3               /* a run that is said never to have started hasn't */
+#define ROOM 2                  /* a runner has at most one run at a time */
+#define NOT_RUN 3               /* a run reported as never started has not started */
 #ifndef ONLY
 #define ONLY 0
 #endif
@@ -43,16 +43,16 @@
 
 /* ---- situations that must be reachable ---------------------------------- */
 
-#define LATE_START_BARRED 1     /* a start came after its bar */
-#define FENCED 2                /* a start of an older guard came after its successor's look */
+#define LATE_START_BARRED 1     /* a start arrived after its tombstone was set */
+#define FENCED 2                /* a start from an older guard arrived after the new guard had fenced the runner */
 #define RAN_ELSEWHERE 3         /* the task ran through the second entry */
-#define LAPSED 4                /* a run ended with its lease */
-#define STRAY 5                 /* a new guard found a run */
-#define TWIN_MET 6              /* the second copy of a start found the run there */
-#define TWIN_REFUSED 7          /* one copy was turned down with the other under way */
-#define LATE_AT_NEXT 8          /* a start reached the process after the one it was sent to */
-#define FENCED_AT_NEXT 9        /* … and was turned down for its token */
-#define MOVED 10                /* a guard found its run at the next process */
+#define LAPSED 4                /* a run ended because its lease expired */
+#define STRAY 5                 /* a new guard found an orphan run */
+#define TWIN_MET 6              /* the duplicate of a start found the run already started */
+#define TWIN_REFUSED 7          /* one copy of a start was rejected with the other in transit */
+#define LATE_AT_NEXT 8          /* a start reached a newer process of the runner than it was sent to */
+#define FENCED_AT_NEXT 9        /* … and was rejected because of its fencing token */
+#define MOVED 10                /* a guard found its run at the runner's newer process */
 #ifndef SEE
 #define SEE 0
 #endif
@@ -60,38 +60,38 @@
 
 #define NONE 0
 #define SENT 1                  /* the start is sent */
-#define KNOWN 2                 /* the runner has said that it runs */
-#define ENDING 3                /* it is to end */
+#define KNOWN 2                 /* the runner has confirmed that it runs */
+#define ENDING 3                /* the guard is stopping it */
 
 byte now;
 
 /* runners */
-byte holds[2];                    /* number of the run that goes on, 0 for none */
-byte barred[2];                 /* highest number that is stopped or ended */
+byte holds[2];                    /* number of the current run, 0 for none */
+byte barred[2];                 /* tombstone: highest number that was stopped or has ended */
 byte token[2];                  /* highest fencing token seen */
 byte lease[2];
-byte process[2];                /* number of the runner's process; all of it is lost with a restart */
+byte process[2];                /* number of the runner's process; a restart loses the state above */
 byte runner_restarts;
 
-/* the start that is under way to a runner */
+/* the start in transit to a runner */
 bool s_on[2];
 byte s_number[2], s_token[2], s_until[2];
-bool s_twin[2];                 /* a second copy is under way: the first went unanswered */
+bool s_twin[2];                 /* a retry is in transit as well: the first copy got no response */
 bool s_again[2];                /* the start was sent twice */
 byte s_process[2];              /* the process that it was sent to */
 
-/* guards; all but the token is lost with a restart */
+/* guards; a restart loses everything but the token */
 byte g_token[2];
 byte g_state[2];
 byte g_number[2];
 byte g_next[2];
 byte g_owner[2];
-byte g_until[2];                /* the start is valid before */
+byte g_until[2];                /* time at which the start expires */
 bool g_barred[2];
 bool g_open[2];
-byte g_process[2];              /* the process that it knows; its calls reach no other */
-bool g_ran[2];                  /* its run has begun somewhere; the guard may not know */
-byte heard[4];                  /* last sign of life, by guard and entry */
+byte g_process[2];              /* the runner process that it knows; its calls reach no other */
+bool g_ran[2];                  /* its run has started; the guard may not know */
+byte heard[4];                  /* time of the last heartbeat, by guard and entry */
 byte restarts;
 
 /* entries */
@@ -100,10 +100,10 @@
 byte at[2];                     /* 1 + guard of the open run, 0 for none */
 bool orphan[2];                 /* the guard of the open run has restarted */
 byte tries[2];
-bool broke;                     /* the first entry is dead */
+bool broke;                     /* the first entry has crashed */
 byte broke_at;
 
-/* the order that is under way to a guard */
+/* the order in transit to a guard */
 bool m_on[2];
 byte m_from[2], m_sent[2], m_try[2];
 
@@ -118,11 +118,11 @@
 #else
 #define REACHES(g) (g_process[g] == process[g])
 #endif
-/* a guard meets its runner's next process within a tick */
+/* a guard detects its runner's new process within a tick */
 #define MET(g) (g_process[g] == process[g])
-/* neither the guard's start nor its stop has been answered */
+/* the guard waits for the response to its start or to its stop */
 #define IN_DOUBT(g) (g_state[g] == SENT || (g_state[g] == ENDING && !g_barred[g]))
-/* the answer of the start that is carried out reaches the guard */
+/* the response to the start that the runner executes reaches the guard */
 #define ANSWERED(g) (g_token[g] == s_token[g] && s_process[g] == process[g] && g_state[g] == SENT && g_number[g] == s_number[g])
 #define FREE_OF(e) at[e] = 0; orphan[e] = false
 #define TELL(g) if :: up[g_owner[g]] && at[g_owner[g]] == 1 + g && !orphan[g_owner[g]] -> FREE_OF(g_owner[g]) :: else fi
@@ -158,7 +158,7 @@
 	fi
 }
 
-/* Time passes; leases that are over end their runs. */
+/* Time passes; a run ends when its lease expires. */
 active proctype time()
 {
 	byte i;
@@ -192,11 +192,11 @@
 proctype entry(byte e)
 {
 end2:	do
-	/* a sign of life to both guards */
+	/* a heartbeat to both guards */
 	:: atomic { up[e] && wants[e] && (HEARD(0, e) < now || HEARD(1, e) < now) -> HEARD(0, e) = now; HEARD(1, e) = now }
 	:: atomic { MAY_ORDER(e, 0) -> send_order(e, 0) }
 	:: atomic { MAY_ORDER(e, 1) -> send_order(e, 1) }
-	/* the first entry dies, and its caller notices */
+	/* the first entry crashes, and its caller detects that */
 	:: atomic { e == 0 && up[0] && DEATHS > 0 -> up[0] = false; broke = true; broke_at = now }
 	/* the caller submits the job again, to the other entry */
 	:: atomic { e == 1 && broke && !wants[1] && now >= broke_at + RESEND -> wants[1] = true }
@@ -213,12 +213,12 @@
 	fi
 }
 
-/* A runner carries a start out, now or late; its guard may hear of it. */
+/* A runner executes a start after any delay; its guard may get the response. */
 proctype runner(byte i)
 {
 end3:	do
-	/* its process ends, and another begins under its id; an order that the older process has
-	   answered for doesn't reach it */
+	/* its process ends, and a new one starts with its ID; a start in transit to which the older
+	   process has responded doesn't reach the new one */
 	:: atomic { runner_restarts < RUNNER_RESTARTS ->
 		if
 		:: s_on[i] && !(g_number[i] == s_number[i] && IN_DOUBT(i)) -> s_twin[i] = false; copy_done(i)
@@ -238,7 +238,7 @@
 		:: s_token[i] < token[i] && s_process[i] == process[i] -> REACHED(FENCED)
 		:: s_token[i] >= token[i] && s_number[i] <= barred[i] -> REACHED(LATE_START_BARRED)
 		:: s_token[i] >= token[i] && s_number[i] > barred[i] && holds[i] == s_number[i] ->
-			/* the other copy has begun the run */
+			/* the other copy has started the run */
 			REACHED(TWIN_MET);
 			if
 			:: ANSWERED(i) -> g_state[i] = KNOWN
@@ -255,7 +255,7 @@
 		fi;
 		copy_done(i)
 	}
-	/* the runner is unwell and turns one copy down; the other may come later */
+	/* the runner is unhealthy and rejects one copy; the other may arrive later */
 	:: atomic { s_on[i] && s_again[i] && s_token[i] >= token[i] ->
 		if
 		:: s_twin[i] -> REACHED(TWIN_REFUSED)
@@ -282,7 +282,7 @@
 	byte e, until;
 
 end4:	do
-	/* an order comes: refused, or its start is sent */
+	/* an order arrives: the guard rejects it, or sends the start to its runner */
 	:: atomic { m_on[i] && !s_on[i] ->
 		m_on[i] = false;
 		if
@@ -308,12 +308,13 @@
 		fi;
 		m_from[i] = 0; m_sent[i] = 0; m_try[i] = 0
 	}
-	/* the start goes unanswered and is sent again beside the first */
+	/* the start gets no response, and the guard sends it again while the first copy is in transit */
 	:: atomic { g_state[i] == SENT && s_on[i] && !s_again[i] && s_token[i] == g_token[i] && s_number[i] == g_number[i] ->
 		s_twin[i] = true;
 		s_again[i] = true
 	}
-	/* the start's answer was waited for long enough, or its entry is silent */
+	/* the guard's wait for the start's response has timed out, or its entry's heartbeats have
+	   stopped */
 	:: atomic { g_state[i] == SENT || g_state[i] == KNOWN ->
 #ifdef NO_BAR
 		if
@@ -324,7 +325,7 @@
 		g_state[i] = ENDING
 #endif
 	}
-	/* the runner takes a stop, and the guard hears of it */
+	/* the runner executes a stop, and the guard gets the response */
 	:: atomic { g_state[i] == ENDING && !g_barred[i] && g_token[i] >= token[i] && REACHES(i) ->
 		token[i] = g_token[i];
 		barred[i] = (g_number[i] > barred[i] -> g_number[i] : barred[i]);
@@ -334,9 +335,11 @@
 		fi;
 		g_barred[i] = true
 	}
-	/* an account asked for after the bar, or after the start's time, holds no run */
+	/* a run listing requested after the tombstone was set, or after the start expired, doesn't
+	   have the run */
 	:: atomic { g_state[i] == ENDING && holds[i] != g_number[i] && (g_barred[i] || now >= g_until[i]) && REACHES(i) ->
-		/* a run that was over in time is listed as ended */
+		/* the listing reports a run that has ended as ended, not as never started, unless the
+		   runner has restarted since */
 		HOLDS(NOT_RUN, !g_ran[i] || g_process[i] == process[i]);
 		g_state[i] = NONE;
 		TELL(i);
@@ -352,7 +355,7 @@
 		fi;
 		until = 0
 	}
-	/* another process answers under the id: it is fenced, and its account read */
+	/* a new process responds under the runner's ID: the guard fences it and reads its run listing */
 	:: atomic { g_process[i] != process[i] && g_open[i] ->
 		g_process[i] = process[i];
 #ifndef NO_RISE
@@ -366,7 +369,7 @@
 		:: g_state[i] != NONE && holds[i] == g_number[i] -> REACHED(MOVED)
 		:: else
 		fi;
-		/* what it holds is stopped within the tick */
+		/* the guard stops the process's run within the tick */
 		if
 		:: holds[i] != 0 ->
 			barred[i] = (holds[i] > barred[i] -> holds[i] : barred[i]);
@@ -382,14 +385,14 @@
 		fi
 	}
 #ifdef NO_HOLD_BACK
-	/* the process is gone: its unanswered start is taken as over */
+	/* the process has ended: the guard takes its start without a response for ended */
 	:: atomic { g_process[i] != process[i] && g_open[i] && g_state[i] != NONE ->
 		g_state[i] = NONE;
 		TELL(i);
 		g_number[i] = 0; g_owner[i] = 0; g_until[i] = 0; g_barred[i] = false
 	}
 #endif
-	/* the guard is killed; its successor attaches at once */
+	/* the guard is killed; its next incarnation attaches immediately */
 	:: atomic { restarts < RESTARTS ->
 		restarts++;
 		g_token[i]++;
@@ -408,7 +411,7 @@
 		};
 		e = 0
 	}
-	/* the successor reads its runner's account, ends what that holds, and opens */
+	/* the next incarnation reads its runner's run listing, stops its run and accepts starts */
 	:: atomic { !g_open[i] ->
 		g_process[i] = process[i];
 #ifndef NO_FENCE
--- a/spec/start.pml
+++ b/spec/start.pml
@@ -1,58 +1,59 @@
 /*
- * The start protocol: one entry, guards with their runners, and a network that
- * loses, copies, reorders and delays. It checks that a task starts at most once
- * and that "never started" is true, whatever restarts in between. README.md in
- * this directory says what is left out and why.
+ * Model of the start protocol: one entry, guards with their runners, and a
+ * network that loses, duplicates, reorders and delays messages. It checks that a
+ * task starts at most once and that a "never started" response is true, whichever
+ * processes restart in between. README.md in this directory lists what is not
+ * modelled and why.
  *
- * Build with -DNO_BAR and the like to leave one safeguard out; spin then finds
- * the failure that the safeguard prevents. Build with -DLIVE for a network that
- * is fair in the end, to check that every task gets an answer.
+ * Build with -DNO_BAR or a similar macro to remove one safeguard; spin then finds
+ * the failure that the safeguard prevents. Build with -DLIVE for a network with
+ * eventual delivery, to check that every task gets a response.
  */
 
 /* ---- bounds ------------------------------------------------------------- */
 
 #ifndef TASKS
-#define TASKS 2                 /* tasks the callers hand to the entry */
+#define TASKS 2                 /* tasks that callers submit to the entry */
 #endif
 #ifndef GUARDS
 #define GUARDS 2                /* guards to choose from */
 #endif
 #ifndef STARTS
-#define STARTS 3                /* Starts the entry sends in all */
+#define STARTS 3                /* Starts that the entry sends in total */
 #endif
 #ifndef SESSIONS
-#define SESSIONS 2              /* sessions one incarnation of a guard mints */
+#define SESSIONS 2              /* sessions that one incarnation of a guard opens */
 #endif
 #ifndef GUARD_RESTARTS
-#define GUARD_RESTARTS 1        /* over all guards */
+#define GUARD_RESTARTS 1        /* total over all guards */
 #endif
 #ifndef ENTRY_RESTARTS
 #define ENTRY_RESTARTS 1
 #endif
 #ifndef DROPS
-#define DROPS 1                 /* sessions dropped because their lease lapsed */
+#define DROPS 1                 /* sessions closed because their lease expired */
 #endif
 #ifndef LOSSES
 #define LOSSES 2                /* LIVE only: messages lost */
 #endif
 #ifndef COPIES
-#define COPIES 1                /* LIVE only: messages doubled */
+#define COPIES 1                /* LIVE only: messages duplicated */
 #endif
 
 /* ---- situations that must be reachable ---------------------------------- */
 
-/* A check that never meets the case it is about proves nothing. -DSEE=<name>
- * makes reaching that situation an error, which spin must then report. */
+/* A check that never reaches the situation that it is about is vacuous.
+ * -DSEE=<name> makes reaching that situation an error, which spin must report. */
 #define COMPLETED               1 /* a task ran and its result was received */
-#define BARRED_LATE_START       2 /* a Start arrived after its number was barred */
-#define SETTLED_LATE_START      3 /* a Start arrived below the watermark */
-#define OLD_INCARNATION_START   4 /* a Start arrived at the guard's successor */
-#define DROPPED_SESSION_START   5 /* a Start arrived for a dropped session */
-#define STARTED_AFTER_CRASH     6 /* a call left in the runner's socket ran */
-#define MOVED_TO_OTHER_GUARD    7 /* never started here, dispatched there */
+#define BARRED_LATE_START       2 /* a Start arrived after its number got a tombstone */
+#define SETTLED_LATE_START      3 /* a Start arrived below the low watermark */
+#define OLD_INCARNATION_START   4 /* a Start arrived at the guard's next incarnation */
+#define DROPPED_SESSION_START   5 /* a Start arrived for a closed session */
+#define STARTED_AFTER_CRASH     6 /* a call that a crashed guard had sent to the runner ran */
+#define MOVED_TO_OTHER_GUARD    7 /* never started at one guard, dispatched to another */
 #define TWO_OPEN_IN_SESSION     8 /* two numbers open in one session at once */
-#define WATERMARK_OVER_OPEN     9 /* the watermark rose while another was open */
-#define NOT_RUN_AFTER_BAR      10 /* the caller was told "not run" after a bar */
+#define WATERMARK_OVER_OPEN     9 /* the watermark rose while another number was open */
+#define NOT_RUN_AFTER_BAR      10 /* the caller got "not run" after "never started" */
 #ifndef SEE
 #define SEE 0
 #endif
@@ -60,12 +61,12 @@
 
 /* ---- properties --------------------------------------------------------- */
 
-/* -DONLY=<name> checks that one alone, so that a build without a safeguard can
- * be shown to break just that one. */
-#define ONE_START               1 /* a task starts at most once, wherever */
-#define TRUE_NEVER              2 /* "never started" goes with no start, before or after */
-#define TRUE_NOT_RUN            3 /* a task whose caller is told "not run" never starts */
-#define TRUE_RESULT             4 /* a task whose caller has the result started */
+/* -DONLY=<name> checks that property alone, to show which property a build
+ * without a safeguard violates. */
+#define ONE_START               1 /* a task starts at most once, over all guards */
+#define TRUE_NEVER              2 /* a start reported as "never started" doesn't start, before or after */
+#define TRUE_NOT_RUN            3 /* a task whose caller got "not run" never starts */
+#define TRUE_RESULT             4 /* a task whose caller got the result has started */
 #ifndef ONLY
 #define ONLY 0
 #endif
@@ -73,78 +74,78 @@
 
 /* ---- state -------------------------------------------------------------- */
 
-/* What a guard's ledger holds for one number of a session. */
+/* The state that a guard's ledger has for one sequence number of a session. */
 mtype:ledger = {
-	UNSEEN,                 /* nothing known: also what is left after forgetting */
+	UNSEEN,                 /* no record: never received, or the record was deleted */
 	WAITING,                /* in the guard's queue */
 	RUNNING,                /* the runner has been called, or is about to be */
-	FINISHED,               /* the runner gave a result */
-	RUNNER_LOST,            /* the call broke: it may have run */
-	BARRED                  /* never started and never will be */
+	FINISHED,               /* the runner returned a result */
+	RUNNER_LOST,            /* the call to the runner failed: the task may have run */
+	BARRED                  /* tombstone: never started and never will be */
 };
 
-/* What the guard's process does about one Start, beside its ledger. */
+/* The progress of one Start in the guard's process, in addition to its ledger. */
 mtype:handling = { IDLE, QUEUED, CALLED, BEGUN };
 
-/* What the entry knows of a task. */
+/* The state of a task at the entry. */
 mtype:task = {
 	NEW,                    /* not dispatched yet */
-	OPEN,                   /* a Start is out */
-	READY,                  /* refused truly: may be dispatched again */
-	DONE,                   /* answered with the result */
-	NOT_RUN,                /* answered "not run" */
-	UNKNOWN                 /* answered "may have run" */
+	OPEN,                   /* a Start is outstanding */
+	READY,                  /* known never to have started: may be dispatched again */
+	DONE,                   /* the caller got the result */
+	NOT_RUN,                /* the caller got "not run" */
+	UNKNOWN                 /* the caller got "may have run" */
 };
 
 typedef Session {
 	bool known;
 	byte owner;             /* the entry's incarnation */
-	byte low;               /* the watermark the guard has taken in */
-	byte reported;          /* the highest watermark the entry has sent */
-	mtype:ledger ledger[STARTS + 1] = UNSEEN;       /* by number, from 1 */
+	byte low;               /* the low watermark that the guard has applied */
+	byte reported;          /* the highest low watermark that the entry has sent */
+	mtype:ledger ledger[STARTS + 1] = UNSEEN;       /* by sequence number, from 1 */
 }
 
 typedef Guard {
 	byte incarnation;
-	byte minted;            /* sessions minted by this incarnation */
+	byte minted;            /* sessions opened by this incarnation */
 	Session session[SESSIONS];
 }
 
 /* The entry's session with one guard. */
 typedef Link {
 	bool up;
-	byte incarnation;       /* of the guard that said so */
+	byte incarnation;       /* of the guard, from its response to Hello */
 	byte session;
-	byte next;              /* the number of the next Start */
+	byte next;              /* the sequence number of the next Start */
 }
 
-/* One Start: its identity, its copies in the network, its handling. */
+/* One Start: its identity, its messages in the network, its progress at the guard. */
 typedef Start {
 	byte guard;
 	byte incarnation;
 	byte session;
 	byte seq;
 	byte task;
-	bool open;              /* the entry waits for an answer */
+	bool open;              /* the entry waits for a response */
 
 	byte starts;            /* network: copies of Start */
 	byte resolves;          /* network: copies of Resolve */
-	bool finished;          /* network: the answers */
+	bool finished;          /* network: the responses */
 	bool never_started;
 	bool unknown;
 
 	mtype:handling at = IDLE;
-	byte calls;             /* requests in the runner's socket */
+	byte calls;             /* requests in the runner's socket buffer */
 
 	bool began;             /* for the properties only: it started */
-	bool said_never;        /* for the properties only: "never started" was said */
+	bool said_never;        /* for the properties only: a guard sent "never started" */
 }
 
 Guard guard[GUARDS];
 Link link[GUARDS];
 Start start[STARTS];
 mtype:task task[TASKS] = NEW;
-byte begun[TASKS];              /* for the properties only: starts of the task */
+byte begun[TASKS];              /* for the properties only: number of starts of each task */
 byte entry_incarnation;
 byte sent;                      /* Starts sent so far */
 byte guard_restarts;
@@ -154,7 +155,7 @@
 byte copies;
 #endif
 
-byte i;                         /* used within one step, then 0 again */
+byte i;                         /* scratch variables: reset to 0 after each step */
 byte j;
 byte low;
 
@@ -166,20 +167,20 @@
 /* ---- the network -------------------------------------------------------- */
 
 #ifdef LIVE
-/* Fair in the end: a message is delivered once unless a fault, of which there
- * is a bounded number, loses or copies it. */
+/* Eventual delivery: a message is delivered once unless a fault loses or
+ * duplicates it; the number of faults is bounded. */
 #define DELIVERED(message) message--
 #else
-/* Everything sent stays for ever and may arrive at any time, any number of
- * times or never: loss, copies, reordering and delay without a bound. */
+/* Every sent message remains in the network and may arrive at any time, any number
+ * of times or never: unbounded loss, duplication, reordering and delay. */
 #define DELIVERED(message) skip
 #endif
 
-/* Safeguard: answers are matched. The entry drops an answer that matches no open
- * start by guard, incarnation, session and number. Matched by guard and number
- * alone, a late result of an old session would be given to the caller of another
- * task. open_start asserts that no two starts share these four, so an answer to
- * a closed start is dropped here already. */
+/* Safeguard (NO_ANSWER_MATCH): responses are correlated. The entry discards a
+ * response that matches no open start by guard, incarnation, session and sequence
+ * number. If it matched by guard and number alone, the caller of another task would
+ * get a late result of an old session. open_start asserts that no two starts share
+ * these four values, so the model discards a response to a closed start here. */
 #ifdef NO_ANSWER_MATCH
 #define LISTENED_TO(a) true
 #else
@@ -194,7 +195,7 @@
 	fi
 }
 
-/* Unless LIVE the entry may give up at any time, which covers this answer. */
+/* Without LIVE the entry may time out at any time, which covers this response. */
 inline answer_unknown(a) {
 	printf("guard %d answers start %d: unknown\n", start[a].guard, a);
 #ifdef LIVE
@@ -223,29 +224,30 @@
 
 /* ---- the guard ---------------------------------------------------------- */
 
-/* Safeguard: incarnation check. A new guard process knows nothing of what its
- * predecessor started, and mints the same session ids again. Without the check
- * it would bar a number that ran, and the task would start a second time
- * elsewhere. A message names the incarnation it is meant for, which is enough
- * because incarnations only grow. */
+/* Safeguard (NO_INCARNATION): incarnation check. A new guard process has no record
+ * of what the previous incarnation started, and assigns the same session IDs again.
+ * Without the check it would answer "never started" for a number that ran, and the
+ * task would start a second time at another guard. A message names the incarnation
+ * that it is addressed to, which is sufficient because incarnations only increase. */
 #ifdef NO_INCARNATION
 #define WRONG_INCARNATION(a) false
 #else
 #define WRONG_INCARNATION(a) (start[a].incarnation != THE_GUARD(a).incarnation)
 #endif
 
-/* Safeguard: watermark. Ledger entries below the watermark are forgotten to
- * bound the memory. Without the refusal a copy of a Start that is delayed past
- * the watermark would look like a new one and run again. It is enough because
- * the entry reports only numbers that it has answered for and never reuses. */
+/* Safeguard (NO_WATERMARK): low watermark. The guard deletes ledger records below
+ * the watermark to bound its memory, and rejects these numbers. Without the
+ * rejection a duplicate of a Start that is delayed past the watermark would look
+ * like a new one and run again. The watermark is sufficient because it passes only
+ * numbers whose outcome the entry has settled and never reuses. */
 #ifdef NO_WATERMARK
 #define SETTLED(a) false
 #else
 #define SETTLED(a) (start[a].seq < THE_SESSION(a).low)
 #endif
 
-/* The guard's record of how a start went; nothing is kept of settled numbers
- * and dropped sessions. */
+/* Records the outcome of a start in the ledger. The guard keeps no records for
+ * settled numbers and closed sessions. */
 inline record(a, outcome) {
 	if
 	:: THE_SESSION(a).known && !SETTLED(a) -> LEDGER(a) = outcome
@@ -253,10 +255,11 @@
 	fi
 }
 
-/* Safeguard: ledger before run. Written after the call, a Resolve in between
- * would find nothing, bar the number and say "never started" of a task that
- * runs. Written before the call, the worst case is a number that is recorded
- * and never called, which is answered as unknown. */
+/* Safeguard (NO_LEDGER_FIRST): write-ahead record. If the guard wrote the ledger
+ * after the call to the runner, a Resolve in between would find no record, set a
+ * tombstone and report "never started" for a running task. When it writes the
+ * ledger before the call, the worst case is a number that is recorded but never
+ * called, whose outcome is reported as unknown. */
 inline accept_start(a) {
 	printf("guard %d queues start %d\n", start[a].guard, a);
 #ifndef NO_LEDGER_FIRST
@@ -274,10 +277,10 @@
 	start[a].at = CALLED
 }
 
-/* Safeguard: bar on refusal. A refusal (queue full, leaving, budget spent) is
- * recorded before it is answered. Without the record a second copy of the Start
- * would be accepted once there is room, after the entry was told that the task
- * never started. */
+/* Safeguard (NO_BAR_ON_REFUSAL): tombstone on rejection. The guard records a
+ * rejection (queue full, draining, deadline exceeded) before it responds. Without
+ * the record it would accept a duplicate of the Start once there is capacity, after
+ * the entry got the response that the task never started. */
 inline refuse_start(a) {
 	printf("guard %d refuses start %d\n", start[a].guard, a);
 #ifndef NO_BAR_ON_REFUSAL
@@ -287,9 +290,10 @@
 	answer_never(a)
 }
 
-/* Safeguard: an unknown session is not "not run". The ledger of a dropped
- * session is gone, so the guard can't tell whether an earlier copy started.
- * Answered as "never started", a task that ran would start again elsewhere. */
+/* Safeguard (NO_SESSION_DOUBT): an unknown session does not mean "not run". The
+ * ledger of a closed session is deleted, so the guard does not know whether an
+ * earlier copy started. If it responded "never started", a task that ran would
+ * start again at another guard. */
 inline answer_unknown_session(a) {
 #ifdef NO_SESSION_DOUBT
 	answer_never(a)
@@ -298,7 +302,7 @@
 #endif
 }
 
-/* A Start arrives. A copy of one that is known gets that one's answer. */
+/* A Start arrives. A duplicate of a recorded Start gets the recorded outcome. */
 inline receive_start(a, refused) {
 	printf("a copy of Start %d reaches guard %d\n", a, start[a].guard);
 	if
@@ -328,9 +332,10 @@
 	fi
 }
 
-/* Safeguard: bar. The Start may still be on its way. Without the bar it would
- * run after the entry was told that it never started. The ledger entry lasts
- * until the watermark passes it, which refuses the number in its turn. */
+/* Safeguard (NO_BAR): tombstone for an unseen number. The Start may still be in
+ * transit. Without the tombstone it would run after the entry got the response that
+ * it never started. The tombstone remains until the low watermark passes the number;
+ * from then on the watermark check rejects it. */
 inline bar(a) {
 #ifndef NO_BAR
 	LEDGER(a) = BARRED;
@@ -338,7 +343,8 @@
 	answer_never(a)
 }
 
-/* A Resolve arrives. While the task waits or runs the guard holds the call. */
+/* A Resolve arrives. The guard delays its response while the task is queued or
+ * running (long poll). */
 #define HELD(a) \
 	(!WRONG_INCARNATION(a) && THE_SESSION(a).known && !SETTLED(a) && \
 	(LEDGER(a) == WAITING || LEDGER(a) == RUNNING))
@@ -363,7 +369,7 @@
 	fi
 }
 
-/* The runner takes a request out of its socket and starts the task. */
+/* The runner reads a request from its socket and starts the task. */
 inline begin(a) {
 	printf("runner %d begins task %d for start %d\n", start[a].guard, start[a].task, a);
 	start[a].calls--;
@@ -378,8 +384,8 @@
 	fi
 }
 
-/* The runner refuses: it has no slot and has started nothing. The guard, when
- * it is still the one that called, answers by its own authority. */
+/* The runner rejects the call: it has no free slot and has not started the task. The
+ * guard responds "never started" itself if it is still the process that called. */
 inline runner_refuses(a) {
 	printf("runner %d refuses start %d\n", start[a].guard, a);
 	start[a].calls--;
@@ -393,9 +399,9 @@
 	answer_finished(a)
 }
 
-/* Safeguard: one call. The guard's connection to the runner breaks or its
- * timeout passes; the request may be in the runner's socket all the same.
- * Sent again, the task would start twice. */
+/* Safeguard (CALL_AGAIN): no retry of the call to the runner. The guard's connection
+ * to the runner fails or its timeout expires, but the request may still be in the
+ * runner's socket buffer. If the guard sent it again, the task would start twice. */
 inline runner_lost(a) {
 	printf("guard %d loses its runner's answer for start %d\n", start[a].guard, a);
 #ifdef CALL_AGAIN
@@ -407,8 +413,8 @@
 #endif
 }
 
-/* The tasks that wait in a dropped session never start, and whoever still waits
- * for the answer to their Start is told so; started ones go on. */
+/* Closes a session. Its queued tasks never start, and the guard responds "never
+ * started" to Starts that are still pending; started tasks continue. */
 inline drop_session(g, s) {
 	if
 	:: guard[g].session[s].known -> printf("guard %d drops session %d\n", g, s)
@@ -431,8 +437,9 @@
 	}
 }
 
-/* The guard's process dies and a new one takes its place, with an empty ledger.
- * What it called goes on, and what it wrote to the runner may still be read. */
+/* The guard's process crashes and a new one with an empty ledger replaces it. Runs
+ * that the old process started continue, and the runner may still read requests that
+ * the old process sent. */
 inline restart_guard(g) {
 	printf("guard %d restarts\n", g);
 	guard_restarts++;
@@ -449,9 +456,9 @@
 	}
 }
 
-/* The watermark is carried by every Start, Resolve and Ping. Here it travels
- * alone, number by number, and arrives or not: an entry's message with its
- * watermark is the watermark's arrival followed by the message's. */
+/* Every Start, Resolve and Ping carries the low watermark. The model delivers it
+ * separately, one number at a time, or not at all: the arrival of a message with its
+ * watermark equals the arrival of the watermark followed by that of the message. */
 inline raise_watermark(g, s) {
 	printf("guard %d forgets number %d of session %d\n", g, guard[g].session[s].low, s);
 	guard[g].session[s].ledger[guard[g].session[s].low] = UNSEEN;
@@ -469,13 +476,13 @@
 
 /* ---- the entry ---------------------------------------------------------- */
 
-/* Hello: the guard mints a session and drops those of the entry's older
- * incarnations. A Hello whose answer is lost leaves a session without a Start,
- * which changes nothing, so both directions are one step here.
+/* Hello, the handshake: the guard opens a session and closes those of the entry's
+ * older incarnations. A Hello whose response is lost leaves a session without a
+ * Start, which has no effect, so request and response are one step here.
  *
- * Safeguard: a session id is minted once in an incarnation. Given out again
- * after a drop, delayed Starts of the old session would meet an empty ledger
- * under their own numbers. */
+ * Safeguard (SESSION_ID_REUSED): an incarnation assigns a session ID once. If it
+ * reused the ID after closing the session, delayed Starts of the old session would
+ * find an empty ledger for their sequence numbers. */
 inline hello(g) {
 	for (j : 0 .. SESSIONS - 1) {
 		if
@@ -502,17 +509,17 @@
 	printf("entry says Hello to guard %d incarnation %d: session %d\n", g, guard[g].incarnation, j)
 }
 
-/* The entry says Hello when it has no session, or when it was told that the one
- * it has is gone; until then it may go on using a session that is gone. Hello
- * waits until there is a task to dispatch: said earlier, the Starts that follow
- * could be no later than they can be here, as the network delays them. */
+/* The entry sends Hello when it has no session, or when it has learned that its
+ * session is closed; until then it may continue to use a closed session. The model
+ * sends Hello only when there is a task to dispatch: an earlier Hello would add no
+ * behaviour, since the network delays the Starts that follow it arbitrarily. */
 #define SESSION_GONE(g) \
 	(!link[g].up || link[g].incarnation != guard[g].incarnation || \
 	!guard[g].session[link[g].session].known)
 #define CAN_HELLO(g) (SESSION_GONE(g) && guard[g].minted < SESSIONS)
 
-/* Tasks are alike and so are guards: task t is taken up after task t-1, and the
- * first Start goes to guard 0. */
+/* Symmetry reduction: tasks are interchangeable, and so are guards. Task t is
+ * dispatched after task t-1, and the first Start goes to guard 0. */
 #define MAY_START(t, g) \
 	(sent < STARTS && (sent > 0 || g == 0) && \
 	(task[t] == READY || (task[t] == NEW && (t == 0 || task[t - 1] != NEW))))
@@ -528,8 +535,8 @@
 	start[sent].open = true;
 	start[sent].starts = 1;
 #ifndef LIVE
-	/* The entry may ask at any moment from now on and the network may keep the
-	 * question, so to send it at once covers every later moment. */
+	/* The entry may send Resolve at any time from now on and the network may delay
+	 * it, so sending it immediately covers every later time. */
 	start[sent].resolves = 1;
 #endif
 	for (i : 0 .. STARTS - 1) {
@@ -553,9 +560,9 @@
 	task[t] = OPEN
 }
 
-/* The entry has its final word on a start: later answers are dropped, and the
- * watermark may pass the number. The watermark is the lowest number still open
- * in the session, or the next one. */
+/* The entry settles a start: it discards later responses, and the low watermark may
+ * pass the number. The watermark is the lowest number still open in the session, or
+ * the next number when none is open. */
 inline close_start(a) {
 	start[a].open = false;
 #ifndef NO_ANSWER_MATCH
@@ -627,9 +634,10 @@
 	close_start(a)
 }
 
-/* Safeguard: no dispatch after an unknown outcome. Another guard incarnation, a
- * dropped session, a settled number or silence past the budget leave it open
- * whether the task ran. Dispatched again, it could start twice. */
+/* Safeguard (REDISPATCH_UNKNOWN): no retry after an unknown outcome. After a new
+ * guard incarnation, a closed session, a settled number or no response before the
+ * deadline, the entry does not know whether the task ran. If it dispatched the task
+ * again, the task could start twice. */
 inline take_unknown(a) {
 	printf("entry takes start %d as unknown\n", a);
 #ifdef REDISPATCH_UNKNOWN
@@ -650,8 +658,8 @@
 	task[t] = NOT_RUN
 }
 
-/* The entry's process dies. Callers learn from its peers that the outcome of
- * what it held is unknown; its successor knows no session and no start. */
+/* The entry's process crashes. Callers learn from its peers that the outcome of its
+ * unfinished tasks is unknown; its next incarnation knows no session and no start. */
 inline restart_entry() {
 	printf("entry restarts\n");
 	entry_incarnation++;
@@ -675,9 +683,9 @@
 	}
 }
 
-/* ---- processes: one for each thing that acts ---------------------------- */
+/* ---- processes ---------------------------------------------------------- */
 
-/* One indivisible step, taken when enabled holds. */
+/* One atomic step, executable when enabled is true. */
 #define STEP(enabled, action) d_step { enabled -> action; i = 0; j = 0; low = 0 }
 
 #ifdef LIVE
@@ -685,7 +693,7 @@
 	(start[a].finished || start[a].never_started || start[a].unknown)
 #endif
 
-/* The messages of one Start, and what its guard and runner do about it. */
+/* The messages of one Start, and the steps of its guard and runner for it. */
 proctype Handling(byte a) {
 end:	do
 	/* network: to the guard */
@@ -719,7 +727,7 @@
 	:: STEP((start[a].at == CALLED || start[a].at == BEGUN), runner_lost(a))
 #endif
 #ifdef LIVE
-	/* the entry's timer: the last question was answered or lost */
+	/* the entry's retry timer: the last Resolve got a response or was lost */
 #ifndef NO_ASK_AGAIN
 	:: STEP(start[a].open && start[a].resolves == 0 && !ANSWER_COMES(a), start[a].resolves = 1)
 #endif
@@ -739,7 +747,7 @@
 	   STEP(drops < DROPS && guard[g].session[s].known, drops++; drop_session(g, s)) \
 	:: STEP(guard[g].session[s].low < guard[g].session[s].reported, raise_watermark(g, s))
 
-/* One guard's restarts, the leases of its sessions, its watermarks. */
+/* One guard's restarts, the expiry of its session leases, its low watermarks. */
 proctype Guarding(byte g) {
 end:	do
 	:: STEP(guard_restarts < GUARD_RESTARTS && guard[g].minted > 0, restart_guard(g))
@@ -764,7 +772,7 @@
 #endif
 	:: STEP(task[t] == READY, tell_not_run(t))
 #ifdef LIVE
-	/* no session or no Start is left within the bounds: refused at once */
+	/* no session or no Start is left within the model's bounds: rejected immediately */
 	:: STEP(task[t] == NEW, tell_not_run(t))
 #endif
 	od
@@ -789,11 +797,12 @@
 }
 
 #ifdef LIVE
-/* With a bounded number of faults every run comes to an end, and by then every
- * start is closed and every task answered, although the entry never gives up by
- * itself. Safeguards: it asks again after a lost question or answer, and the
- * guard answers what it does not know in place of keeping silent. Left out, a
- * task stays open for ever. */
+/* With a bounded number of faults every execution ends, and by then every start is
+ * closed and every task has a response, although the entry never times out by
+ * itself. Safeguards: the entry sends Resolve again after a lost request or response
+ * (NO_ASK_AGAIN), and the guard responds "unknown" to requests that it cannot match
+ * instead of ignoring them (SILENT_WHEN_UNKNOWN). Without either one a task stays
+ * open for ever. */
 #define ANSWERED(t) (task[t] == DONE || task[t] == NOT_RUN || task[t] == UNKNOWN)
 #if TASKS > 2
 ltl all_answered { <>(ANSWERED(0) && ANSWERED(1) && ANSWERED(2)) }
